--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -150,12 +150,21 @@
     /// What is kept of an operator's command; `None` of one that is not an operator's.
     pub(crate) fn of(command: &Command) -> Option<KeptCommand> {
         Some(match command {
-            Command::Plan { bytes, .. } => KeptCommand::Plan { hash: *blake3::hash(bytes).as_bytes() },
-            Command::Change { bytes, .. } => KeptCommand::Change { hash: *blake3::hash(bytes).as_bytes() },
+            Command::Plan { bytes, .. } => KeptCommand::Plan {
+                hash: *blake3::hash(bytes).as_bytes(),
+            },
+            Command::Change { bytes, .. } => KeptCommand::Change {
+                hash: *blake3::hash(bytes).as_bytes(),
+            },
             Command::Withdraw { zone } => KeptCommand::Withdraw { zone: zone.clone() },
             Command::Restore { zone } => KeptCommand::Restore { zone: zone.clone() },
-            Command::Forget { members } => KeptCommand::Forget { members: members.clone() },
-            Command::Join { .. } | Command::Retire { .. } | Command::Settle { .. } | Command::Key { .. } => {
+            Command::Forget { members } => KeptCommand::Forget {
+                members: members.clone(),
+            },
+            Command::Join { .. }
+            | Command::Retire { .. }
+            | Command::Settle { .. }
+            | Command::Key { .. } => {
                 return None;
             }
         })
@@ -165,7 +174,8 @@
 impl Entry {
     /// Whether a proposal says the same. A change merged anew may come to another whole.
     pub(crate) fn is_repeated_by(&self, other: &Proposal) -> bool {
-        let is_same_command = KeptCommand::of(&other.command).is_some_and(|command| command == self.command);
+        let is_same_command =
+            KeptCommand::of(&other.command).is_some_and(|command| command == self.command);
         is_same_command && self.id == other.id && self.builds_on == other.builds_on
     }
 }
@@ -206,7 +216,10 @@
 
     /// What was accepted as this epoch, if it's remembered.
     pub fn entry(&self, epoch: Epoch) -> Option<&Entry> {
-        let place = self.entries.binary_search_by_key(&epoch, |entry| entry.epoch).ok()?;
+        let place = self
+            .entries
+            .binary_search_by_key(&epoch, |entry| entry.epoch)
+            .ok()?;
         self.entries.get(place)
     }
 
@@ -230,7 +243,10 @@
             return false;
         }
         match (base_revision(&proposal.command), proposal.builds_on) {
-            (Some(base), _) => self.forgotten.base_revision.is_some_and(|forgotten| base <= forgotten),
+            (Some(base), _) => self
+                .forgotten
+                .base_revision
+                .is_some_and(|forgotten| base <= forgotten),
             (None, Some(builds_on)) => builds_on < self.forgotten.epoch,
             (None, None) => false,
         }
@@ -240,7 +256,11 @@
     pub(crate) fn as_sent(&self, epoch: Epoch, plan: &[u8]) -> Result<AsSent, NotKept> {
         let Some(entry) = self.entry(epoch) else {
             let is_forgotten = epoch > Epoch(0) && epoch <= self.forgotten.epoch;
-            return Err(if is_forgotten { NotKept::NoLonger } else { NotKept::Never });
+            return Err(if is_forgotten {
+                NotKept::NoLonger
+            } else {
+                NotKept::Never
+            });
         };
         match &entry.command {
             KeptCommand::Plan { hash } => self.plan_as_sent(epoch, plan, hash),
@@ -253,13 +273,23 @@
 
     /// A plan comes back from the one in force by what undoes those after it.
     fn plan_as_sent(&self, epoch: Epoch, plan: &[u8], hash: &[u8; 32]) -> Result<AsSent, NotKept> {
-        let later = self.undos.iter().rev().take_while(|undo| undo.epoch > epoch);
+        let later = self
+            .undos
+            .iter()
+            .rev()
+            .take_while(|undo| undo.epoch > epoch);
         let bytes = unwind(plan, later.map(|undo| &undo.splice)).ok_or(NotKept::NoLonger)?;
-        if blake3::hash(&bytes) == *hash { Ok(AsSent::Body(bytes)) } else { Err(NotKept::NoLonger) }
+        if blake3::hash(&bytes) == *hash {
+            Ok(AsSent::Body(bytes))
+        } else {
+            Err(NotKept::NoLonger)
+        }
     }
 
     fn change_as_sent(&self, epoch: Epoch) -> Result<AsSent, NotKept> {
-        let place = self.changes.binary_search_by_key(&epoch, |change| change.epoch);
+        let place = self
+            .changes
+            .binary_search_by_key(&epoch, |change| change.epoch);
         let place = place.map_err(|_| NotKept::NoLonger)?;
         Ok(AsSent::Body(self.changes[place].bytes.clone()))
     }
@@ -275,7 +305,13 @@
             let base_revision = base_revision(&proposal.command);
             self.ids.insert(proposal.id.clone(), epoch);
             let (id, builds_on) = (proposal.id, proposal.builds_on);
-            self.entries.push_back(Entry { epoch, id, builds_on, base_revision, command });
+            self.entries.push_back(Entry {
+                epoch,
+                id,
+                builds_on,
+                base_revision,
+                command,
+            });
         }
         if let Command::Change { bytes, .. } = proposal.command {
             self.changes.push_back(SentChange { epoch, bytes });
@@ -286,7 +322,9 @@
 
     fn forget_oldest_entries(&mut self) {
         while self.entries.len() > self.span as usize {
-            let Some(oldest) = self.entries.pop_front() else { break };
+            let Some(oldest) = self.entries.pop_front() else {
+                break;
+            };
             self.ids.remove(&oldest.id);
             self.forgotten.epoch = oldest.epoch;
             self.forgotten.base_revision = self.forgotten.base_revision.max(oldest.base_revision);
@@ -299,38 +337,58 @@
         loop {
             let oldest_undo = self.undos.front().map(|undo| undo.epoch);
             let oldest_change = self.changes.front().map(|change| change.epoch);
-            let Some(oldest) = oldest_undo.into_iter().chain(oldest_change).min() else { break };
+            let Some(oldest) = oldest_undo.into_iter().chain(oldest_change).min() else {
+                break;
+            };
             if bytes <= REMEMBERED_BYTES && oldest > self.forgotten.epoch {
                 break;
             }
             if oldest_undo == Some(oldest) {
-                bytes -= self.undos.pop_front().map_or(0, |undo| undo.splice.inserted.len());
+                bytes -= self
+                    .undos
+                    .pop_front()
+                    .map_or(0, |undo| undo.splice.inserted.len());
             }
             if oldest_change == Some(oldest) {
-                bytes -= self.changes.pop_front().map_or(0, |change| change.bytes.len());
+                bytes -= self
+                    .changes
+                    .pop_front()
+                    .map_or(0, |change| change.bytes.len());
             }
         }
     }
 
     /// Bytes kept so that changes can be read back.
     pub fn byte_count(&self) -> usize {
-        let undos: usize = self.undos.iter().map(|undo| undo.splice.inserted.len()).sum();
+        let undos: usize = self
+            .undos
+            .iter()
+            .map(|undo| undo.splice.inserted.len())
+            .sum();
         let changes: usize = self.changes.iter().map(|change| change.bytes.len()).sum();
         undos + changes
     }
 
     /// After it was read: makes the index; `None` if the invariants don't hold.
     pub(crate) fn indexed(mut self, newest: Epoch) -> Option<History> {
-        self.ids = self.entries.iter().map(|entry| (entry.id.clone(), entry.epoch)).collect();
+        self.ids = self
+            .entries
+            .iter()
+            .map(|entry| (entry.id.clone(), entry.epoch))
+            .collect();
         let epochs: Vec<Epoch> = self.entries.iter().map(|entry| entry.epoch).collect();
         let undone: Vec<Epoch> = self.undos.iter().map(|undo| undo.epoch).collect();
         let sent: Vec<Epoch> = self.changes.iter().map(|change| change.epoch).collect();
         let is_rising = |epochs: &[Epoch]| {
-            epochs.is_sorted_by(|one, next| one < next) && epochs.last().is_none_or(|last| *last <= newest)
+            epochs.is_sorted_by(|one, next| one < next)
+                && epochs.last().is_none_or(|last| *last <= newest)
         };
         let are_rising = is_rising(&epochs) && is_rising(&undone) && is_rising(&sent);
-        let is_after_forgotten = epochs.first().is_none_or(|first| *first > self.forgotten.epoch);
-        let is_bounded = epochs.len() <= self.span as usize && self.byte_count() <= REMEMBERED_BYTES;
+        let is_after_forgotten = epochs
+            .first()
+            .is_none_or(|first| *first > self.forgotten.epoch);
+        let is_bounded =
+            epochs.len() <= self.span as usize && self.byte_count() <= REMEMBERED_BYTES;
         let are_ids_unique = self.ids.len() == self.entries.len();
         (are_rising && is_after_forgotten && is_bounded && are_ids_unique).then_some(self)
     }
--- a/crates/config/src/ledger.rs
+++ b/crates/config/src/ledger.rs
@@ -168,8 +168,16 @@
         self.history.as_sent(epoch, &self.plan)
     }
     /// Takes a new plan up and keeps what leads back.
-    fn set_plan(&mut self, plan: Vec<u8>, splice: Splice, zones: &[ZoneName], revisions: Revisions) {
-        let undo = splice.reverse(&self.plan).expect("it was made for the plan in force");
+    fn set_plan(
+        &mut self,
+        plan: Vec<u8>,
+        splice: Splice,
+        zones: &[ZoneName],
+        revisions: Revisions,
+    ) {
+        let undo = splice
+            .reverse(&self.plan)
+            .expect("it was made for the plan in force");
         self.history.remember_undo(self.epoch, undo);
         self.newest = Some((self.plan_epoch, splice));
         self.plan = plan;
@@ -189,9 +197,22 @@
         zones
     }
 
-    fn outcome(&self, code: ResultCode, epoch: Epoch, why: impl Into<String>, faults: Vec<Fault>) -> CommandOutcome {
+    fn outcome(
+        &self,
+        code: ResultCode,
+        epoch: Epoch,
+        why: impl Into<String>,
+        faults: Vec<Fault>,
+    ) -> CommandOutcome {
         let (result, plan_epoch) = (code.word(), self.plan_epoch);
-        CommandOutcome { code: code.number(), result, epoch, plan_epoch, why: why.into(), faults }
+        CommandOutcome {
+            code: code.number(),
+            result,
+            epoch,
+            plan_epoch,
+            why: why.into(),
+            faults,
+        }
     }
 
     /// What a proposal would come to.
@@ -212,12 +233,19 @@
         }
         self.judge_new(proposal).map_err(|outcome| {
             let is_conflict = outcome.code == ResultCode::Conflict.number();
-            if may_be_forgotten && is_conflict { self.too_old() } else { outcome }
+            if may_be_forgotten && is_conflict {
+                self.too_old()
+            } else {
+                outcome
+            }
         })
     }
 
     fn too_old(&self) -> CommandOutcome {
-        let why = format!("it builds on what came before epoch {}; nothing changed now", self.history.forgotten.epoch);
+        let why = format!(
+            "it builds on what came before epoch {}; nothing changed now",
+            self.history.forgotten.epoch
+        );
         self.outcome(ResultCode::TooOldToKnow, self.epoch, why, vec![])
     }
 
@@ -226,12 +254,18 @@
         let builds_on = |is_needed: bool| match proposal.builds_on {
             Some(epoch) if epoch > self.epoch => Err(self.not_yet(&format!("epoch {epoch}"))),
             Some(epoch) if epoch < self.plan_epoch => {
-                let why = format!("it builds on epoch {epoch}, the plan in force is of epoch {}", self.plan_epoch);
+                let why = format!(
+                    "it builds on epoch {epoch}, the plan in force is of epoch {}",
+                    self.plan_epoch
+                );
                 Err(self.outcome(ResultCode::Conflict, self.epoch, why, vec![]))
             }
-            None if is_needed => {
-                Err(self.outcome(ResultCode::BadPlan, self.epoch, "the epoch that it builds on is missing", vec![]))
-            }
+            None if is_needed => Err(self.outcome(
+                ResultCode::BadPlan,
+                self.epoch,
+                "the epoch that it builds on is missing",
+                vec![],
+            )),
             _ => Ok(()),
         };
         let follows = |revisions: &Revisions| {
@@ -244,7 +278,8 @@
                 return Err(self.not_yet(&format!("revision {base}")));
             }
             if base < newest {
-                let why = format!("it builds on revision {base}, the plan in force is revision {newest}");
+                let why =
+                    format!("it builds on revision {base}, the plan in force is revision {newest}");
                 return Err(self.outcome(ResultCode::Conflict, self.epoch, why, vec![]));
             }
             if own <= newest {
@@ -255,12 +290,19 @@
         };
         match &proposal.command {
             Command::Plan { revisions, .. } => follows(revisions),
-            Command::Change { base, splice, revisions, .. } => {
+            Command::Change {
+                base,
+                splice,
+                revisions,
+                ..
+            } => {
                 follows(revisions)?;
                 if *base != self.plan_epoch {
                     // Merged anew, the same change may well be taken: no conflict of its operator's.
-                    let why =
-                        format!("it was merged into epoch {base}, the plan in force is of epoch {}", self.plan_epoch);
+                    let why = format!(
+                        "it was merged into epoch {base}, the plan in force is of epoch {}",
+                        self.plan_epoch
+                    );
                     return Err(self.outcome(ResultCode::CoreNotReady, self.epoch, why, vec![]));
                 }
                 if !splice.fits(&self.plan) {
@@ -273,7 +315,10 @@
                 builds_on(false)?;
                 if !self.zones().contains_key(zone) && !self.withdrawn.contains(zone) {
                     let known: Vec<String> = self.zones().into_keys().map(|zone| zone.0).collect();
-                    let why = format!("no member or plan names zone `{zone}`; known: {}", known.join(", "));
+                    let why = format!(
+                        "no member or plan names zone `{zone}`; known: {}",
+                        known.join(", ")
+                    );
                     return Err(self.outcome(ResultCode::UnknownZone, self.epoch, why, vec![]));
                 }
                 self.judge_request_of_arrival(proposal, zone)
@@ -288,24 +333,43 @@
                     None => Ok(()),
                 }
             }
-            Command::Settle { since } if *since != self.membership.since => {
-                Err(self.outcome(ResultCode::Conflict, self.epoch, "the membership has changed since", vec![]))
-            }
-            Command::Key { .. } if self.key.is_some() => {
-                Err(self.outcome(ResultCode::Conflict, self.epoch, "there is a key already", vec![]))
-            }
-            Command::Join { .. } | Command::Retire { .. } | Command::Settle { .. } | Command::Key { .. } => Ok(()),
+            Command::Settle { since } if *since != self.membership.since => Err(self.outcome(
+                ResultCode::Conflict,
+                self.epoch,
+                "the membership has changed since",
+                vec![],
+            )),
+            Command::Key { .. } if self.key.is_some() => Err(self.outcome(
+                ResultCode::Conflict,
+                self.epoch,
+                "there is a key already",
+                vec![],
+            )),
+            Command::Join { .. }
+            | Command::Retire { .. }
+            | Command::Settle { .. }
+            | Command::Key { .. } => Ok(()),
         }
     }
 
     /// Refuses an evacuation, or its end, that would undo a newer one of the same zone. One that the zone's
     /// state agrees with undoes nothing.
-    fn judge_request_of_arrival(&self, proposal: &Proposal, zone: &ZoneName) -> Result<(), CommandOutcome> {
+    fn judge_request_of_arrival(
+        &self,
+        proposal: &Proposal,
+        zone: &ZoneName,
+    ) -> Result<(), CommandOutcome> {
         let is_wanted = matches!(proposal.command, Command::Withdraw { .. });
         let is_so = self.withdrawn.contains(zone) == is_wanted;
-        match self.zone_changes.iter().find(|(changed, _)| changed == zone) {
+        match self
+            .zone_changes
+            .iter()
+            .find(|(changed, _)| changed == zone)
+        {
             Some((_, newest)) if proposal.seen < *newest && !is_so => {
-                let why = format!("zone `{zone}` was changed as epoch {newest}, after this request came in");
+                let why = format!(
+                    "zone `{zone}` was changed as epoch {newest}, after this request came in"
+                );
                 Err(self.outcome(ResultCode::Overtaken, self.epoch, why, vec![]))
             }
             _ => Ok(()),
@@ -326,7 +390,11 @@
     fn set_members(&mut self, zones: Vec<(Address, ZoneName)>) {
         self.member_zones = zones;
         self.membership.previous = std::mem::take(&mut self.membership.members);
-        self.membership.members = self.member_zones.iter().map(|(address, _)| *address).collect();
+        self.membership.members = self
+            .member_zones
+            .iter()
+            .map(|(address, _)| *address)
+            .collect();
         self.membership.since = self.epoch;
     }
 }
@@ -335,8 +403,12 @@
     fn needs_members(&self, body: &[u8]) -> bool {
         // Those that join could never do so if it took members to let them in, nor act without a key; and
         // those that are lost are forgotten just because too many are.
-        let is_free =
-            |command: &Command| matches!(command, Command::Join { .. } | Command::Key { .. } | Command::Forget { .. });
+        let is_free = |command: &Command| {
+            matches!(
+                command,
+                Command::Join { .. } | Command::Key { .. } | Command::Forget { .. }
+            )
+        };
         !read(body).is_some_and(|proposal| is_free(&proposal.command))
     }
 
@@ -353,17 +425,28 @@
     }
 
     fn apply(&mut self, body: &[u8]) -> Vec<u8> {
-        let Some(proposal) = read(body) else { return vec![] };
+        let Some(proposal) = read(body) else {
+            return vec![];
+        };
         if let Err(outcome) = self.judge(&proposal) {
             return outcome.to_bytes();
         }
         self.epoch = self.epoch.next();
         match &proposal.command {
-            Command::Plan { bytes, zones, revisions } => {
+            Command::Plan {
+                bytes,
+                zones,
+                revisions,
+            } => {
                 let splice = Splice::between(&self.plan, bytes);
                 self.set_plan(bytes.clone(), splice, zones, *revisions);
             }
-            Command::Change { splice, zones, revisions, .. } => {
+            Command::Change {
+                splice,
+                zones,
+                revisions,
+                ..
+            } => {
                 let plan = splice.apply(&self.plan).expect("it was judged to fit");
                 self.set_plan(plan, splice.clone(), zones, *revisions);
             }
@@ -395,9 +478,14 @@
                 zones.retain(|(address, _)| !members.contains(address));
                 self.set_members(zones);
                 // The dead can't act, so that majorities are those of the living (docs/isolation.md).
-                self.membership.previous.clone_from(&self.membership.members);
+                self.membership
+                    .previous
+                    .clone_from(&self.membership.members);
             }
-            Command::Settle { .. } => self.membership.previous.clone_from(&self.membership.members),
+            Command::Settle { .. } => self
+                .membership
+                .previous
+                .clone_from(&self.membership.members),
             Command::Key { key } => self.key = Some(*key),
         }
         let outcome = self.outcome(ResultCode::Accepted, self.epoch, "", vec![]);
@@ -406,7 +494,9 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        rkyv::to_bytes::<rkyv::rancor::Error>(self).expect("a ledger can be archived").to_vec()
+        rkyv::to_bytes::<rkyv::rancor::Error>(self)
+            .expect("a ledger can be archived")
+            .to_vec()
     }
 
     fn restore(snapshot: &[u8]) -> Option<Self> {
@@ -421,10 +511,14 @@
 impl Revisions {
     fn of(plan: &Plan, base: Option<u64>) -> Result<Revisions, Vec<Fault>> {
         match base {
-            Some(_) if plan.revision == 0 => {
-                Err(vec![Fault { path: "revision".into(), why: "it is missing or 0".into() }])
-            }
-            Some(base) => Ok(Revisions { own: plan.revision, base }),
+            Some(_) if plan.revision == 0 => Err(vec![Fault {
+                path: "revision".into(),
+                why: "it is missing or 0".into(),
+            }]),
+            Some(base) => Ok(Revisions {
+                own: plan.revision,
+                base,
+            }),
             None => Ok(Revisions::default()),
         }
     }
@@ -457,7 +551,11 @@
     ) -> Result<Command, Vec<Fault>> {
         let plan = dialect.parse(&bytes)?;
         let revisions = Revisions::of(&plan, base_revision)?;
-        Ok(Command::Plan { bytes, zones: plan.zones(), revisions })
+        Ok(Command::Plan {
+            bytes,
+            zones: plan.zones(),
+            revisions,
+        })
     }
     /// A change in this dialect to the plan that was accepted as `base`, if what comes of it has no faults.
     pub fn change_in(
@@ -471,7 +569,13 @@
         let merged = dialect.parse(&whole)?;
         let revisions = Revisions::of(&merged, base_revision)?;
         let splice = Splice::between(plan, &whole);
-        Ok(Command::Change { bytes, base, splice, zones: merged.zones(), revisions })
+        Ok(Command::Change {
+            bytes,
+            base,
+            splice,
+            zones: merged.zones(),
+            revisions,
+        })
     }
     /// The same; these zones may be withdrawn besides those that it names.
     #[must_use]
@@ -488,7 +592,9 @@
 impl Proposal {
     /// As the body of a change in the chain.
     pub fn to_bytes(&self) -> Vec<u8> {
-        rkyv::to_bytes::<rkyv::rancor::Error>(self).expect("a proposal can be archived").to_vec()
+        rkyv::to_bytes::<rkyv::rancor::Error>(self)
+            .expect("a proposal can be archived")
+            .to_vec()
     }
 }
 
@@ -503,7 +609,8 @@
     use super::*;
 
     fn plan(id: &str, builds_on: u64, slots: u32) -> Proposal {
-        let bytes = format!(r#"{{"services":{{"drafts":{{"slots":{slots},"zones":["north"]}}}}}}"#).into_bytes();
+        let bytes = format!(r#"{{"services":{{"drafts":{{"slots":{slots},"zones":["north"]}}}}}}"#)
+            .into_bytes();
         Proposal {
             id: id.into(),
             builds_on: Some(Epoch(builds_on)),
@@ -529,7 +636,10 @@
         let mut ledger = Ledger::default();
         take(&mut ledger, &plan("a", 0, 4));
         let again = take(&mut ledger, &plan("a", 0, 4));
-        assert_eq!((&again["code"], &again["epoch"], ledger.epoch), (&300.into(), &1.into(), Epoch(1)));
+        assert_eq!(
+            (&again["code"], &again["epoch"], ledger.epoch),
+            (&300.into(), &1.into(), Epoch(1))
+        );
         assert_eq!(take(&mut ledger, &plan("a", 1, 6))["code"], 308);
     }
 
@@ -537,7 +647,10 @@
     fn each_plan_and_change_reads_back_as_sent_and_small_changes_of_a_large_plan_stay_small() {
         let mut ledger = Ledger::default();
         let note = "n".repeat(200_000);
-        let sent = |n: usize| format!(r#"{{ "note":"{note}", "services":{{"drafts":{{"slots":{n}}}}} }}"#).into_bytes();
+        let sent = |n: usize| {
+            format!(r#"{{ "note":"{note}", "services":{{"drafts":{{"slots":{n}}}}} }}"#)
+                .into_bytes()
+        };
         let mut bodies = vec![];
         for n in 1..=200usize {
             let builds_on = Some(ledger.epoch);
@@ -549,56 +662,111 @@
             let command = if n % 40 == 1 {
                 Command::plan(body.clone()).expect("a good plan")
             } else {
-                Command::change(body.clone(), ledger.plan_epoch, &ledger.plan).expect("a good change")
+                Command::change(body.clone(), ledger.plan_epoch, &ledger.plan)
+                    .expect("a good change")
+            };
+            let proposal = Proposal {
+                id: format!("n-{n}"),
+                builds_on,
+                seen: Epoch(0),
+                command,
             };
-            let proposal = Proposal { id: format!("n-{n}"), builds_on, seen: Epoch(0), command };
             // Only after a whole plan, whose spaces a merge takes out, is the difference large.
             let is_small = proposal.to_bytes().len() < 1000;
-            assert!(is_small || n % 40 < 3, "change {n} is {} bytes", proposal.to_bytes().len());
+            assert!(
+                is_small || n % 40 < 3,
+                "change {n} is {} bytes",
+                proposal.to_bytes().len()
+            );
             assert_eq!(take(&mut ledger, &proposal)["code"], 300);
             bodies.push(body);
         }
         let ledger = Ledger::restore(&ledger.snapshot()).expect("a ledger");
         for (place, body) in bodies.into_iter().enumerate() {
-            assert_eq!(ledger.as_sent(Epoch(place as u64 + 1)), Ok(AsSent::Body(body)), "epoch {}", place + 1);
+            assert_eq!(
+                ledger.as_sent(Epoch(place as u64 + 1)),
+                Ok(AsSent::Body(body)),
+                "epoch {}",
+                place + 1
+            );
         }
-        assert!(ledger.snapshot().len() < 20 * note.len(), "the snapshot has {} bytes", ledger.snapshot().len());
+        assert!(
+            ledger.snapshot().len() < 20 * note.len(),
+            "the snapshot has {} bytes",
+            ledger.snapshot().len()
+        );
     }
 
     #[test]
     fn the_lost_are_forgotten_by_name_and_count_no_more() {
         let mut ledger = Ledger::default();
-        let members: Vec<_> = (1..=5).map(|n| (Address::loopback(n), ZoneName::from("north"))).collect();
+        let members: Vec<_> = (1..=5)
+            .map(|n| (Address::loopback(n), ZoneName::from("north")))
+            .collect();
         take(
             &mut ledger,
-            &Proposal { id: String::new(), builds_on: None, seen: Epoch(0), command: Command::Join { members } },
+            &Proposal {
+                id: String::new(),
+                builds_on: None,
+                seen: Epoch(0),
+                command: Command::Join { members },
+            },
         );
         let forget = |id: &str, ports: &[u16]| Proposal {
             id: id.into(),
             builds_on: None,
             seen: Epoch(0),
-            command: Command::Forget { members: ports.iter().map(|port| Address::loopback(*port)).collect() },
+            command: Command::Forget {
+                members: ports.iter().map(|port| Address::loopback(*port)).collect(),
+            },
         };
         let unknown = take(&mut ledger, &forget("f", &[3, 9]));
         assert_eq!((&unknown["code"], ledger.epoch), (&309.into(), Epoch(1)));
-        assert!(unknown["why"].as_str().is_some_and(|why| why.contains("127.0.0.1:9 ")), "{unknown}");
+        assert!(
+            unknown["why"]
+                .as_str()
+                .is_some_and(|why| why.contains("127.0.0.1:9 ")),
+            "{unknown}"
+        );
         assert!(!ledger.needs_members(&forget("g", &[3, 4, 5]).to_bytes()));
         assert_eq!(take(&mut ledger, &forget("g", &[3, 4, 5]))["code"], 300);
-        assert_eq!((&ledger.membership.previous, ledger.membership.members.len()), (&ledger.membership.members, 2));
-        assert_eq!(take(&mut ledger, &forget("g", &[3, 4, 5]))["epoch"], 2, "a repeat is told the first one's epoch");
+        assert_eq!(
+            (&ledger.membership.previous, ledger.membership.members.len()),
+            (&ledger.membership.members, 2)
+        );
+        assert_eq!(
+            take(&mut ledger, &forget("g", &[3, 4, 5]))["epoch"],
+            2,
+            "a repeat is told the first one's epoch"
+        );
     }
 
     #[test]
-    fn previous_members_count_no_more_once_the_membership_is_settled_and_only_for_that_membership() {
+    fn previous_members_count_no_more_once_the_membership_is_settled_and_only_for_that_membership()
+    {
         let mut ledger = Ledger::default();
-        let inner = |command: Command| Proposal { id: String::new(), builds_on: None, seen: Epoch(0), command };
+        let inner = |command: Command| Proposal {
+            id: String::new(),
+            builds_on: None,
+            seen: Epoch(0),
+            command,
+        };
         for n in [1, 2] {
             let members = vec![(Address::loopback(n), ZoneName::from("north"))];
             take(&mut ledger, &inner(Command::Join { members }));
         }
-        assert_eq!((ledger.membership.previous.len(), ledger.membership.since), (1, Epoch(2)));
-        assert_eq!(take(&mut ledger, &inner(Command::Settle { since: Epoch(1) }))["code"], 302);
-        assert_eq!(take(&mut ledger, &inner(Command::Settle { since: Epoch(2) }))["code"], 300);
+        assert_eq!(
+            (ledger.membership.previous.len(), ledger.membership.since),
+            (1, Epoch(2))
+        );
+        assert_eq!(
+            take(&mut ledger, &inner(Command::Settle { since: Epoch(1) }))["code"],
+            302
+        );
+        assert_eq!(
+            take(&mut ledger, &inner(Command::Settle { since: Epoch(2) }))["code"],
+            300
+        );
         assert_eq!(ledger.membership.previous, ledger.membership.members);
     }
 
@@ -609,11 +777,16 @@
             id: String::new(),
             builds_on: None,
             seen: Epoch(0),
-            command: Command::Key { key: TokenKey([byte; 32]) },
+            command: Command::Key {
+                key: TokenKey([byte; 32]),
+            },
         };
         assert_eq!(take(&mut ledger, &key(1))["code"], 300);
         assert_eq!(take(&mut ledger, &key(2))["code"], 302);
-        assert_eq!((ledger.key, ledger.epoch), (Some(TokenKey([1; 32])), Epoch(1)));
+        assert_eq!(
+            (ledger.key, ledger.epoch),
+            (Some(TokenKey([1; 32])), Epoch(1))
+        );
     }
 
     #[test]
@@ -637,7 +810,12 @@
         let mut ledger = Ledger::default();
         take(&mut ledger, &plan("a", 0, 4));
         let members = vec![(Address::loopback(3), ZoneName::from("north"))];
-        let join = Proposal { id: String::new(), builds_on: None, seen: Epoch(0), command: Command::Join { members } };
+        let join = Proposal {
+            id: String::new(),
+            builds_on: None,
+            seen: Epoch(0),
+            command: Command::Join { members },
+        };
         take(&mut ledger, &join);
         let snapshot = ledger.snapshot();
         assert_eq!(Ledger::restore(&snapshot), Some(ledger));
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -14,7 +14,9 @@
 }
 
 /// How a service is spoken.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize,
+)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
     /// A prompt whose answer is streamed.
@@ -93,7 +95,9 @@
 }
 
 /// What may be done with a route's requests.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize,
+)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
     /// They may run more than once.
@@ -211,17 +215,32 @@
 }
 
 fn plain_names<D, C>(names: &[String], _: &D, _: &C, _: bool) -> ValidateResult {
-    names.iter().try_for_each(|name| a_name(name, &(), &(), false))
+    names
+        .iter()
+        .try_for_each(|name| a_name(name, &(), &(), false))
 }
 
-fn service_names<D, C>(services: &BTreeMap<String, PartialServicePlan>, _: &D, _: &C, _: bool) -> ValidateResult {
-    services.keys().try_for_each(|name| a_name(name, &(), &(), false))
+fn service_names<D, C>(
+    services: &BTreeMap<String, PartialServicePlan>,
+    _: &D,
+    _: &C,
+    _: bool,
+) -> ValidateResult {
+    services
+        .keys()
+        .try_for_each(|name| a_name(name, &(), &(), false))
 }
 
 /// Reads and checks a plan; gives every fault that was found.
 pub fn parse_plan(bytes: &[u8]) -> Result<Plan, Vec<Fault>> {
-    let whole = |why: String| vec![Fault { path: ".".into(), why }];
-    let text = std::str::from_utf8(bytes).map_err(|fault| whole(format!("is not UTF-8: {fault}")))?;
+    let whole = |why: String| {
+        vec![Fault {
+            path: ".".into(),
+            why,
+        }]
+    };
+    let text =
+        std::str::from_utf8(bytes).map_err(|fault| whole(format!("is not UTF-8: {fault}")))?;
     // The loader takes comments for nothing and would take other things than an object; a plan is
     // plain JSON, since changes to it are merged as JSON.
     let value: serde_json::Value =
@@ -237,7 +256,11 @@
     let fault = match load(text) {
         Ok(plan) => {
             let faults = plan.faults();
-            return if faults.is_empty() { Ok(plan) } else { Err(faults) };
+            return if faults.is_empty() {
+                Ok(plan)
+            } else {
+                Err(faults)
+            };
         }
         Err(fault) => fault,
     };
@@ -247,7 +270,9 @@
         let found = faults_of(&fault);
         let is_of_a_field = matches!(fault, ConfigError::Parser { .. })
             && faults.len() < MOST_FAULTS
-            && found.first().is_some_and(|fault| take_out(&mut rest, &fault.path));
+            && found
+                .first()
+                .is_some_and(|fault| take_out(&mut rest, &fault.path));
         faults.extend(found);
         if is_of_a_field {
             next = load(&rest.to_string()).err();
@@ -261,40 +286,67 @@
 
 /// Takes the field at a path out of a value; says whether it was there. Names may have dots in them.
 fn take_out(value: &mut serde_json::Value, path: &str) -> bool {
-    let Some(object) = value.as_object_mut() else { return false };
+    let Some(object) = value.as_object_mut() else {
+        return false;
+    };
     if object.remove(path).is_some() {
         return true;
     }
     let dots = path.match_indices('.').map(|(place, _)| place);
-    let parts: Vec<(&str, &str)> = dots.map(|place| (&path[..place], &path[place + 1..])).collect();
+    let parts: Vec<(&str, &str)> = dots
+        .map(|place| (&path[..place], &path[place + 1..]))
+        .collect();
     parts.into_iter().any(|(name, rest)| {
         let name = name.split('[').next().unwrap_or(name);
-        object.get_mut(name).is_some_and(|inner| take_out(inner, rest))
-    }) || path.split_once('[').is_some_and(|(name, _)| object.remove(name).is_some())
+        object
+            .get_mut(name)
+            .is_some_and(|inner| take_out(inner, rest))
+    }) || path
+        .split_once('[')
+        .is_some_and(|(name, _)| object.remove(name).is_some())
 }
 
 /// The faults in a library's error.
 pub(crate) fn faults_of(fault: &ConfigError) -> Vec<Fault> {
     match fault {
-        ConfigError::Parser { error, .. } => vec![Fault { path: error.path.clone(), why: error.message.clone() }],
+        ConfigError::Parser { error, .. } => vec![Fault {
+            path: error.path.clone(),
+            why: error.message.clone(),
+        }],
         ConfigError::Validator { error, .. } => {
             let found = error.errors.iter();
-            found.map(|e| Fault { path: e.path.to_string(), why: e.message.clone() }).collect()
+            found
+                .map(|e| Fault {
+                    path: e.path.to_string(),
+                    why: e.message.clone(),
+                })
+                .collect()
         }
-        other => vec![Fault { path: ".".into(), why: other.to_full_string() }],
+        other => vec![Fault {
+            path: ".".into(),
+            why: other.to_full_string(),
+        }],
     }
 }
 
 /// The plan that a change (a JSON merge patch) makes of another.
 pub fn merge_change(plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<Fault>> {
     let read = |bytes: &[u8], what: &str| {
-        let why = |fault| vec![Fault { path: ".".into(), why: format!("the {what} is not JSON: {fault}") }];
+        let why = |fault| {
+            vec![Fault {
+                path: ".".into(),
+                why: format!("the {what} is not JSON: {fault}"),
+            }]
+        };
         serde_json::from_slice::<serde_json::Value>(bytes).map_err(why)
     };
     let mut whole = read(plan, "plan")?;
     let change = read(change, "change")?;
     if !change.is_object() {
-        return Err(vec![Fault { path: ".".into(), why: "a change is a JSON object".into() }]);
+        return Err(vec![Fault {
+            path: ".".into(),
+            why: "a change is a JSON object".into(),
+        }]);
     }
     json_patch::merge(&mut whole, &change);
     Ok(serde_json::to_vec(&whole).expect("a JSON value is JSON"))
@@ -320,12 +372,19 @@
 impl Plan {
     /// The route of this name, if it leads to the service.
     pub fn allowed_route(&self, name: &str, service: &str) -> Option<&RoutePlan> {
-        self.routes.iter().find(|route| route.name == name).filter(|route| route.leads_to(service))
+        self.routes
+            .iter()
+            .find(|route| route.name == name)
+            .filter(|route| route.leads_to(service))
     }
     /// The zones that it names.
     pub fn zones(&self) -> Vec<ZoneName> {
-        let mut zones: Vec<ZoneName> =
-            self.services.values().flat_map(|service| &service.zones).map(|name| name.as_str().into()).collect();
+        let mut zones: Vec<ZoneName> = self
+            .services
+            .values()
+            .flat_map(|service| &service.zones)
+            .map(|name| name.as_str().into())
+            .collect();
         zones.sort();
         zones.dedup();
         zones
@@ -335,7 +394,11 @@
         let of_service = |plan: &ServicePlan| ServiceRules {
             pool: plan.pool.clone(),
             zones: plan.zones.iter().map(|name| name.as_str().into()).collect(),
-            servers: plan.servers.iter().map(|name| name.as_str().into()).collect(),
+            servers: plan
+                .servers
+                .iter()
+                .map(|name| name.as_str().into())
+                .collect(),
             first_token: Span(plan.first_token_ms),
             slots: plan.slots as u32,
             btb: BtbRules {
@@ -350,8 +413,16 @@
             cold_span: Span(plan.cold_ms),
             memory_tokens: plan.memory_tokens,
         };
-        let services = self.services.iter().map(|(name, plan)| (name.as_str().into(), of_service(plan))).collect();
-        Rules { epoch, services, withdrawn }
+        let services = self
+            .services
+            .iter()
+            .map(|(name, plan)| (name.as_str().into(), of_service(plan)))
+            .collect();
+        Rules {
+            epoch,
+            services,
+            withdrawn,
+        }
     }
 }
 
@@ -362,10 +433,17 @@
 
     #[test]
     fn a_plan_has_defaults_for_what_it_leaves_out() {
-        let plan = parse_plan(br#"{"services":{"drafts":{"resumable":true,"btb":{"x":6}}}}"#).expect("a good plan");
+        let plan = parse_plan(br#"{"services":{"drafts":{"resumable":true,"btb":{"x":6}}}}"#)
+            .expect("a good plan");
         let drafts = &plan.services["drafts"];
-        assert_eq!((drafts.kind, drafts.resumable, drafts.idempotent), (ServiceKind::Stream, true, false));
-        assert_eq!((drafts.btb.y, drafts.btb.x, drafts.btb.z_ms, drafts.btb.m), (64, 6, 5000, 3));
+        assert_eq!(
+            (drafts.kind, drafts.resumable, drafts.idempotent),
+            (ServiceKind::Stream, true, false)
+        );
+        assert_eq!(
+            (drafts.btb.y, drafts.btb.x, drafts.btb.z_ms, drafts.btb.m),
+            (64, 6, 5000, 3)
+        );
     }
 
     #[parameterized(
@@ -402,7 +480,10 @@
                 let _ = merge_change(plan, &bent).map(|merged| parse_plan(&merged));
             }
         }
-        assert!(refused as usize > plan.len() * 4, "only {refused} were refused");
+        assert!(
+            refused as usize > plan.len() * 4,
+            "only {refused} were refused"
+        );
     }
 
     #[test]
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -14,21 +14,32 @@
     if let Some(file) = file {
         let text = std::fs::read_to_string(file).map_err(|fault| {
             let path = file.display().to_string();
-            SettingsFault(vec![Fault { path, why: format!("can't be read: {fault}") }])
+            SettingsFault(vec![Fault {
+                path,
+                why: format!("can't be read: {fault}"),
+            }])
         })?;
-        loader.code(text, "settings.toml").map_err(|fault| SettingsFault(faults_of(&fault)))?;
+        loader
+            .code(text, "settings.toml")
+            .map_err(|fault| SettingsFault(faults_of(&fault)))?;
     }
-    loader.load().map(|loaded| loaded.config).map_err(|fault| SettingsFault(faults_of(&fault)))
+    loader
+        .load()
+        .map(|loaded| loaded.config)
+        .map_err(|fault| SettingsFault(faults_of(&fault)))
 }
 
 /// A setting that is an IP number with a port.
 pub fn an_address<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
-    text.parse::<Address>().map(drop).map_err(ValidateError::new)
+    text.parse::<Address>()
+        .map(drop)
+        .map_err(ValidateError::new)
 }
 
 /// A setting that is a list of such.
 pub fn addresses<D, C>(list: &[String], data: &D, context: &C, is_final: bool) -> ValidateResult {
-    list.iter().try_for_each(|text| an_address(text, data, context, is_final))
+    list.iter()
+        .try_for_each(|text| an_address(text, data, context, is_final))
 }
 
 /// A setting that is a plain name.
@@ -36,7 +47,9 @@
     if ZoneName::from(text).is_sound() {
         Ok(())
     } else {
-        Err(ValidateError::new(format!("`{text}` is not a name: 1 to 64 letters, digits or any of -_.: are allowed")))
+        Err(ValidateError::new(format!(
+            "`{text}` is not a name: 1 to 64 letters, digits or any of -_.: are allowed"
+        )))
     }
 }
 
@@ -46,7 +59,9 @@
         if (least..=most).contains(value) {
             Ok(())
         } else {
-            Err(ValidateError::new(format!("{value} is not within {least} to {most}")))
+            Err(ValidateError::new(format!(
+                "{value} is not within {least} to {most}"
+            )))
         }
     }
 }
--- a/crates/config/src/tenants.rs
+++ b/crates/config/src/tenants.rs
@@ -5,7 +5,9 @@
 use std::collections::HashMap;
 
 /// What a tenant's quota counts.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize,
+)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaUnit {
     /// Requests.
@@ -52,10 +54,16 @@
     let mut owners: HashMap<&ApiKey, usize> = HashMap::new();
     for (place, tenant) in tenants.iter().enumerate() {
         let mut say = |field: &str, why: String| {
-            faults.push(Fault { path: format!("tenants[{place}].{field}"), why });
+            faults.push(Fault {
+                path: format!("tenants[{place}].{field}"),
+                why,
+            });
         };
         if !TenantName::from(tenant.name.as_str()).is_sound() {
-            say("name", "a name is 1 to 64 letters, digits or any of -_.:".into());
+            say(
+                "name",
+                "a name is 1 to 64 letters, digits or any of -_.:".into(),
+            );
         }
         if let Some(other) = names.insert(&tenant.name, place) {
             say("name", format!("tenants[{other}] has the same name"));
@@ -66,7 +74,9 @@
                 say(&field, "a key is not empty".into());
             }
             match owners.insert(key, place) {
-                Some(other) if other != place => say(&field, format!("tenants[{other}] has the same key")),
+                Some(other) if other != place => {
+                    say(&field, format!("tenants[{other}] has the same key"))
+                }
                 _ => {}
             }
         }
@@ -116,14 +126,25 @@
     /// Of a plan's tenants.
     pub fn new(tenants: &[TenantPlan], hasher: KeyHasher) -> Self {
         let keys = |(place, tenant): (usize, &TenantPlan)| {
-            let digests: Vec<(KeyDigest, usize)> =
-                tenant.api_keys.0.iter().map(|key| (hasher.digest(key), place)).collect();
+            let digests: Vec<(KeyDigest, usize)> = tenant
+                .api_keys
+                .0
+                .iter()
+                .map(|key| (hasher.digest(key), place))
+                .collect();
             digests
         };
         let by_key = tenants.iter().enumerate().flat_map(keys).collect();
         // Only digests are needed from here on.
-        let without_keys = |tenant: &TenantPlan| TenantPlan { api_keys: ApiKeys::default(), ..tenant.clone() };
-        TenantTable { by_key, tenants: tenants.iter().map(without_keys).collect(), hasher }
+        let without_keys = |tenant: &TenantPlan| TenantPlan {
+            api_keys: ApiKeys::default(),
+            ..tenant.clone()
+        };
+        TenantTable {
+            by_key,
+            tenants: tenants.iter().map(without_keys).collect(),
+            hasher,
+        }
     }
     /// Whether requests need no key.
     pub fn is_empty(&self) -> bool {
--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -6,23 +6,50 @@
 use replication::prelude::StateMachine;
 
 fn runner() -> TestRunner {
-    let config = Config { cases: 4000, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 4000,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[19; 32]))
 }
 
 fn plan(n: u64) -> Proposal {
-    let bytes = format!(r#"{{"revision":{},"services":{{"a":{{"slots":{}}}}}}}"#, n + 1, n % 50 + 1).into_bytes();
+    let bytes = format!(
+        r#"{{"revision":{},"services":{{"a":{{"slots":{}}}}}}}"#,
+        n + 1,
+        n % 50 + 1
+    )
+    .into_bytes();
     let command = Command::plan_in(&OwnPlans, bytes, Some(n)).expect("a good plan");
-    Proposal { id: format!("plan-{n}"), builds_on: None, seen: Epoch(0), command }
+    Proposal {
+        id: format!("plan-{n}"),
+        builds_on: None,
+        seen: Epoch(0),
+        command,
+    }
 }
 
 fn ledger() -> Ledger {
-    let mut ledger = Ledger { history: History::of_span(6), ..Ledger::default() };
+    let mut ledger = Ledger {
+        history: History::of_span(6),
+        ..Ledger::default()
+    };
     (0..10).for_each(|n| drop(ledger.apply(&plan(n).to_bytes())));
-    let withdraw = Command::Withdraw { zone: "north".into() };
+    let withdraw = Command::Withdraw {
+        zone: "north".into(),
+    };
     let members = vec![(Address::loopback(3), ZoneName::from("north"))];
     for (id, command) in [("", Command::Join { members }), ("w", withdraw)] {
-        ledger.apply(&Proposal { id: id.into(), builds_on: None, seen: Epoch(0), command }.to_bytes());
+        ledger.apply(
+            &Proposal {
+                id: id.into(),
+                builds_on: None,
+                seen: Epoch(0),
+                command,
+            }
+            .to_bytes(),
+        );
     }
     ledger
 }
@@ -31,7 +58,11 @@
 fn bent(whole: &[u8], bends: &[(usize, u8)], length: usize) -> Vec<u8> {
     let mut bytes = whole[..length.min(whole.len())].to_vec();
     for (place, byte) in bends {
-        if let Some(found) = bytes.len().checked_sub(1).and_then(|last| bytes.get_mut(place % (last + 1))) {
+        if let Some(found) = bytes
+            .len()
+            .checked_sub(1)
+            .and_then(|last| bytes.get_mut(place % (last + 1)))
+        {
             *found = *byte;
         }
     }
@@ -44,9 +75,23 @@
     let bends = proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6);
     let length = prop_oneof![3 => Just(usize::MAX), 1 => 0..whole.len()];
     let outcome = runner().run(&(bends, length), |(bends, length)| {
-        let Some(mut ledger) = Ledger::restore(&bent(&whole, &bends, length)) else { return Ok(()) };
-        prop_assert!(ledger.history.entries.iter().all(|entry| entry.epoch <= ledger.epoch));
-        prop_assert!(ledger.history.entries.iter().all(|entry| entry.epoch > ledger.history.forgotten.epoch));
+        let Some(mut ledger) = Ledger::restore(&bent(&whole, &bends, length)) else {
+            return Ok(());
+        };
+        prop_assert!(
+            ledger
+                .history
+                .entries
+                .iter()
+                .all(|entry| entry.epoch <= ledger.epoch)
+        );
+        prop_assert!(
+            ledger
+                .history
+                .entries
+                .iter()
+                .all(|entry| entry.epoch > ledger.history.forgotten.epoch)
+        );
         for epoch in 0..14 {
             let _ = ledger.as_sent(Epoch(epoch));
         }
@@ -65,7 +110,10 @@
     let bends = proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6);
     let outcome = runner().run(&bends, |bends| {
         let body = bent(&whole, &bends, usize::MAX);
-        let (mut one, mut other) = (base.clone(), Ledger::restore(&base.snapshot()).expect("a ledger"));
+        let (mut one, mut other) = (
+            base.clone(),
+            Ledger::restore(&base.snapshot()).expect("a ledger"),
+        );
         let _ = one.preview(&body);
         prop_assert_eq!(one.apply(&body), other.apply(&body));
         prop_assert_eq!(one, other);
--- a/crates/config/tests/hundreds.rs
+++ b/crates/config/tests/hundreds.rs
@@ -56,17 +56,27 @@
 
 /// Thousands of changes are not to take minutes.
 fn unpaced() -> Timing {
-    Timing { changes_per_second: 100_000, burst: 100_000, ..Timing::default() }
+    Timing {
+        changes_per_second: 100_000,
+        burst: 100_000,
+        ..Timing::default()
+    }
 }
 
 fn voter(n: usize) -> Voter {
-    Voter { address: Address::loopback(n as u16 + 1), disk: DiskId(n as u128 + 1) }
+    Voter {
+        address: Address::loopback(n as u16 + 1),
+        disk: DiskId(n as u128 + 1),
+    }
 }
 
 fn size_of(note: &Note) -> u64 {
     match note {
         Note::SnapshotPiece { bytes, .. } => bytes.len() as u64,
-        Note::Feed { changes } => changes.iter().map(|change| change.body.len() as u64 + 40).sum(),
+        Note::Feed { changes } => changes
+            .iter()
+            .map(|change| change.body.len() as u64 + 40)
+            .sum(),
         Note::Pass { change, .. } => change.body.len() as u64,
         Note::Propose { body, .. } => body.len() as u64,
         _ => 100,
@@ -88,12 +98,20 @@
     fn with_timing(timing: Timing, bulk: u64, is_whole: bool, routes: u64) -> Core {
         let routes: Vec<String> = (0..routes)
             .map(|n| {
-                format!(r#""route-{n}":{{"slots":{},"zones":["north","south"],"first_token_ms":4000}}"#, n % 60 + 1)
+                format!(
+                    r#""route-{n}":{{"slots":{},"zones":["north","south"],"first_token_ms":4000}}"#,
+                    n % 60 + 1
+                )
             })
             .collect();
         let routes = routes.join(",");
         let plan = move |n: u64| {
-            format!(r#"{{"revision":{},"services":{{"a":{{"slots":{}}},{routes}}}}}"#, n + 1, n % 50 + 1).into_bytes()
+            format!(
+                r#"{{"revision":{},"services":{{"a":{{"slots":{}}},{routes}}}}}"#,
+                n + 1,
+                n % 50 + 1
+            )
+            .into_bytes()
         };
         let mut core = Core {
             at: 10_000,
@@ -116,9 +134,18 @@
         core
     }
     fn start(&mut self, n: usize) {
-        let kept = Kept { records: self.disks[n].records.clone() };
+        let kept = Kept {
+            records: self.disks[n].records.clone(),
+        };
         let founders = (0..3).map(|n| voter(n).address).collect();
-        let made = Replica::new(voter(n), founders, self.timing, kept, Ledger::default(), Moment(self.at));
+        let made = Replica::new(
+            voter(n),
+            founders,
+            self.timing,
+            kept,
+            Ledger::default(),
+            Moment(self.at),
+        );
         self.replicas[n] = Some(made.expect("its disk is good"));
     }
     /// Power is lost: what isn't synced is gone.
@@ -126,38 +153,78 @@
         self.replicas[n] = None;
         self.disks[n].waiting.clear();
         self.disks[n].at_work.clear();
-        self.lines.iter_mut().skip(n * 6).take(6).for_each(|line| line.notes.clear());
+        self.lines
+            .iter_mut()
+            .skip(n * 6)
+            .take(6)
+            .for_each(|line| line.notes.clear());
     }
     fn tail(&self) -> Option<&Replica<Ledger>> {
-        self.replicas.iter().flatten().find(|replica| replica.may_respond(Moment(self.at)))
+        self.replicas
+            .iter()
+            .flatten()
+            .find(|replica| replica.may_respond(Moment(self.at)))
     }
     fn epoch(&self, n: usize) -> Epoch {
-        self.replicas[n].as_ref().map_or(Epoch(0), |replica| replica.state_machine().epoch)
+        self.replicas[n]
+            .as_ref()
+            .map_or(Epoch(0), |replica| replica.state_machine().epoch)
     }
     /// Whether it has a seat, by its own word and by that of the tail, and all that was told as accepted.
     fn is_level(&self, n: usize) -> bool {
-        let seat_of = |replica: &Replica<Ledger>| replica.view().seat(&voter(n)).is_some_and(|seat| seat.is_level);
+        let seat_of = |replica: &Replica<Ledger>| {
+            replica
+                .view()
+                .seat(&voter(n))
+                .is_some_and(|seat| seat.is_level)
+        };
         let says_so = self.replicas[n].as_ref().is_some_and(seat_of);
         says_so && self.tail().is_some_and(seat_of) && self.epoch(n) >= self.told
     }
     fn proposal(&self, n: u64) -> Proposal {
         let plan = (self.plan)(n);
         let id = format!("change-{n}-0123456789abcdef0123456789abcdef");
-        let revisions = Revisions { own: n + 1, base: n };
+        let revisions = Revisions {
+            own: n + 1,
+            base: n,
+        };
         let command = if n == 0 || self.is_whole {
-            Command::Plan { bytes: plan, zones: vec![], revisions }
+            Command::Plan {
+                bytes: plan,
+                zones: vec![],
+                revisions,
+            }
         } else {
             // As the front of a controller makes it, which has the plan before.
             let splice = Splice::between(&(self.plan)(n - 1), &plan);
             let base = Epoch(n);
-            let bytes = format!(r#"{{"revision":{},"services":{{"a":{{"slots":{}}}}}}}"#, n + 1, n % 50 + 1).into();
-            Command::Change { bytes, base, splice, zones: vec![], revisions }
+            let bytes = format!(
+                r#"{{"revision":{},"services":{{"a":{{"slots":{}}}}}}}"#,
+                n + 1,
+                n % 50 + 1
+            )
+            .into();
+            Command::Change {
+                bytes,
+                base,
+                splice,
+                zones: vec![],
+                revisions,
+            }
         };
-        Proposal { id, builds_on: None, seen: Epoch(0), command }
+        Proposal {
+            id,
+            builds_on: None,
+            seen: Epoch(0),
+            command,
+        }
     }
     fn propose(&mut self) {
-        let Some(at) = (0..3).find(|n| self.replicas[*n].as_ref().is_some_and(|f| f.view().head() == Some(f.me())))
-        else {
+        let Some(at) = (0..3).find(|n| {
+            self.replicas[*n]
+                .as_ref()
+                .is_some_and(|f| f.view().head() == Some(f.me()))
+        }) else {
             return;
         };
         let body = self.proposal(self.next_change).to_bytes();
@@ -194,8 +261,14 @@
                 }
             }
             for place in 0..self.lines.len() {
-                while self.lines[place].notes.front().is_some_and(|(at, _)| *at <= self.at) {
-                    let Some((_, note)) = self.lines[place].notes.pop_front() else { break };
+                while self.lines[place]
+                    .notes
+                    .front()
+                    .is_some_and(|(at, _)| *at <= self.at)
+                {
+                    let Some((_, note)) = self.lines[place].notes.pop_front() else {
+                        break;
+                    };
                     let from = voter(place / 6).address;
                     self.step(place % 6 / 2, Input::Note { from, note });
                 }
@@ -216,7 +289,12 @@
             newest = Some(id);
         }
         disk.at_work = std::mem::take(&mut disk.waiting);
-        let size: u64 = disk.at_work.iter().flat_map(|(_, records, _)| records).map(bytes_of).sum();
+        let size: u64 = disk
+            .at_work
+            .iter()
+            .flat_map(|(_, records, _)| records)
+            .map(bytes_of)
+            .sum();
         disk.done_at = self.at + SYNC + size / DISK_BYTES;
         if let Some(id) = newest {
             self.step(n, Input::Written { id });
@@ -224,50 +302,87 @@
     }
     fn step(&mut self, n: usize, input: Input) {
         let now = Moment(self.at);
-        let Some(replica) = &mut self.replicas[n] else { return };
+        let Some(replica) = &mut self.replicas[n] else {
+            return;
+        };
         // As the controller does: changes enter while enough members are in touch.
         replica.set_has_members(true);
         let mut outputs: VecDeque<Output> = replica.step(now, input).into();
         while let Some(output) = outputs.pop_front() {
             match output {
                 Output::Send { to, note } => self.send(n, usize::from(to.0.port()) - 1, note),
-                Output::Write { id, records, is_whole } => self.write(n, id, records, is_whole),
+                Output::Write {
+                    id,
+                    records,
+                    is_whole,
+                } => self.write(n, id, records, is_whole),
                 Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
-                    let Some(replica) = &mut self.replicas[n] else { return };
+                    let Some(replica) = &mut self.replicas[n] else {
+                        return;
+                    };
                     outputs.extend(replica.respond(now, ticket, body));
                     self.assert_newest(n);
                 }
-                Output::Response { is_replied: true, body, .. } => self.on_told(&body),
+                Output::Response {
+                    is_replied: true,
+                    body,
+                    ..
+                } => self.on_told(&body),
                 Output::Response { .. } | Output::ViewChanged(_) => {}
             }
         }
     }
     fn newest_view(&self) -> Option<ViewEpoch> {
-        self.replicas.iter().flatten().map(|replica| replica.view().epoch).max()
+        self.replicas
+            .iter()
+            .flatten()
+            .map(|replica| replica.view().epoch)
+            .max()
     }
     /// Whoever answers for the core has all that was told; whoever is level in the newest view lacks no more
     /// than what may be under way.
     fn assert_newest(&self, n: usize) {
-        let may_respond = self.replicas[n].as_ref().is_some_and(|replica| replica.may_respond(Moment(self.at)));
-        assert!(!may_respond || self.epoch(n) >= self.told, "{n} responses with old state at {}", self.at);
-        let seat = self.replicas[n].as_ref().and_then(|replica| replica.view().seat(&voter(n)));
+        let may_respond = self.replicas[n]
+            .as_ref()
+            .is_some_and(|replica| replica.may_respond(Moment(self.at)));
+        assert!(
+            !may_respond || self.epoch(n) >= self.told,
+            "{n} responses with old state at {}",
+            self.at
+        );
+        let seat = self.replicas[n]
+            .as_ref()
+            .and_then(|replica| replica.view().seat(&voter(n)));
         let is_behind = self.epoch(n).0 + self.timing.ahead < self.told.0;
-        let is_newest_view = self.replicas[n].as_ref().map(|replica| replica.view().epoch) == self.newest_view();
+        let is_newest_view = self.replicas[n]
+            .as_ref()
+            .map(|replica| replica.view().epoch)
+            == self.newest_view();
         let claims = seat.is_some_and(|seat| seat.is_level) && is_newest_view;
-        assert!(!claims || !is_behind, "{n} claims to be level and lacks changes at {}", self.at);
+        assert!(
+            !claims || !is_behind,
+            "{n} claims to be level and lacks changes at {}",
+            self.at
+        );
     }
     fn on_told(&mut self, body: &[u8]) {
         let outcome: serde_json::Value = serde_json::from_slice(body).expect("an outcome");
         if outcome["code"] == 300 {
-            self.accepted = self.accepted.max(outcome["epoch"].as_u64().expect("an epoch"));
+            self.accepted = self
+                .accepted
+                .max(outcome["epoch"].as_u64().expect("an epoch"));
             self.told = Epoch(self.accepted);
         }
     }
     fn claim_all(&self, note: &mut Note) {
-        let newest = self.tail().map(|tail| (tail.state().last, tail.view().epoch));
+        let newest = self
+            .tail()
+            .map(|tail| (tail.state().last, tail.view().epoch));
         match (note, newest) {
             (Note::Follow { last, stamp, .. }, Some(newest)) => (*last, *stamp) = newest,
-            (Note::Decided { view }, _) => view.chain.iter_mut().for_each(|seat| seat.is_level = true),
+            (Note::Decided { view }, _) => {
+                view.chain.iter_mut().for_each(|seat| seat.is_level = true)
+            }
             _ => {}
         }
     }
@@ -279,7 +394,8 @@
             self.offers.push(*last);
         }
         let size = size_of(&note);
-        let is_bulk = matches!(note, Note::SnapshotPiece { .. } | Note::Feed { .. }) || size > 64 << 10;
+        let is_bulk =
+            matches!(note, Note::SnapshotPiece { .. } | Note::Feed { .. }) || size > 64 << 10;
         if self.replicas[to].is_none() {
             return;
         }
@@ -306,13 +422,25 @@
         self.time_to_level(n, 60_000, change).0
     }
     /// Runs until this one is level again; gives how long it took, and what came to it on the way.
-    fn time_to_level(&mut self, n: usize, limit: u64, mut meanwhile: impl FnMut(&mut Core)) -> (u64, u64) {
+    fn time_to_level(
+        &mut self,
+        n: usize,
+        limit: u64,
+        mut meanwhile: impl FnMut(&mut Core),
+    ) -> (u64, u64) {
         let came = |core: &Core| -> u64 {
-            (0..3).flat_map(|from| [from * 6 + n * 2, from * 6 + n * 2 + 1]).map(|place| core.lines[place].bytes).sum()
+            (0..3)
+                .flat_map(|from| [from * 6 + n * 2, from * 6 + n * 2 + 1])
+                .map(|place| core.lines[place].bytes)
+                .sum()
         };
         let (start, before) = (self.at, came(self));
         while !self.is_level(n) {
-            assert!(self.at - start < limit, "{n} isn't level after {limit} ms; offers {:?}", self.offers);
+            assert!(
+                self.at - start < limit,
+                "{n} isn't level after {limit} ms; offers {:?}",
+                self.offers
+            );
             meanwhile(self);
             self.run(STEP);
             self.assert_newest(n);
@@ -326,7 +454,10 @@
     ten = { 10, 0 }, hundred = { 100, 0 }, thousand = { 1000, 0 }, ten_thousand = { 10_000, 0 },
     thousand_as_the_head = { 1000, 1 }, thousand_as_the_last = { 1000, 2 },
 )]
-fn a_member_back_after_many_changes_of_a_thousand_routes_is_level_within_3_s(count: u64, place: usize) {
+fn a_member_back_after_many_changes_of_a_thousand_routes_is_level_within_3_s(
+    count: u64,
+    place: usize,
+) {
     let mut core = Core::new(4000, false, 1000);
     core.change(1);
     let seats = core.tail().expect("a tail").view().chain.clone();
@@ -339,9 +470,16 @@
     let (ms, bytes) = core.time_to_level(away, 30_000, |_| {});
     let tail = core.tail().expect("a tail").state_machine();
     let (snapshot, kept) = (tail.snapshot().len(), core.disks[away].records.len());
-    println!("{count} changes, machine {away} away: level in {ms} ms, {bytes} bytes, state {snapshot}, {kept} records");
+    println!(
+        "{count} changes, machine {away} away: level in {ms} ms, {bytes} bytes, state {snapshot}, {kept} records"
+    );
     assert!(ms <= 3000, "{ms} ms");
-    assert_eq!(core.replicas[away].as_ref().map(|replica| replica.state_machine()), Some(tail));
+    assert_eq!(
+        core.replicas[away]
+            .as_ref()
+            .map(|replica| replica.state_machine()),
+        Some(tail)
+    );
 }
 
 #[test]
@@ -371,14 +509,20 @@
     core.start(away);
     let ms = core.level_under_changes(away);
     core.offers.dedup();
-    println!("after {missed} whole configurations: level in {ms} ms, offers {:?}", core.offers);
+    println!(
+        "after {missed} whole configurations: level in {ms} ms, offers {:?}",
+        core.offers
+    );
     assert_eq!(core.offers.len(), 1, "it began anew: {:?}", core.offers);
 }
 
 /// A piece takes 2.6 s on this line, longer than silence is borne elsewhere.
 #[test]
 fn a_snapshot_comes_over_a_line_of_100_kb_a_second_while_changes_go_on() {
-    let timing = Timing { fold_bytes: 100_000, ..unpaced() };
+    let timing = Timing {
+        fold_bytes: 100_000,
+        ..unpaced()
+    };
     let mut core = Core::with_timing(timing, 100, false, 1000);
     core.change(1);
     let away = 2;
@@ -390,7 +534,10 @@
     core.start(away);
     let ms = core.level_under_changes(away);
     let bytes = core.lines.iter().map(|line| line.bytes).sum::<u64>() - before;
-    println!("level in {ms} ms, {bytes} bytes on all lines, {} offers", core.offers.len());
+    println!(
+        "level in {ms} ms, {bytes} bytes on all lines, {} offers",
+        core.offers.len()
+    );
     assert!(!core.offers.is_empty(), "the log reached back all the way");
 }
 
--- a/crates/config/tests/revisions.rs
+++ b/crates/config/tests/revisions.rs
@@ -5,17 +5,35 @@
     format!(r#"{{ "revision":{revision}, "services":{{"a":{{"slots":{slots}}}}} }}"#).into_bytes()
 }
 fn plan(id: &str, base: u64, revision: u64, slots: u64) -> Proposal {
-    let command = Command::plan_in(&OwnPlans, plan_bytes(revision, slots), Some(base)).expect("a good plan");
-    Proposal { id: id.into(), builds_on: None, seen: Epoch(0), command }
+    let command =
+        Command::plan_in(&OwnPlans, plan_bytes(revision, slots), Some(base)).expect("a good plan");
+    Proposal {
+        id: id.into(),
+        builds_on: None,
+        seen: Epoch(0),
+        command,
+    }
 }
 fn change(ledger: &Ledger, id: &str, base: u64, revision: u64, slots: u64) -> Proposal {
-    let command =
-        Command::change_in(&OwnPlans, plan_bytes(revision, slots), ledger.plan_epoch, &ledger.plan, Some(base));
-    Proposal { id: id.into(), builds_on: None, seen: Epoch(0), command: command.expect("a good change") }
+    let command = Command::change_in(
+        &OwnPlans,
+        plan_bytes(revision, slots),
+        ledger.plan_epoch,
+        &ledger.plan,
+        Some(base),
+    );
+    Proposal {
+        id: id.into(),
+        builds_on: None,
+        seen: Epoch(0),
+        command: command.expect("a good change"),
+    }
 }
 fn take(ledger: &mut Ledger, proposal: &Proposal) -> u64 {
     let outcome = ledger.apply(&proposal.to_bytes());
-    serde_json::from_slice::<serde_json::Value>(&outcome).expect("an outcome")["code"].as_u64().expect("a code")
+    serde_json::from_slice::<serde_json::Value>(&outcome).expect("an outcome")["code"]
+        .as_u64()
+        .expect("a code")
 }
 
 const ACCEPTED: u64 = 300;
@@ -34,12 +52,21 @@
     let fourth = change(&ledger, "d", 5, 11, 9);
     assert_eq!(take(&mut ledger, &third), ACCEPTED);
     assert_eq!(take(&mut ledger, &fourth), CONFLICT);
-    assert_eq!((take(&mut ledger, &third), take(&mut ledger, &first)), (ACCEPTED, ACCEPTED));
+    assert_eq!(
+        (take(&mut ledger, &third), take(&mut ledger, &first)),
+        (ACCEPTED, ACCEPTED)
+    );
     assert_eq!((ledger.revision, ledger.history.entries.len()), (9, 2));
     let restored = Ledger::restore(&ledger.snapshot()).expect("a ledger");
     assert_eq!(restored, ledger);
-    assert_eq!(restored.as_sent(Epoch(1)), Ok(AsSent::Body(plan_bytes(5, 4))));
-    assert_eq!(restored.as_sent(Epoch(2)), Ok(AsSent::Body(plan_bytes(9, 8))));
+    assert_eq!(
+        restored.as_sent(Epoch(1)),
+        Ok(AsSent::Body(plan_bytes(5, 4)))
+    );
+    assert_eq!(
+        restored.as_sent(Epoch(2)),
+        Ok(AsSent::Body(plan_bytes(9, 8)))
+    );
 }
 
 #[test]
@@ -51,13 +78,20 @@
         let change = change(&ledger, id, 5, revision, 6);
         assert_eq!(take(&mut ledger, &change), BAD_PLAN);
     }
-    assert!(matches!(ledger.preview(&plan("d", 5, 5, 6).to_bytes()), Preview::TurnAway(_)));
-    assert_eq!((ledger.revision, ledger.plan.clone()), (5, plan_bytes(5, 4)));
+    assert!(matches!(
+        ledger.preview(&plan("d", 5, 5, 6).to_bytes()),
+        Preview::TurnAway(_)
+    ));
+    assert_eq!(
+        (ledger.revision, ledger.plan.clone()),
+        (5, plan_bytes(5, 4))
+    );
 }
 
 #[test]
 fn a_plan_without_a_revision_is_a_fault_where_operators_count_by_them() {
-    let faults = Command::plan_in(&OwnPlans, br#"{"services":{"a":{}}}"#.to_vec(), Some(3)).expect_err("no revision");
+    let faults = Command::plan_in(&OwnPlans, br#"{"services":{"a":{}}}"#.to_vec(), Some(3))
+        .expect_err("no revision");
     assert_eq!(faults[0].path, "revision");
 }
 
@@ -73,5 +107,11 @@
         seen: Epoch(0),
         command: Command::Withdraw { zone: zone.into() },
     };
-    assert_eq!((take(&mut ledger, &withdraw("north")), take(&mut ledger, &withdraw("south"))), (ACCEPTED, 306));
+    assert_eq!(
+        (
+            take(&mut ledger, &withdraw("north")),
+            take(&mut ledger, &withdraw("south"))
+        ),
+        (ACCEPTED, 306)
+    );
 }
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -12,16 +12,26 @@
 
 #[test]
 fn a_plan_without_tenants_means_what_it_did() {
-    let plan = OwnPlans.parse(br#"{"services":{"a":{}}}"#).expect("a good plan");
+    let plan = OwnPlans
+        .parse(br#"{"services":{"a":{}}}"#)
+        .expect("a good plan");
     assert!(plan.tenants.is_empty());
     assert!(TenantTable::new(&plan.tenants, KeyHasher::draw()).is_empty());
 }
 
 #[test]
 fn a_table_finds_the_tenant_of_each_key() {
-    let plan = parse(serde_json::json!([tenant("one", &["k1", "k2"]), tenant("two", &["k3"]), tenant("none", &[])]));
+    let plan = parse(serde_json::json!([
+        tenant("one", &["k1", "k2"]),
+        tenant("two", &["k3"]),
+        tenant("none", &[])
+    ]));
     let table = TenantTable::new(&plan.expect("a good plan").tenants, KeyHasher::draw());
-    let name = |key: &str| table.tenant(&table.digest(&key.into())).map(|tenant| tenant.name.clone());
+    let name = |key: &str| {
+        table
+            .tenant(&table.digest(&key.into()))
+            .map(|tenant| tenant.name.clone())
+    };
     assert_eq!(name("k1").as_deref(), Some("one"));
     assert_eq!(name("k2").as_deref(), Some("one"));
     assert_eq!(name("k3").as_deref(), Some("two"));
@@ -47,7 +57,14 @@
 )]
 fn faults_are_listed_by_path_and_show_no_key(tenants: serde_json::Value, paths: &[&str]) {
     let faults = parse(tenants).expect_err("a bad plan");
-    assert_eq!(faults.iter().map(|fault| fault.path.as_str()).collect::<Vec<_>>(), paths, "{faults:?}");
+    assert_eq!(
+        faults
+            .iter()
+            .map(|fault| fault.path.as_str())
+            .collect::<Vec<_>>(),
+        paths,
+        "{faults:?}"
+    );
     assert!(!format!("{faults:?}").contains("s3cret"), "{faults:?}");
 }
 
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -65,7 +65,11 @@
 }
 
 fn refused(code: ResultCode, why: impl Into<String>, faults: Vec<Fault>) -> AdminAnswer {
-    AdminAnswer::Refused { code, why: why.into(), faults }
+    AdminAnswer::Refused {
+        code,
+        why: why.into(),
+        faults,
+    }
 }
 
 /// The core's words as an answer.
@@ -75,14 +79,21 @@
     }
     let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
     let is_code = |code: &&ResultCode| value["code"].as_u64() == Some(u64::from(code.number()));
-    let code = ResultCode::ALL.iter().find(is_code).copied().unwrap_or(ResultCode::FateUnknown);
+    let code = ResultCode::ALL
+        .iter()
+        .find(is_code)
+        .copied()
+        .unwrap_or(ResultCode::FateUnknown);
     refused(code, value["why"].as_str().unwrap_or_default(), vec![])
 }
 
 /// The same call at any time and any controller has the same id.
 fn id_of(kind: &str, bytes: &[u8], base: u64) -> String {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(kind.as_bytes()).update(&base.to_be_bytes()).update(bytes);
+    hasher
+        .update(kind.as_bytes())
+        .update(&base.to_be_bytes())
+        .update(bytes);
     format!("{kind}-{base}-{}", &hasher.finalize().to_hex()[..32])
 }
 
@@ -99,7 +110,11 @@
 #[derive(Debug, Clone)]
 enum Stage {
     /// The plan that a change is to be merged into.
-    Merging { id: String, bytes: Vec<u8>, base: u64 },
+    Merging {
+        id: String,
+        bytes: Vec<u8>,
+        base: u64,
+    },
     /// Whether a document that has faults now was taken before.
     Fate { faults: Vec<Fault> },
     /// What became of a proposal.
@@ -128,7 +143,11 @@
         zones: &'a [ZoneName],
         is_ready: bool,
     ) -> (AdminTask<'a>, SchedulerStep) {
-        let mut task = AdminTask { plans, zones, stage: Stage::Over };
+        let mut task = AdminTask {
+            plans,
+            zones,
+            stage: Stage::Over,
+        };
         let step = match call {
             AdminCall::Plan { bytes, base } => {
                 let id = id_of("plan", &bytes, base);
@@ -136,9 +155,15 @@
                 task.propose_document(id, command)
             }
             AdminCall::Change { bytes, base } => {
-                task.stage = Stage::Merging { id: id_of("change", &bytes, base), bytes, base };
+                task.stage = Stage::Merging {
+                    id: id_of("change", &bytes, base),
+                    bytes,
+                    base,
+                };
                 // Merged into the tail's plan: an older one would be a conflict that isn't one.
-                SchedulerStep::Ask(OperatorAsk::Read(Reading::Base { at_least: Epoch(u64::MAX) }))
+                SchedulerStep::Ask(OperatorAsk::Read(Reading::Base {
+                    at_least: Epoch(u64::MAX),
+                }))
             }
             AdminCall::ReadPlan => {
                 task.stage = Stage::Reading;
@@ -147,9 +172,11 @@
             AdminCall::Withdraw { zone } => task.propose(chance_id(), Command::Withdraw { zone }),
             AdminCall::Restore { zone } => task.propose(chance_id(), Command::Restore { zone }),
             AdminCall::Readiness if is_ready => SchedulerStep::Answer(AdminAnswer::Done),
-            AdminCall::Readiness => {
-                SchedulerStep::Answer(refused(ResultCode::CoreNotReady, "not in the chain", vec![]))
-            }
+            AdminCall::Readiness => SchedulerStep::Answer(refused(
+                ResultCode::CoreNotReady,
+                "not in the chain",
+                vec![],
+            )),
         };
         (task, step)
     }
@@ -158,28 +185,45 @@
     pub fn on_told(&mut self, told: Option<Told>) -> SchedulerStep {
         let stage = std::mem::replace(&mut self.stage, Stage::Over);
         let Some((status, body)) = told else {
-            let code =
-                if matches!(stage, Stage::Proposed) { ResultCode::FateUnknown } else { ResultCode::CoreNotReady };
+            let code = if matches!(stage, Stage::Proposed) {
+                ResultCode::FateUnknown
+            } else {
+                ResultCode::CoreNotReady
+            };
             return SchedulerStep::Answer(refused(code, "no answer in time", vec![]));
         };
         match stage {
-            Stage::Merging { id, bytes, base } if status == 200 => self.merge(id, bytes, base, &body),
+            Stage::Merging { id, bytes, base } if status == 200 => {
+                self.merge(id, bytes, base, &body)
+            }
             Stage::Fate { faults } if status == ResultCode::UnknownChange.http_status() => {
                 SchedulerStep::Answer(refused(ResultCode::BadPlan, "nothing changed", faults))
             }
             Stage::Reading if status == 200 => SchedulerStep::Answer(AdminAnswer::Plan(body)),
-            Stage::Merging { .. } | Stage::Fate { .. } | Stage::Proposed | Stage::Reading | Stage::Over => {
-                SchedulerStep::Answer(answer_of(status, &body))
-            }
+            Stage::Merging { .. }
+            | Stage::Fate { .. }
+            | Stage::Proposed
+            | Stage::Reading
+            | Stage::Over => SchedulerStep::Answer(answer_of(status, &body)),
         }
     }
 
     /// Merges a change into the tail's plan, which comes behind its epoch.
     fn merge(&mut self, id: String, bytes: Vec<u8>, base: u64, told: &[u8]) -> SchedulerStep {
         let Some((epoch, plan)) = told.split_first_chunk::<8>() else {
-            return SchedulerStep::Answer(refused(ResultCode::CoreNotReady, "no plan to merge into", vec![]));
+            return SchedulerStep::Answer(refused(
+                ResultCode::CoreNotReady,
+                "no plan to merge into",
+                vec![],
+            ));
         };
-        let command = Command::change_in(self.plans, bytes, Epoch(u64::from_be_bytes(*epoch)), plan, Some(base));
+        let command = Command::change_in(
+            self.plans,
+            bytes,
+            Epoch(u64::from_be_bytes(*epoch)),
+            plan,
+            Some(base),
+        );
         let newest = self.plans.parse(plan).map_or(0, |plan| plan.revision);
         if command.is_err() && base > newest {
             // It may have none with the plan that it was made for.
@@ -191,11 +235,20 @@
 
     fn propose(&mut self, id: String, command: Command) -> SchedulerStep {
         self.stage = Stage::Proposed;
-        SchedulerStep::Ask(OperatorAsk::Propose(Proposal { id, builds_on: None, seen: Epoch(0), command }))
+        SchedulerStep::Ask(OperatorAsk::Propose(Proposal {
+            id,
+            builds_on: None,
+            seen: Epoch(0),
+            command,
+        }))
     }
 
     /// Proposes what a document came to. One with faults now may have been taken when it was first sent.
-    fn propose_document(&mut self, id: String, command: Result<Command, Vec<Fault>>) -> SchedulerStep {
+    fn propose_document(
+        &mut self,
+        id: String,
+        command: Result<Command, Vec<Fault>>,
+    ) -> SchedulerStep {
         match command {
             Ok(command) => self.propose(id, command.with_zones(self.zones)),
             Err(faults) => {
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -4,10 +4,14 @@
 /// A core that answers each question from the words given, in turn.
 fn core(words: Vec<(u16, Vec<u8>)>) -> CoreLine {
     let responses = crate::core_line::Responses::default();
-    let words = Arc::new(std::sync::Mutex::new(std::collections::VecDeque::from(words)));
+    let words = Arc::new(std::sync::Mutex::new(std::collections::VecDeque::from(
+        words,
+    )));
     let giver = responses.clone();
     CoreLine::new(responses, move |input| {
-        let ControllerInput::Operator { number, .. } = input else { return };
+        let ControllerInput::Operator { number, .. } = input else {
+            return;
+        };
         if let Some((status, body)) = words.lock().unwrap().pop_front() {
             giver.give(number, status, body);
         }
@@ -15,7 +19,8 @@
 }
 
 fn said(code: ResultCode) -> (u16, Vec<u8>) {
-    let body = serde_json::json!({"code": code.number(), "result": code.word(), "why": code.meaning()});
+    let body =
+        serde_json::json!({"code": code.number(), "result": code.word(), "why": code.meaning()});
     (code.http_status(), body.to_string().into_bytes())
 }
 
@@ -27,11 +32,20 @@
 
 /// It takes all services away, which is a fault.
 fn change() -> AdminCall {
-    AdminCall::Change { bytes: br#"{"revision":7,"services":null}"#.to_vec(), base: 5 }
+    AdminCall::Change {
+        bytes: br#"{"revision":7,"services":null}"#.to_vec(),
+        base: 5,
+    }
 }
 
 fn code_of(core: &CoreLine, call: AdminCall) -> ResultCode {
-    match core.carry(call, &OwnPlans, &[], true, &Attempt::new(OPERATOR_PATIENCE, None)) {
+    match core.carry(
+        call,
+        &OwnPlans,
+        &[],
+        true,
+        &Attempt::new(OPERATOR_PATIENCE, None),
+    ) {
         AdminAnswer::Refused { code, .. } => code,
         AdminAnswer::Done | AdminAnswer::Plan(_) => ResultCode::Accepted,
     }
@@ -41,19 +55,33 @@
 fn a_change_with_faults_is_refused_only_once_it_can_never_have_been_taken() {
     let told = |fate: ResultCode| code_of(&core(vec![base(7), said(fate)]), change());
     assert_eq!(told(ResultCode::Accepted), ResultCode::Accepted);
-    assert_eq!(told(ResultCode::CoreNotReady), ResultCode::CoreNotReady, "it may be in the chain");
+    assert_eq!(
+        told(ResultCode::CoreNotReady),
+        ResultCode::CoreNotReady,
+        "it may be in the chain"
+    );
     assert_eq!(told(ResultCode::FateUnknown), ResultCode::FateUnknown);
-    assert_eq!(told(ResultCode::UnknownChange), ResultCode::BadPlan, "it builds on what is past");
+    assert_eq!(
+        told(ResultCode::UnknownChange),
+        ResultCode::BadPlan,
+        "it builds on what is past"
+    );
 }
 
 #[test]
 fn a_change_that_builds_on_what_is_not_accepted_so_far_is_not_refused_for_its_faults() {
-    assert_eq!(code_of(&core(vec![base(3)]), change()), ResultCode::CoreNotReady);
+    assert_eq!(
+        code_of(&core(vec![base(3)]), change()),
+        ResultCode::CoreNotReady
+    );
 }
 
 #[test]
 fn a_whole_plan_with_faults_is_refused_only_once_it_is_known_not_to_have_been_taken() {
-    let plan = || AdminCall::Plan { bytes: br#"{"revision":7,"services":3}"#.to_vec(), base: 5 };
+    let plan = || AdminCall::Plan {
+        bytes: br#"{"revision":7,"services":3}"#.to_vec(),
+        base: 5,
+    };
     let told = |fate: ResultCode| code_of(&core(vec![said(fate)]), plan());
     assert_eq!(told(ResultCode::Accepted), ResultCode::Accepted);
     assert_eq!(told(ResultCode::CoreNotReady), ResultCode::CoreNotReady);
@@ -64,14 +92,39 @@
 fn what_an_attempt_leaves_unfinished_is_given_up() {
     let heard = Arc::new(std::sync::Mutex::new(vec![]));
     let hears = heard.clone();
-    let silent = CoreLine::new(crate::core_line::Responses::default(), move |input| hears.lock().unwrap().push(input));
-    let call = AdminCall::Withdraw { zone: "east".into() };
-    let answer = silent.carry(call.clone(), &OwnPlans, &[], true, &Attempt::new(Span(0), None));
-    assert!(matches!(answer, AdminAnswer::Refused { code: ResultCode::FateUnknown, .. }), "{answer:?}");
-    assert!(heard.lock().unwrap().is_empty(), "nobody waits for it, so nothing was begun");
+    let silent = CoreLine::new(crate::core_line::Responses::default(), move |input| {
+        hears.lock().unwrap().push(input)
+    });
+    let call = AdminCall::Withdraw {
+        zone: "east".into(),
+    };
+    let answer = silent.carry(
+        call.clone(),
+        &OwnPlans,
+        &[],
+        true,
+        &Attempt::new(Span(0), None),
+    );
+    assert!(
+        matches!(
+            answer,
+            AdminAnswer::Refused {
+                code: ResultCode::FateUnknown,
+                ..
+            }
+        ),
+        "{answer:?}"
+    );
+    assert!(
+        heard.lock().unwrap().is_empty(),
+        "nobody waits for it, so nothing was begun"
+    );
     silent.carry(call, &OwnPlans, &[], true, &Attempt::new(Span(20), None));
     let heard = heard.lock().unwrap();
-    let [ControllerInput::Operator { number, .. }, ControllerInput::Abandoned { number: given_up }] = heard.as_slice()
+    let [
+        ControllerInput::Operator { number, .. },
+        ControllerInput::Abandoned { number: given_up },
+    ] = heard.as_slice()
     else {
         panic!("{heard:?}")
     };
--- a/crates/controller/src/admin_command.rs
+++ b/crates/controller/src/admin_command.rs
@@ -91,26 +91,52 @@
     /// Does it; gives the exit code: 0 done, 1 refused or not known, 3 no answer.
     pub fn run(&self) -> u8 {
         let base = format!("http://{}", self.at);
-        let body_of = |file: &PathBuf| std::fs::read(file).map_err(|fault| format!("{}: {fault}", file.display()));
+        let body_of = |file: &PathBuf| {
+            std::fs::read(file).map_err(|fault| format!("{}: {fault}", file.display()))
+        };
         let (method, path, body) = match &self.task {
-            AdminTask::Put { file, id, builds_on } => {
-                ("PUT", format!("/v1/plan?id={id}&builds_on={builds_on}"), Some(body_of(file)))
-            }
-            AdminTask::Change { file, id, builds_on } => {
-                ("PATCH", format!("/v1/plan?id={id}&builds_on={builds_on}"), Some(body_of(file)))
-            }
+            AdminTask::Put {
+                file,
+                id,
+                builds_on,
+            } => (
+                "PUT",
+                format!("/v1/plan?id={id}&builds_on={builds_on}"),
+                Some(body_of(file)),
+            ),
+            AdminTask::Change {
+                file,
+                id,
+                builds_on,
+            } => (
+                "PATCH",
+                format!("/v1/plan?id={id}&builds_on={builds_on}"),
+                Some(body_of(file)),
+            ),
             AdminTask::Show { epoch: None } => ("GET", "/v1/plan".into(), None),
             AdminTask::Show { epoch: Some(epoch) } => ("GET", format!("/v1/plans/{epoch}"), None),
             AdminTask::Tenants => ("GET", "/v1/tenants".into(), None),
             AdminTask::Latest => ("GET", "/v1/latest".into(), None),
             AdminTask::Fate { id } => ("GET", format!("/v1/fates/{id}"), None),
-            AdminTask::Withdraw { zone, id } => {
-                ("POST", format!("/v1/zones/{zone}/withdraw?id={id}"), Some(Ok(vec![])))
-            }
-            AdminTask::Restore { zone, id } => ("POST", format!("/v1/zones/{zone}/restore?id={id}"), Some(Ok(vec![]))),
+            AdminTask::Withdraw { zone, id } => (
+                "POST",
+                format!("/v1/zones/{zone}/withdraw?id={id}"),
+                Some(Ok(vec![])),
+            ),
+            AdminTask::Restore { zone, id } => (
+                "POST",
+                format!("/v1/zones/{zone}/restore?id={id}"),
+                Some(Ok(vec![])),
+            ),
             AdminTask::Forget { members, id } => {
-                let body = serde_json::json!({"members": members}).to_string().into_bytes();
-                ("POST", format!("/v1/members/forget?id={id}"), Some(Ok(body)))
+                let body = serde_json::json!({"members": members})
+                    .to_string()
+                    .into_bytes();
+                (
+                    "POST",
+                    format!("/v1/members/forget?id={id}"),
+                    Some(Ok(body)),
+                )
             }
             AdminTask::Believes => ("GET", "/v1/believes".into(), None),
         };
@@ -121,11 +147,21 @@
                 return 2;
             }
         };
-        let outcome = ask_with(method, &format!("{base}{path}"), body, Span(1000), Span(15_000));
-        let (status, body) = match outcome.map_err(|fault| fault.to_string()).and_then(|response| {
-            let status = response.status();
-            read_all(response, 128 << 20).map(|body| (status, body)).map_err(|fault| fault.to_string())
-        }) {
+        let outcome = ask_with(
+            method,
+            &format!("{base}{path}"),
+            body,
+            Span(1000),
+            Span(15_000),
+        );
+        let (status, body) = match outcome
+            .map_err(|fault| fault.to_string())
+            .and_then(|response| {
+                let status = response.status();
+                read_all(response, 128 << 20)
+                    .map(|body| (status, body))
+                    .map_err(|fault| fault.to_string())
+            }) {
             Ok(answer) => answer,
             Err(why) => {
                 eprintln!("controller: {} gave no answer: {why}", self.at);
--- a/crates/controller/src/contacts.rs
+++ b/crates/controller/src/contacts.rs
@@ -111,9 +111,13 @@
         };
         self.next_exchange = now + pause;
         let life = self.timing.life;
-        self.controllers.retain(|_, contact| now.since(contact.heard) < life);
+        self.controllers
+            .retain(|_, contact| now.since(contact.heard) < life);
         let others = self.seeds.iter().filter(|seed| **seed != self.own);
-        let letter = Letter::CoreLocation { location: Box::new(self.question(now)), is_answer: false };
+        let letter = Letter::CoreLocation {
+            location: Box::new(self.question(now)),
+            is_answer: false,
+        };
         others.map(|seed| (*seed, letter.clone())).collect()
     }
 
@@ -133,60 +137,108 @@
         self.has_answer |= is_answer;
         self.learn(location.view, location.voters.iter().copied());
         let own = self.own;
-        let others = location.controllers.iter().filter(|contact| contact.inner != own);
+        let others = location
+            .controllers
+            .iter()
+            .filter(|contact| contact.inner != own);
         others.for_each(|contact| self.take_contact(now, contact));
-        let answer = || Letter::CoreLocation { location: Box::new(self.answer(now, from, location)), is_answer: true };
+        let answer = || Letter::CoreLocation {
+            location: Box::new(self.answer(now, from, location)),
+            is_answer: true,
+        };
         (!is_answer).then(answer)
     }
 
     fn take_contact(&mut self, now: Moment, contact: &ControllerContact) {
         let heard = now - contact.age;
-        let known = self.controllers.entry(contact.inner).or_insert(Contact { admin: contact.admin, heard });
+        let known = self.controllers.entry(contact.inner).or_insert(Contact {
+            admin: contact.admin,
+            heard,
+        });
         if heard >= known.heard {
-            *known = Contact { admin: contact.admin, heard };
+            *known = Contact {
+                admin: contact.admin,
+                heard,
+            };
         }
     }
 
     /// The answer to a node that polls here, if the core is known.
     pub fn elsewhere(&self) -> Option<PollResponse> {
         let (view, voters) = (self.view, self.voters.clone());
-        (view > ViewEpoch(0)).then_some(PollResponse::Elsewhere { view, tail: None, voters })
+        (view > ViewEpoch(0)).then_some(PollResponse::Elsewhere {
+            view,
+            tail: None,
+            voters,
+        })
     }
 
     /// Where operators reach controllers with a disk: those that were heard lately, or, if none was, all that are known.
     pub fn admin_addresses(&self, now: Moment) -> Vec<Address> {
         let known = self.latest(now);
-        let recent = known.iter().take_while(|contact| contact.age < self.timing.recent).count();
+        let recent = known
+            .iter()
+            .take_while(|contact| contact.age < self.timing.recent)
+            .count();
         let count = if recent > 0 { recent } else { known.len() };
         known[..count].iter().map(|contact| contact.admin).collect()
     }
 
     /// What it tells its seeds. One with a disk tells of itself alone, as each other such one does.
     fn question(&self, now: Moment) -> CoreLocation {
-        let controllers = self.own_contact().map_or_else(|| self.told(now), |own| vec![own]);
-        CoreLocation { view: self.view, voters: self.voters.clone(), controllers }
+        let controllers = self
+            .own_contact()
+            .map_or_else(|| self.told(now), |own| vec![own]);
+        CoreLocation {
+            view: self.view,
+            voters: self.voters.clone(),
+            controllers,
+        }
     }
 
     /// What the asker lacks: the voters if its view is older, and whom operators may be sent to if it has no disk.
     fn answer(&self, now: Moment, asker: Address, asked: &CoreLocation) -> CoreLocation {
-        let has_disk = asked.controllers.iter().any(|contact| contact.inner == asker);
-        let voters = if asked.view < self.view { self.voters.clone() } else { vec![] };
+        let has_disk = asked
+            .controllers
+            .iter()
+            .any(|contact| contact.inner == asker);
+        let voters = if asked.view < self.view {
+            self.voters.clone()
+        } else {
+            vec![]
+        };
         let controllers = if has_disk { vec![] } else { self.told(now) };
-        CoreLocation { view: self.view, voters, controllers }
+        CoreLocation {
+            view: self.view,
+            voters,
+            controllers,
+        }
     }
 
     fn own_contact(&self) -> Option<ControllerContact> {
-        self.own_admin.map(|admin| ControllerContact { inner: self.own, admin, age: Span(0) })
+        self.own_admin.map(|admin| ControllerContact {
+            inner: self.own,
+            admin,
+            age: Span(0),
+        })
     }
 
     fn told(&self, now: Moment) -> Vec<ControllerContact> {
-        self.own_contact().into_iter().chain(self.latest(now)).take(MOST_TOLD).collect()
+        self.own_contact()
+            .into_iter()
+            .chain(self.latest(now))
+            .take(MOST_TOLD)
+            .collect()
     }
 
     fn latest(&self, now: Moment) -> Vec<ControllerContact> {
         let contact = |(inner, contact): (&Address, &Contact)| {
             let (admin, age) = (contact.admin, now.since(contact.heard));
-            ControllerContact { inner: *inner, admin, age }
+            ControllerContact {
+                inner: *inner,
+                admin,
+                age,
+            }
         };
         let mut found: Vec<ControllerContact> = self.controllers.iter().map(contact).collect();
         found.retain(|contact| contact.age < self.timing.life);
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -49,7 +49,16 @@
 
 /// Who must know a change before it is told as accepted (docs/isolation.md).
 #[derive(
-    Debug, Clone, Copy, Default, PartialEq, Eq, ConfigEnum, clap::ValueEnum, serde::Serialize, serde::Deserialize,
+    Debug,
+    Clone,
+    Copy,
+    Default,
+    PartialEq,
+    Eq,
+    ConfigEnum,
+    clap::ValueEnum,
+    serde::Serialize,
+    serde::Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Quorum {
@@ -272,8 +281,13 @@
     }
     /// When the next clock event is due at the latest.
     pub fn next_timer(&self) -> Moment {
-        let is_pending = !self.waiting.is_empty() || !self.settled.is_empty() || !self.joining.is_empty();
-        if is_pending || self.replica.is_busy() { self.now + Span(25) } else { self.replica.next_beat() }
+        let is_pending =
+            !self.waiting.is_empty() || !self.settled.is_empty() || !self.joining.is_empty();
+        if is_pending || self.replica.is_busy() {
+            self.now + Span(25)
+        } else {
+            self.replica.next_beat()
+        }
     }
     /// How many polls were taken.
     pub fn poll_count(&self) -> u64 {
@@ -312,17 +326,36 @@
         for output in self.replica.step(self.now, input) {
             match output {
                 Output::Send { to, note } => self.send_note(to, note),
-                Output::Write { id, records, is_whole } => {
-                    self.outputs.push(ControllerOutput::Write { id, records, is_whole });
+                Output::Write {
+                    id,
+                    records,
+                    is_whole,
+                } => {
+                    self.outputs.push(ControllerOutput::Write {
+                        id,
+                        records,
+                        is_whole,
+                    });
                 }
-                Output::Response { number, is_replied, body } => self.on_response(number, is_replied, body),
-                Output::Judged { ticket, body } if self.is_firm(self.replica.state_machine().epoch) => {
+                Output::Response {
+                    number,
+                    is_replied,
+                    body,
+                } => self.on_response(number, is_replied, body),
+                Output::Judged { ticket, body }
+                    if self.is_firm(self.replica.state_machine().epoch) =>
+                {
                     self.answer(ticket, body);
                 }
                 Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
                     let epoch = self.replica.state_machine().epoch;
                     let deadline = self.now + self.timing.fate_deadline;
-                    self.settled.push_back(Settled { epoch, ticket, body, deadline });
+                    self.settled.push_back(Settled {
+                        epoch,
+                        ticket,
+                        body,
+                        deadline,
+                    });
                 }
                 Output::ViewChanged(view) => {
                     self.keep_quotas(&view);
@@ -342,27 +375,55 @@
             Note::Propose { body, .. } | Note::Judge { body, .. } => body.len() > 64 << 10,
             _ => false,
         };
-        self.outputs.push(ControllerOutput::Send { to, is_bulk, letter: Letter::Note { note: Box::new(note) } });
+        self.outputs.push(ControllerOutput::Send {
+            to,
+            is_bulk,
+            letter: Letter::Note {
+                note: Box::new(note),
+            },
+        });
     }
 
     fn send(&mut self, to: Address, letter: Letter) {
         let is_bulk = matches!(letter, Letter::PlanPiece { .. } | Letter::Told { .. });
-        self.outputs.push(ControllerOutput::Send { to, is_bulk, letter });
+        self.outputs.push(ControllerOutput::Send {
+            to,
+            is_bulk,
+            letter,
+        });
     }
 
     fn on_letter(&mut self, from: Address, letter: Letter) {
         match letter {
             Letter::Note { note } => self.drive(Input::Note { from, note: *note }),
             Letter::Poll { poll } => self.on_poll(from, *poll),
-            Letter::PlanAsk { epoch, offset, have } => self.on_plan_ask(from, epoch, offset, have),
+            Letter::PlanAsk {
+                epoch,
+                offset,
+                have,
+            } => self.on_plan_ask(from, epoch, offset, have),
             Letter::Ask { number, reading } => {
                 if self.may_respond() {
                     let (status, body) = self.read(&reading);
-                    self.send(from, Letter::Told { number, status, body });
+                    self.send(
+                        from,
+                        Letter::Told {
+                            number,
+                            status,
+                            body,
+                        },
+                    );
                 }
             }
-            Letter::Told { number, status, body } => self.on_told(from, number, status, body),
-            Letter::CoreLocation { location, is_answer } => self.on_location(from, &location, is_answer),
+            Letter::Told {
+                number,
+                status,
+                body,
+            } => self.on_told(from, number, status, body),
+            Letter::CoreLocation {
+                location,
+                is_answer,
+            } => self.on_location(from, &location, is_answer),
             Letter::CreditAsk { ask } => self.on_credit_ask(from, &ask),
             Letter::CreditGrant { .. }
             | Letter::PollResponse { .. }
@@ -383,11 +444,16 @@
 
     /// Another controller tells where the core is.
     fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
-        self.contacts.learn(self.replica.view().epoch, self.voters());
-        let answer = self.contacts.on_location(self.now, from, location, is_answer);
+        self.contacts
+            .learn(self.replica.view().epoch, self.voters());
+        let answer = self
+            .contacts
+            .on_location(self.now, from, location, is_answer);
         let (view, voters) = self.contacts.core();
         self.replica.meet(view, voters);
-        answer.into_iter().for_each(|letter| self.send(from, letter));
+        answer
+            .into_iter()
+            .for_each(|letter| self.send(from, letter));
     }
 
     /// Tells the seeds where the core is, once in a while.
@@ -395,20 +461,32 @@
         if self.now < self.contacts.next_timer() {
             return;
         }
-        self.contacts.learn(self.replica.view().epoch, self.voters());
+        self.contacts
+            .learn(self.replica.view().epoch, self.voters());
         let letters = self.contacts.on_clock(self.now);
-        letters.into_iter().for_each(|(seed, letter)| self.send(seed, letter));
+        letters
+            .into_iter()
+            .for_each(|(seed, letter)| self.send(seed, letter));
     }
 
     fn voters(&self) -> Vec<Address> {
-        self.replica.view().voters.iter().map(|voter| voter.address).collect()
+        self.replica
+            .view()
+            .voters
+            .iter()
+            .map(|voter| voter.address)
+            .collect()
     }
 
     /// Gives an answer for the core, if this is still the tail and may.
     fn answer(&mut self, ticket: Ticket, body: Vec<u8>) {
         match self.replica.respond(self.now, ticket, body) {
             Some(Output::Send { to, note }) => self.send_note(to, note),
-            Some(Output::Response { number, is_replied, body }) => self.on_response(number, is_replied, body),
+            Some(Output::Response {
+                number,
+                is_replied,
+                body,
+            }) => self.on_response(number, is_replied, body),
             _ => {}
         }
     }
@@ -430,19 +508,25 @@
     /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
     /// members must know it, its answer alone waits for them: they may be gone since.
     fn is_firm(&self, epoch: Epoch) -> bool {
-        self.replica.has_copies() && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
+        self.replica.has_copies()
+            && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
     }
 
     fn has_quorum(&self) -> bool {
         let membership = &self.replica.state_machine().membership;
-        let has_members = self.timing.quorum == Quorum::Holders || self.leases.has_majority(membership, self.now);
+        let has_members =
+            self.timing.quorum == Quorum::Holders || self.leases.has_majority(membership, self.now);
         self.may_respond() && has_members
     }
 
     fn on_clock_event(&mut self) {
         let has_majority = self.has_quorum();
         self.replica.set_has_members(has_majority);
-        self.responses_since = if self.may_respond() { self.responses_since.or(Some(self.now)) } else { None };
+        self.responses_since = if self.may_respond() {
+            self.responses_since.or(Some(self.now))
+        } else {
+            None
+        };
         if self.may_respond() {
             self.begin_quotas();
             if self.replica.state_machine().key.is_none() && self.now >= self.key_deadline {
@@ -457,11 +541,14 @@
             }
         }
         let now = self.now;
-        self.subscribers.retain(|_, subscriber| now < subscriber.deadline);
+        self.subscribers
+            .retain(|_, subscriber| now < subscriber.deadline);
         let deadline: Vec<u64> = self
             .waiting
             .iter()
-            .filter(|(_, waiting)| waiting.next_try.is_some_and(|at| now >= at) || now >= waiting.deadline)
+            .filter(|(_, waiting)| {
+                waiting.next_try.is_some_and(|at| now >= at) || now >= waiting.deadline
+            })
             .map(|(number, _)| *number)
             .collect();
         for number in deadline {
@@ -471,8 +558,16 @@
 
     fn propose_inner(&mut self, command: Command) {
         self.next_inner += 1;
-        let proposal = Proposal { id: String::new(), builds_on: None, seen: Epoch(0), command };
-        self.drive(Input::Propose { number: self.next_inner, body: proposal.to_bytes() });
+        let proposal = Proposal {
+            id: String::new(),
+            builds_on: None,
+            seen: Epoch(0),
+            command,
+        };
+        self.drive(Input::Propose {
+            number: self.next_inner,
+            body: proposal.to_bytes(),
+        });
     }
 
     fn on_plan_ask(&mut self, from: Address, epoch: Epoch, offset: u64, have: Epoch) {
@@ -482,9 +577,17 @@
             && splice.inserted.len() <= SPLICE_MOST
         {
             let (base, splice) = (*base, splice.clone());
-            return self.send(from, Letter::PlanSplice { epoch, base, splice });
+            return self.send(
+                from,
+                Letter::PlanSplice {
+                    epoch,
+                    base,
+                    splice,
+                },
+            );
         }
-        let piece = Letter::plan_piece(epoch, &ledger.plan, offset).filter(|_| ledger.plan_epoch == epoch);
+        let piece =
+            Letter::plan_piece(epoch, &ledger.plan, offset).filter(|_| ledger.plan_epoch == epoch);
         piece.into_iter().for_each(|letter| self.send(from, letter));
     }
 }
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/controller/members.rs
@@ -14,12 +14,28 @@
         if !self.may_respond() {
             let voters = self.voters();
             let tail = self.replica.view().tail().map(|tail| tail.address);
-            let response = PollResponse::Elsewhere { view: self.replica.view().epoch, tail, voters };
-            return self.send(from, Letter::PollResponse { round: poll.round, response: Box::new(response) });
+            let response = PollResponse::Elsewhere {
+                view: self.replica.view().epoch,
+                tail,
+                voters,
+            };
+            return self.send(
+                from,
+                Letter::PollResponse {
+                    round: poll.round,
+                    response: Box::new(response),
+                },
+            );
         }
         self.seen.insert(from, self.now);
-        self.told_of.extend(poll.hears.iter().map(|heard| (*heard, self.now)));
-        let is_member = self.replica.state_machine().membership.members.contains(&from);
+        self.told_of
+            .extend(poll.hears.iter().map(|heard| (*heard, self.now)));
+        let is_member = self
+            .replica
+            .state_machine()
+            .membership
+            .members
+            .contains(&from);
         if is_member {
             self.give_lease(from, &poll);
         } else {
@@ -32,7 +48,13 @@
         let newest = self.replica.state_machine().epoch;
         let deadline = self.now + self.timing.lease;
         self.leases.renew(to, poll.epoch.min(newest), deadline);
-        self.subscribers.insert(to, Subscriber { told: poll.epoch.max(newest), deadline });
+        self.subscribers.insert(
+            to,
+            Subscriber {
+                told: poll.epoch.max(newest),
+                deadline,
+            },
+        );
         let ledger = self.replica.state_machine();
         let view = self.replica.view().epoch;
         let response = PollResponse::Lease {
@@ -40,22 +62,36 @@
             epoch: ledger.epoch,
             news: (poll.epoch < ledger.epoch).then(|| self.news(poll.epoch)),
             view,
-            voters: if poll.view == view { vec![] } else { self.voters() },
+            voters: if poll.view == view {
+                vec![]
+            } else {
+                self.voters()
+            },
             key: ledger.key.filter(|_| !poll.has_key),
         };
-        self.send(to, Letter::PollResponse { round: poll.round, response: Box::new(response) });
+        self.send(
+            to,
+            Letter::PollResponse {
+                round: poll.round,
+                response: Box::new(response),
+            },
+        );
     }
 
     /// For one that has this epoch.
     pub(super) fn news(&self, has: Epoch) -> News {
         let ledger = self.replica.state_machine();
         let members_since = ledger.membership.since;
-        let member = |(address, zone): &(Address, ZoneName)| Member { address: *address, zone: zone.clone() };
+        let member = |(address, zone): &(Address, ZoneName)| Member {
+            address: *address,
+            zone: zone.clone(),
+        };
         News {
             epoch: ledger.epoch,
             plan_epoch: ledger.plan_epoch,
             withdrawn: ledger.withdrawn.clone(),
-            members: (has < members_since).then(|| ledger.member_zones.iter().map(member).collect()),
+            members: (has < members_since)
+                .then(|| ledger.member_zones.iter().map(member).collect()),
             members_since,
         }
     }
@@ -63,7 +99,8 @@
     /// Tells news to members that polled lately, and answers settled changes that most members know.
     pub(super) fn release(&mut self) {
         let (epoch, now) = (self.replica.state_machine().epoch, self.now);
-        let is_behind = |subscriber: &Subscriber| subscriber.told < epoch && now < subscriber.deadline;
+        let is_behind =
+            |subscriber: &Subscriber| subscriber.told < epoch && now < subscriber.deadline;
         if self.subscribers.values().any(is_behind) && self.may_respond() {
             let (whole, brief) = (self.news(Epoch(0)), self.news(epoch));
             let since = whole.members_since;
@@ -75,8 +112,15 @@
                 .collect();
             for (member, wants_membership) in behind {
                 let news = if wants_membership { &whole } else { &brief };
-                self.subscribers.entry(member).and_modify(|subscriber| subscriber.told = epoch);
-                self.send(member, Letter::News { news: Box::new(news.clone()) });
+                self.subscribers
+                    .entry(member)
+                    .and_modify(|subscriber| subscriber.told = epoch);
+                self.send(
+                    member,
+                    Letter::News {
+                        news: Box::new(news.clone()),
+                    },
+                );
             }
         }
         while let Some(settled) = self.settled.front() {
@@ -84,7 +128,9 @@
             if !is_known && self.now < settled.deadline {
                 break;
             }
-            let Some(settled) = self.settled.pop_front() else { break };
+            let Some(settled) = self.settled.pop_front() else {
+                break;
+            };
             if !is_known && settled.ticket.number < INNER {
                 continue;
             }
@@ -104,23 +150,47 @@
     /// Tells members without a lease where the core is: those whose seeds are all gone can't ask. Some at a time, by
     /// turns, and only once all that know it had time to ask.
     pub(super) fn call_members(&mut self) {
-        let has_listened = self.responses_since.is_some_and(|since| self.now.since(since) >= self.timing.lease);
+        let has_listened = self
+            .responses_since
+            .is_some_and(|since| self.now.since(since) >= self.timing.lease);
         if !has_listened || self.now < self.next_call {
             return;
         }
         self.next_call = self.now + CALL_PERIOD;
-        let leased: BTreeSet<Address> = self.leases.live(self.now).into_iter().map(|(member, _)| member).collect();
+        let leased: BTreeSet<Address> = self
+            .leases
+            .live(self.now)
+            .into_iter()
+            .map(|(member, _)| member)
+            .collect();
         let members = &self.replica.state_machine().membership.members;
-        let mut unleased: Vec<Address> = members.iter().filter(|member| !leased.contains(member)).copied().collect();
+        let mut unleased: Vec<Address> = members
+            .iter()
+            .filter(|member| !leased.contains(member))
+            .copied()
+            .collect();
         unleased.sort();
-        let behind_last = unleased.iter().take_while(|member| Some(**member) <= self.last_called).count();
+        let behind_last = unleased
+            .iter()
+            .take_while(|member| Some(**member) <= self.last_called)
+            .count();
         unleased.rotate_left(behind_last);
         unleased.truncate(CALLED_AT_ONCE);
-        let location = CoreLocation { view: self.replica.view().epoch, voters: self.voters(), controllers: vec![] };
+        let location = CoreLocation {
+            view: self.replica.view().epoch,
+            voters: self.voters(),
+            controllers: vec![],
+        };
         for member in unleased {
             self.last_called = Some(member);
             let location = Box::new(location.clone());
-            self.send(member, Letter::CoreLocation { location, is_answer: true });
+            self.send(
+                member,
+                Letter::CoreLocation {
+                    location,
+                    is_answer: true,
+                },
+            );
         }
     }
 
@@ -128,24 +198,36 @@
     pub(super) fn admit(&mut self) {
         let membership = &self.replica.state_machine().membership;
         let members = &membership.members;
-        let joined: Vec<Address> = self.joining.keys().filter(|one| members.contains(one)).copied().collect();
+        let joined: Vec<Address> = self
+            .joining
+            .keys()
+            .filter(|one| members.contains(one))
+            .copied()
+            .collect();
         for address in joined {
             if let Some(poll) = self.joining.remove(&address) {
                 self.give_lease(address, &poll);
             }
         }
-        if self.joining.is_empty() || self.now < self.join_deadline || !self.is_membership_settled() {
+        if self.joining.is_empty() || self.now < self.join_deadline || !self.is_membership_settled()
+        {
             return;
         }
         self.join_deadline = self.now + self.timing.join;
-        let members = self.joining.iter().map(|(address, poll)| (*address, poll.member.zone.clone())).collect();
+        let members = self
+            .joining
+            .iter()
+            .map(|(address, poll)| (*address, poll.member.zone.clone()))
+            .collect();
         self.propose_inner(Command::Join { members });
     }
 
     /// Once more than half of the previous members know the membership, they are needed for no majority any more.
     pub(super) fn settle(&mut self) {
         let membership = &self.replica.state_machine().membership;
-        if membership.previous == membership.members || self.now < self.settle_deadline || !self.is_membership_settled()
+        if membership.previous == membership.members
+            || self.now < self.settle_deadline
+            || !self.is_membership_settled()
         {
             return;
         }
@@ -161,10 +243,19 @@
         }
         self.retire_deadline = self.now + Span::seconds(1);
         let is_gone = |member: &&Address| {
-            self.seen.get(*member).is_none_or(|seen| self.now.since(*seen) >= self.timing.retire_after)
+            self.seen
+                .get(*member)
+                .is_none_or(|seen| self.now.since(*seen) >= self.timing.retire_after)
         };
-        let gone: Vec<Address> =
-            self.replica.state_machine().membership.members.iter().filter(is_gone).copied().collect();
+        let gone: Vec<Address> = self
+            .replica
+            .state_machine()
+            .membership
+            .members
+            .iter()
+            .filter(is_gone)
+            .copied()
+            .collect();
         if !gone.is_empty() {
             self.propose_inner(Command::Retire { members: gone });
         }
--- a/crates/controller/src/controller/operators.rs
+++ b/crates/controller/src/controller/operators.rs
@@ -10,17 +10,32 @@
 impl Controller {
     pub(super) fn on_operator(&mut self, number: u64, ask: OperatorAsk) {
         let is_read = matches!(ask, OperatorAsk::Read(_));
-        let deadline = self.now + if is_read { self.timing.read_patience } else { self.timing.fate_deadline };
+        let deadline = self.now
+            + if is_read {
+                self.timing.read_patience
+            } else {
+                self.timing.fate_deadline
+            };
         let patience_deadline = self.now + self.timing.patience;
         self.last_asked += 1;
         let (next_try, asked) = (Some(self.now), self.last_asked);
         let clear_deadline = match &ask {
-            OperatorAsk::Propose(proposal) if proposal.command.is_of_a_zone() => self.now + SEEN_WITHIN,
+            OperatorAsk::Propose(proposal) if proposal.command.is_of_a_zone() => {
+                self.now + SEEN_WITHIN
+            }
             _ => deadline,
         };
         let is_cleared = false;
-        let waiting =
-            Waiting { ask, next_try, patience_deadline, deadline, clear_deadline, is_cleared, asked, asked_of: None };
+        let waiting = Waiting {
+            ask,
+            next_try,
+            patience_deadline,
+            deadline,
+            clear_deadline,
+            is_cleared,
+            asked,
+            asked_of: None,
+        };
         self.waiting.insert(number, waiting);
         if !self.replica.hears_majority(self.now) {
             // Nothing was asked or proposed yet, so this is final, and its operator loses no time here.
@@ -30,7 +45,9 @@
     }
 
     pub(super) fn try_again(&mut self, number: u64) {
-        let Some(waiting) = self.waiting.get_mut(&number) else { return };
+        let Some(waiting) = self.waiting.get_mut(&number) else {
+            return;
+        };
         let retry_at = self.now + self.timing.replica.retry;
         if self.now >= waiting.deadline {
             let code = match waiting.ask {
@@ -48,8 +65,7 @@
                 waiting.next_try = Some(retry_at);
                 let reading = reading.clone();
                 // A change's base may be read here: the head judges whether it's the newest.
-                let is_base =
-                    matches!(reading, Reading::Base { at_least } if self.replica.state_machine().epoch >= at_least);
+                let is_base = matches!(reading, Reading::Base { at_least } if self.replica.state_machine().epoch >= at_least);
                 let is_known_here = || {
                     let state = self.replica.state();
                     state.is_sound && state.view.seats(&state.me)
@@ -57,7 +73,11 @@
                 if self.may_respond() || (is_base && is_known_here()) {
                     self.waiting.remove(&number);
                     let (status, body) = self.read(&reading);
-                    self.outputs.push(ControllerOutput::Response { number, status, body });
+                    self.outputs.push(ControllerOutput::Response {
+                        number,
+                        status,
+                        body,
+                    });
                 } else {
                     self.ask_tail(number, reading);
                 }
@@ -86,30 +106,49 @@
     }
 
     pub(super) fn ask_tail(&mut self, number: u64, reading: Reading) {
-        let Some(tail) = self.replica.view().tail() else { return };
-        let Some(waiting) = self.waiting.get_mut(&number) else { return };
+        let Some(tail) = self.replica.view().tail() else {
+            return;
+        };
+        let Some(waiting) = self.waiting.get_mut(&number) else {
+            return;
+        };
         waiting.asked_of = Some(tail.address);
         let number = waiting.asked;
-        self.send(tail.address, Letter::Ask { number, reading: Box::new(reading) });
+        self.send(
+            tail.address,
+            Letter::Ask {
+                number,
+                reading: Box::new(reading),
+            },
+        );
     }
 
     /// The tail's answer. It's taken only for the question that waits under this number, and only from
     /// the one that was asked last.
     pub(super) fn on_told(&mut self, from: Address, asked: u64, status: u16, body: Vec<u8>) {
         let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of == Some(from);
-        let Some((&number, waiting)) = self.waiting.iter().find(|(_, waiting)| is_its(waiting)) else { return };
+        let Some((&number, waiting)) = self.waiting.iter().find(|(_, waiting)| is_its(waiting))
+        else {
+            return;
+        };
         if matches!(waiting.ask, OperatorAsk::Propose(_)) {
             return self.clear(number, status, body);
         }
         self.waiting.remove(&number);
-        self.outputs.push(ControllerOutput::Response { number, status, body });
+        self.outputs.push(ControllerOutput::Response {
+            number,
+            status,
+            body,
+        });
     }
 
     /// The tail's word on what is to be known before it's proposed: which epoch is the newest, or whether those
     /// to be forgotten are heard. If nobody hears them, it's proposed; a tail that does not know yet is asked
     /// again; any other word is the operator's answer.
     pub(super) fn clear(&mut self, number: u64, status: u16, body: Vec<u8>) {
-        let Some(waiting) = self.waiting.get_mut(&number) else { return };
+        let Some(waiting) = self.waiting.get_mut(&number) else {
+            return;
+        };
         if waiting.is_cleared {
             return;
         }
@@ -130,7 +169,11 @@
             503 if self.now < waiting.patience_deadline => {}
             _ => {
                 self.waiting.remove(&number);
-                self.outputs.push(ControllerOutput::Response { number, status, body });
+                self.outputs.push(ControllerOutput::Response {
+                    number,
+                    status,
+                    body,
+                });
             }
         }
     }
@@ -139,17 +182,28 @@
         self.waiting.remove(&number);
         let body = serde_json::json!({"code": code.number(), "result": code.word(), "why": code.meaning()});
         let body = serde_json::to_vec(&body).expect("a JSON value is JSON");
-        self.outputs.push(ControllerOutput::Response { number, status: code.http_status(), body });
+        self.outputs.push(ControllerOutput::Response {
+            number,
+            status: code.http_status(),
+            body,
+        });
     }
 
     /// The core's answer to a proposal made here, taken only for the newest try of an operator's.
     pub(super) fn on_response(&mut self, asked: u64, is_replied: bool, body: Vec<u8>) {
         let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of.is_none();
-        let Some((&number, waiting)) = self.waiting.iter_mut().find(|(_, waiting)| is_its(waiting)) else { return };
+        let Some((&number, waiting)) = self.waiting.iter_mut().find(|(_, waiting)| is_its(waiting))
+        else {
+            return;
+        };
         if is_replied {
             self.waiting.remove(&number);
             let status = status_of(&body);
-            self.outputs.push(ControllerOutput::Response { number, status, body });
+            self.outputs.push(ControllerOutput::Response {
+                number,
+                status,
+                body,
+            });
         } else if self.now < waiting.patience_deadline {
             // The core did not take it, so asking again can't do it twice.
             waiting.next_try = Some(self.now + self.timing.replica.retry);
@@ -162,14 +216,21 @@
 /// What the tail must be asked before this is proposed.
 fn read_before(proposal: &Proposal) -> Option<Reading> {
     match &proposal.command {
-        Command::Forget { members } => Some(Reading::Heard { id: proposal.id.clone(), members: members.clone() }),
+        Command::Forget { members } => Some(Reading::Heard {
+            id: proposal.id.clone(),
+            members: members.clone(),
+        }),
         command => command.is_of_a_zone().then_some(Reading::Newest),
     }
 }
 
 /// The HTTP status that goes with an outcome's code.
 fn status_of(body: &[u8]) -> u16 {
-    let code = serde_json::from_slice::<serde_json::Value>(body).ok().and_then(|value| value["code"].as_u64());
-    let found = ResultCode::ALL.iter().find(|known| Some(u64::from(known.number())) == code);
+    let code = serde_json::from_slice::<serde_json::Value>(body)
+        .ok()
+        .and_then(|value| value["code"].as_u64());
+    let found = ResultCode::ALL
+        .iter()
+        .find(|known| Some(u64::from(known.number())) == code);
     found.map_or(500, |code| code.http_status())
 }
--- a/crates/controller/src/controller/quotas.rs
+++ b/crates/controller/src/controller/quotas.rs
@@ -16,7 +16,9 @@
     pub(super) fn keep_quotas(&mut self, view: &View) {
         let is_tail = view.tail() == Some(self.replica.me());
         self.quotas = match self.quotas.take() {
-            Some((former, authority)) if is_tail && former.next() == view.epoch => Some((view.epoch, authority)),
+            Some((former, authority)) if is_tail && former.next() == view.epoch => {
+                Some((view.epoch, authority))
+            }
             _ => None,
         };
     }
@@ -27,14 +29,26 @@
         }
         self.begin_quotas();
         let members = &self.replica.state_machine().membership.members;
-        let Some((_, authority)) = &mut self.quotas else { return };
+        let Some((_, authority)) = &mut self.quotas else {
+            return;
+        };
         let grant = authority.on_ask(self.now, from, ask, members);
-        grant.into_iter().for_each(|grant| self.send(from, Letter::CreditGrant { grant: Box::new(grant) }));
+        grant.into_iter().for_each(|grant| {
+            self.send(
+                from,
+                Letter::CreditGrant {
+                    grant: Box::new(grant),
+                },
+            )
+        });
     }
 
     /// Tenants with a quota, as far as nodes have asked for credit of theirs.
     pub(super) fn tenants(&self) -> serde_json::Value {
-        let tenants = self.quotas.as_ref().map(|(_, authority)| authority.tenants(self.now));
+        let tenants = self
+            .quotas
+            .as_ref()
+            .map(|(_, authority)| authority.tenants(self.now));
         serde_json::json!({"window_ms": self.timing.quota.window, "tenants": tenants.unwrap_or_default()})
     }
 }
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -16,58 +16,144 @@
 
 impl Played {
     fn new(incarnation: u64) -> Self {
-        let voter = |n: u16| Voter { address: Address::loopback(n), disk: DiskId(u128::from(n)) };
-        let chain = (1..=3).map(|n| Seat { voter: voter(n), is_level: true }).collect();
-        let view = View { epoch: ViewEpoch(1), chain, voters: (1..=3).map(voter).collect() };
-        let kept = Kept { records: vec![Record::View { view }] };
+        let voter = |n: u16| Voter {
+            address: Address::loopback(n),
+            disk: DiskId(u128::from(n)),
+        };
+        let chain = (1..=3)
+            .map(|n| Seat {
+                voter: voter(n),
+                is_level: true,
+            })
+            .collect();
+        let view = View {
+            epoch: ViewEpoch(1),
+            chain,
+            voters: (1..=3).map(voter).collect(),
+        };
+        let kept = Kept {
+            records: vec![Record::View { view }],
+        };
         let founders = (1..=3).map(Address::loopback).collect();
         let (timing, at) = (ControllerTiming::default(), 10_000);
-        let replica = Replica::new(voter(2), founders, timing.replica, kept, Ledger::default(), Moment(at)).unwrap();
+        let replica = Replica::new(
+            voter(2),
+            founders,
+            timing.replica,
+            kept,
+            Ledger::default(),
+            Moment(at),
+        )
+        .unwrap();
         let contacts = Contacts::new(Address::loopback(2), None, vec![], Moment(at));
         Played {
-            controller: Controller::new(replica, contacts, timing, TokenKey([3; 32]), incarnation, Moment(at)),
+            controller: Controller::new(
+                replica,
+                contacts,
+                timing,
+                TokenKey([3; 32]),
+                incarnation,
+                Moment(at),
+            ),
             at,
         }
     }
     fn step(&mut self, after: u64, input: ControllerInput) -> Vec<Left> {
         self.at += after;
         let left = |output| match output {
-            ControllerOutput::Send { to, letter: Letter::Note { note }, .. } => match *note {
+            ControllerOutput::Send {
+                to,
+                letter: Letter::Note { note },
+                ..
+            } => match *note {
                 Note::Propose { ticket, .. } => Some(Left::Propose(to.0.port(), ticket.number)),
                 _ => None,
             },
-            ControllerOutput::Send { to, letter: Letter::Ask { number, .. }, .. } => {
-                Some(Left::Ask(to.0.port(), number))
+            ControllerOutput::Send {
+                to,
+                letter: Letter::Ask { number, .. },
+                ..
+            } => Some(Left::Ask(to.0.port(), number)),
+            ControllerOutput::Response { number, status, .. } => {
+                Some(Left::Response(number, status))
             }
-            ControllerOutput::Response { number, status, .. } => Some(Left::Response(number, status)),
             _ => None,
         };
-        self.controller.step(Moment(self.at), input).into_iter().filter_map(left).collect()
+        self.controller
+            .step(Moment(self.at), input)
+            .into_iter()
+            .filter_map(left)
+            .collect()
     }
     fn tick(&mut self, after: u64) -> Vec<Left> {
         self.step(after, ControllerInput::ClockEvent)
     }
     fn read(&mut self, number: u64) -> Vec<Left> {
-        self.step(0, ControllerInput::Operator { number, ask: OperatorAsk::Read(Reading::Latest) })
+        self.step(
+            0,
+            ControllerInput::Operator {
+                number,
+                ask: OperatorAsk::Read(Reading::Latest),
+            },
+        )
     }
     fn propose(&mut self, number: u64, command: Command) -> Vec<Left> {
-        let proposal = Proposal { id: format!("op-{number}"), builds_on: None, seen: Epoch(0), command };
-        self.step(0, ControllerInput::Operator { number, ask: OperatorAsk::Propose(proposal) })
+        let proposal = Proposal {
+            id: format!("op-{number}"),
+            builds_on: None,
+            seen: Epoch(0),
+            command,
+        };
+        self.step(
+            0,
+            ControllerInput::Operator {
+                number,
+                ask: OperatorAsk::Propose(proposal),
+            },
+        )
     }
     fn told(&mut self, from: u16, number: u64) -> Vec<Left> {
-        let letter = Letter::Told { number, status: 200, body: br#"{"heard":[]}"#.to_vec() };
-        self.step(5, ControllerInput::Letter { from: Address::loopback(from), letter })
+        let letter = Letter::Told {
+            number,
+            status: 200,
+            body: br#"{"heard":[]}"#.to_vec(),
+        };
+        self.step(
+            5,
+            ControllerInput::Letter {
+                from: Address::loopback(from),
+                letter,
+            },
+        )
     }
     fn respond(&mut self, from: u16, number: u64, is_replied: bool) -> Vec<Left> {
         let body = serde_json::json!({"code": ResultCode::Accepted.number(), "epoch": 1});
-        let body = if is_replied { body.to_string().into_bytes() } else { vec![] };
-        let letter = Letter::Note { note: Box::new(Note::Response { number, is_replied, body }) };
-        self.step(5, ControllerInput::Letter { from: Address::loopback(from), letter })
+        let body = if is_replied {
+            body.to_string().into_bytes()
+        } else {
+            vec![]
+        };
+        let letter = Letter::Note {
+            note: Box::new(Note::Response {
+                number,
+                is_replied,
+                body,
+            }),
+        };
+        self.step(
+            5,
+            ControllerInput::Letter {
+                from: Address::loopback(from),
+                letter,
+            },
+        )
     }
 }
 
 fn forget() -> Command {
-    Command::Forget { members: vec![Address::loopback(9)] }
+    Command::Forget {
+        members: vec![Address::loopback(9)],
+    }
 }
 
 /// Proposed without a question to the tail.
@@ -76,7 +162,9 @@
 }
 
 fn withdraw() -> Command {
-    Command::Withdraw { zone: "east".into() }
+    Command::Withdraw {
+        zone: "east".into(),
+    }
 }
 
 /// Of seed 88000550 on `valodu`: the tail was asked twice, and its second answer was given to the operator
@@ -89,8 +177,16 @@
     assert_eq!(played.told(1, 1001), [], "from one that was not asked");
     assert_eq!(played.told(3, 1001), [Left::Propose(1, 1002)]);
     assert_eq!(played.told(3, 1001), [], "to a question that is settled");
-    assert_eq!(played.told(3, 1002), [], "a reading is no answer to a proposal");
-    assert_eq!(played.respond(3, 1001, true), [], "nor is a response one to a question");
+    assert_eq!(
+        played.told(3, 1002),
+        [],
+        "a reading is no answer to a proposal"
+    );
+    assert_eq!(
+        played.respond(3, 1001, true),
+        [],
+        "nor is a response one to a question"
+    );
     assert_eq!(played.respond(3, 1002, true), [Left::Response(30, 200)]);
     assert_eq!(played.respond(3, 1002, true), []);
 }
@@ -100,8 +196,15 @@
 #[test]
 fn a_zone_s_change_goes_out_only_with_what_the_tail_said_soon_after_it_came() {
     let newest = |number: u64| {
-        let letter = Letter::Told { number, status: 200, body: 9u64.to_be_bytes().to_vec() };
-        ControllerInput::Letter { from: Address::loopback(3), letter }
+        let letter = Letter::Told {
+            number,
+            status: 200,
+            body: 9u64.to_be_bytes().to_vec(),
+        };
+        ControllerInput::Letter {
+            from: Address::loopback(3),
+            letter,
+        }
     };
     let mut played = Played::new(1000);
     assert_eq!(played.propose(30, withdraw()), [Left::Ask(3, 1001)]);
@@ -114,8 +217,15 @@
 
     let mut played = Played::new(1000);
     assert_eq!(played.propose(30, withdraw()), [Left::Ask(3, 1001)]);
-    assert_eq!(played.step(10, ControllerInput::Abandoned { number: 30 }), []);
-    assert_eq!(played.step(10, newest(1001)), [], "nobody waits for it any more");
+    assert_eq!(
+        played.step(10, ControllerInput::Abandoned { number: 30 }),
+        []
+    );
+    assert_eq!(
+        played.step(10, newest(1001)),
+        [],
+        "nobody waits for it any more"
+    );
     assert_eq!(played.tick(250), []);
 }
 
@@ -146,7 +256,11 @@
     assert_eq!(played.respond(1, 2, false), []);
     assert_eq!(played.tick(250), [Left::Propose(1, 3)]);
     played.tick(3800);
-    assert_eq!(played.respond(1, 2, false), [], "patience is over, but of the newest try nothing is known");
+    assert_eq!(
+        played.respond(1, 2, false),
+        [],
+        "patience is over, but of the newest try nothing is known"
+    );
     assert_eq!(played.respond(3, 3, true), [Left::Response(7, 200)]);
 }
 
@@ -155,11 +269,19 @@
 #[test]
 fn one_that_is_cut_off_says_so_at_once() {
     let mut played = Played::new(0);
-    assert_eq!(played.read(1), [Left::Ask(3, 1)], "it has just begun and had no time to hear anyone");
+    assert_eq!(
+        played.read(1),
+        [Left::Ask(3, 1)],
+        "it has just begun and had no time to hear anyone"
+    );
     let left: Vec<Left> = (0..16).flat_map(|_| played.tick(50)).collect();
     assert_eq!(left.last(), Some(&Left::Response(1, 503)));
     assert_eq!(played.read(2), [Left::Response(2, 503)]);
-    assert_eq!(played.propose(3, withdraw()), [Left::Response(3, 503)], "and nothing is proposed");
+    assert_eq!(
+        played.propose(3, withdraw()),
+        [Left::Response(3, 503)],
+        "and nothing is proposed"
+    );
     assert_eq!(played.tick(50), []);
 }
 
@@ -171,7 +293,11 @@
     for _ in 0..19 {
         left.extend(played.tick(50));
     }
-    assert_eq!(left, [Left::Ask(3, 1), Left::Ask(3, 1), Left::Response(1, 503)], "within a second");
+    assert_eq!(
+        left,
+        [Left::Ask(3, 1), Left::Ask(3, 1), Left::Response(1, 503)],
+        "within a second"
+    );
 }
 
 /// One controller alone, its disk at once synced, that goes by this quorum.
@@ -184,15 +310,49 @@
 
 impl Alone {
     fn new(quorum: Quorum) -> Self {
-        let voter = Voter { address: Address::loopback(1), disk: DiskId(1) };
-        let view = View { epoch: ViewEpoch(1), chain: vec![Seat { voter, is_level: true }], voters: vec![voter] };
-        let mut timing = ControllerTiming { quorum, ..ControllerTiming::default() };
+        let voter = Voter {
+            address: Address::loopback(1),
+            disk: DiskId(1),
+        };
+        let view = View {
+            epoch: ViewEpoch(1),
+            chain: vec![Seat {
+                voter,
+                is_level: true,
+            }],
+            voters: vec![voter],
+        };
+        let mut timing = ControllerTiming {
+            quorum,
+            ..ControllerTiming::default()
+        };
         timing.replica.copies = 1;
-        let kept = Kept { records: vec![Record::View { view }] };
-        let replica = Replica::new(voter, vec![], timing.replica, kept, Ledger::default(), Moment(10_000)).unwrap();
+        let kept = Kept {
+            records: vec![Record::View { view }],
+        };
+        let replica = Replica::new(
+            voter,
+            vec![],
+            timing.replica,
+            kept,
+            Ledger::default(),
+            Moment(10_000),
+        )
+        .unwrap();
         let contacts = Contacts::new(Address::loopback(2), None, vec![], Moment(10_000));
-        let controller = Controller::new(replica, contacts, timing, TokenKey([3; 32]), 0, Moment(10_000));
-        Alone { controller, at: 10_000, called: vec![] }
+        let controller = Controller::new(
+            replica,
+            contacts,
+            timing,
+            TokenKey([3; 32]),
+            0,
+            Moment(10_000),
+        );
+        Alone {
+            controller,
+            at: 10_000,
+            called: vec![],
+        }
     }
     /// Takes an input, syncs what it writes; gives the codes that operators are told.
     fn step(&mut self, after: u64, input: ControllerInput) -> Vec<(u64, u64)> {
@@ -201,12 +361,18 @@
         while let Some(input) = inputs.pop_front() {
             for output in self.controller.step(Moment(self.at), input) {
                 match output {
-                    ControllerOutput::Write { id, .. } => inputs.push_back(ControllerInput::Written { id }),
+                    ControllerOutput::Write { id, .. } => {
+                        inputs.push_back(ControllerInput::Written { id })
+                    }
                     ControllerOutput::Response { number, body, .. } => {
                         let body: serde_json::Value = serde_json::from_slice(&body).unwrap();
                         told.push((number, body["code"].as_u64().unwrap()));
                     }
-                    ControllerOutput::Send { to, letter: Letter::CoreLocation { location, .. }, .. } => {
+                    ControllerOutput::Send {
+                        to,
+                        letter: Letter::CoreLocation { location, .. },
+                        ..
+                    } => {
                         assert_eq!(location.voters, [Address::loopback(1)]);
                         self.called.push((self.at, to.0.port(), location.view.0));
                     }
@@ -217,17 +383,48 @@
         told
     }
     fn ticks(&mut self, span: u64) -> Vec<(u64, u64)> {
-        (0..span / 50).flat_map(|_| self.step(50, ControllerInput::ClockEvent)).collect()
+        (0..span / 50)
+            .flat_map(|_| self.step(50, ControllerInput::ClockEvent))
+            .collect()
     }
     fn poll(&mut self, from: u16, epoch: u64) -> Vec<(u64, u64)> {
-        let member = Member { address: Address::loopback(from), zone: "east".into() };
-        let poll = Poll { member, round: 1, epoch: Epoch(epoch), view: ViewEpoch(1), has_key: true, hears: vec![] };
-        let letter = Letter::Poll { poll: Box::new(poll) };
-        self.step(5, ControllerInput::Letter { from: Address::loopback(from), letter })
+        let member = Member {
+            address: Address::loopback(from),
+            zone: "east".into(),
+        };
+        let poll = Poll {
+            member,
+            round: 1,
+            epoch: Epoch(epoch),
+            view: ViewEpoch(1),
+            has_key: true,
+            hears: vec![],
+        };
+        let letter = Letter::Poll {
+            poll: Box::new(poll),
+        };
+        self.step(
+            5,
+            ControllerInput::Letter {
+                from: Address::loopback(from),
+                letter,
+            },
+        )
     }
     fn withdraw(&mut self, number: u64) -> Vec<(u64, u64)> {
-        let proposal = Proposal { id: format!("op-{number}"), builds_on: None, seen: Epoch(0), command: withdraw() };
-        self.step(5, ControllerInput::Operator { number, ask: OperatorAsk::Propose(proposal) })
+        let proposal = Proposal {
+            id: format!("op-{number}"),
+            builds_on: None,
+            seen: Epoch(0),
+            command: withdraw(),
+        };
+        self.step(
+            5,
+            ControllerInput::Operator {
+                number,
+                ask: OperatorAsk::Propose(proposal),
+            },
+        )
     }
     fn epoch(&self) -> u64 {
         self.controller.replica().state_machine().epoch.0
@@ -244,7 +441,11 @@
     let is_held = |played: &Alone| !played.controller.members(Moment(played.at)).is_empty();
     assert!(is_held(&played), "it was let in and given a lease");
     assert_eq!(played.withdraw(1), []);
-    assert_eq!(played.ticks(300), [], "the one that holds a lease has not said that it knows");
+    assert_eq!(
+        played.ticks(300),
+        [],
+        "the one that holds a lease has not said that it knows"
+    );
     let epoch = played.epoch();
     assert_eq!(played.poll(9, epoch), [(1, 300)]);
     assert_eq!(played.withdraw(2), []);
@@ -266,31 +467,61 @@
         played.ticks(500);
         played.poll(105, played.epoch());
     }
-    let called: std::collections::BTreeSet<u16> = played.called.iter().map(|(_, member, _)| *member).collect();
+    let called: std::collections::BTreeSet<u16> =
+        played.called.iter().map(|(_, member, _)| *member).collect();
     assert_eq!(called, (100..140).filter(|member| *member != 105).collect());
-    assert!(played.called.iter().all(|(at, _, view)| *at >= silent_from + 1900 && *view == 1));
+    assert!(
+        played
+            .called
+            .iter()
+            .all(|(at, _, view)| *at >= silent_from + 1900 && *view == 1)
+    );
     for (at, ..) in &played.called {
-        let in_a_second = played.called.iter().filter(|(other, ..)| (*at..*at + 1000).contains(other)).count();
+        let in_a_second = played
+            .called
+            .iter()
+            .filter(|(other, ..)| (*at..*at + 1000).contains(other))
+            .count();
         assert!(in_a_second <= 16, "{in_a_second} in a second");
     }
 }
 
 fn credit_ask(number: u64) -> Letter {
     use quota::prelude::{Amount, CreditAsk, CreditRequest, QuotaLimit};
-    let limit = QuotaLimit { rate: Amount::units(10), burst: Amount::units(10) };
+    let limit = QuotaLimit {
+        rate: Amount::units(10),
+        burst: Amount::units(10),
+    };
     let (held, need) = (Amount::NONE, Amount::units(2));
-    let entry = CreditRequest { tenant: "one".into(), limit, held, need, want: need };
-    let ask =
-        CreditAsk { life: 7, number, plan_epoch: Epoch(1), fresh_for: None, is_whole: true, entries: vec![entry] };
+    let entry = CreditRequest {
+        tenant: "one".into(),
+        limit,
+        held,
+        need,
+        want: need,
+    };
+    let ask = CreditAsk {
+        life: 7,
+        number,
+        plan_epoch: Epoch(1),
+        fresh_for: None,
+        is_whole: true,
+        entries: vec![entry],
+    };
     Letter::CreditAsk { ask: Box::new(ask) }
 }
 
 fn granted(outputs: Vec<ControllerOutput>) -> Vec<u64> {
     let grants = outputs.into_iter().filter_map(|output| match output {
-        ControllerOutput::Send { letter: Letter::CreditGrant { grant }, .. } => Some(grant),
+        ControllerOutput::Send {
+            letter: Letter::CreditGrant { grant },
+            ..
+        } => Some(grant),
         _ => None,
     });
-    grants.map(|grant| grant.entries[0].granted.thousandths / 1000).collect()
+    grants
+        .map(|grant| grant.entries[0].granted.thousandths / 1000)
+        .collect()
 }
 
 #[test]
@@ -300,7 +531,10 @@
     played.poll(9, 0);
     played.ticks(100);
     let ask = |played: &mut Alone, number: u64| {
-        let input = ControllerInput::Letter { from: Address::loopback(9), letter: credit_ask(number) };
+        let input = ControllerInput::Letter {
+            from: Address::loopback(9),
+            letter: credit_ask(number),
+        };
         granted(played.controller.step(Moment(played.at), input))
     };
     // It has just begun to grant: what was spent before isn't known.
@@ -316,8 +550,14 @@
 #[test]
 fn a_controller_that_is_not_the_tail_grants_nothing() {
     let mut played = Played::new(0);
-    let input = ControllerInput::Letter { from: Address::loopback(9), letter: credit_ask(1) };
-    assert_eq!(granted(played.controller.step(Moment(played.at), input)), [] as [u64; 0]);
+    let input = ControllerInput::Letter {
+        from: Address::loopback(9),
+        letter: credit_ask(1),
+    };
+    assert_eq!(
+        granted(played.controller.step(Moment(played.at), input)),
+        [] as [u64; 0]
+    );
 }
 
 /// Between two views that follow each other no other tail can have granted anything; between others one can.
@@ -328,7 +568,10 @@
     let me = played.controller.replica().me();
     let view = |epoch: u64, tail: Voter| View {
         epoch: ViewEpoch(epoch),
-        chain: vec![Seat { voter: tail, is_level: true }],
+        chain: vec![Seat {
+            voter: tail,
+            is_level: true,
+        }],
         voters: vec![tail],
     };
     assert!(played.controller.quotas.is_some());
@@ -337,7 +580,10 @@
     played.controller.keep_quotas(&view(4, me));
     assert!(played.controller.quotas.is_none());
     played.controller.begin_quotas();
-    let other = Voter { address: Address::loopback(5), disk: DiskId(5) };
+    let other = Voter {
+        address: Address::loopback(5),
+        disk: DiskId(5),
+    };
     played.controller.keep_quotas(&view(2, other));
     assert!(played.controller.quotas.is_none());
 }
--- a/crates/controller/src/core_line.rs
+++ b/crates/controller/src/core_line.rs
@@ -20,7 +20,10 @@
 impl Attempt {
     /// One that has just come in on this connection, if it's on one, and lasts so long.
     pub fn new(patience: Span, client: Option<Client>) -> Self {
-        Attempt { deadline: Clock::now() + patience, client }
+        Attempt {
+            deadline: Clock::now() + patience,
+            client,
+        }
     }
     /// Whether nobody waits for its answer any more.
     fn is_over(&self) -> bool {
@@ -58,13 +61,23 @@
 }
 
 impl CoreLine {
-    pub(crate) fn new(responses: Responses, tell: impl Fn(ControllerInput) + Send + Sync + 'static) -> Self {
-        CoreLine { responses, counter: AtomicU64::new(1), tell: Box::new(tell) }
+    pub(crate) fn new(
+        responses: Responses,
+        tell: impl Fn(ControllerInput) + Send + Sync + 'static,
+    ) -> Self {
+        CoreLine {
+            responses,
+            counter: AtomicU64::new(1),
+            tell: Box::new(tell),
+        }
     }
     /// Asks, and waits for status and body while the attempt lasts. What it leaves unfinished is given up.
     pub fn ask(&self, ask: OperatorAsk, attempt: &Attempt) -> Result<Told, Box<Response>> {
         if attempt.is_over() {
-            return Err(Box::new(Response::result(ResultCode::CoreNotReady, "nobody waits for it any more")));
+            return Err(Box::new(Response::result(
+                ResultCode::CoreNotReady,
+                "nobody waits for it any more",
+            )));
         }
         let number = self.counter.fetch_add(1, Ordering::Relaxed);
         let (response, inbox) = flume::bounded(1);
@@ -81,7 +94,10 @@
         self.responses.waiting().remove(&number);
         told.ok_or_else(|| {
             (self.tell)(ControllerInput::Abandoned { number });
-            Box::new(Response::result(ResultCode::FateUnknown, "no answer in time"))
+            Box::new(Response::result(
+                ResultCode::FateUnknown,
+                "no answer in time",
+            ))
         })
     }
 
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -44,7 +44,10 @@
 impl DiskThread {
     /// Starts the thread, which opens the folder. One that can't exist, or is damaged, is a fault at once. One
     /// that the disk refuses now, or is slow with, is tried until it can be used, as one that fails later is.
-    pub fn open(folder: &Path, tell: impl Fn(u64, DiskEvent) + Send + 'static) -> Result<DiskThread, StorageFault> {
+    pub fn open(
+        folder: &Path,
+        tell: impl Fn(u64, DiskEvent) + Send + 'static,
+    ) -> Result<DiskThread, StorageFault> {
         let folder = folder.to_owned();
         DiskThread::open_by(move || open_folder(&folder), PAUSE, tell)
     }
@@ -68,7 +71,10 @@
                 }
             }
         };
-        std::thread::Builder::new().name("disk".into()).spawn(work).map_err(StorageFault::Io)?;
+        std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(work)
+            .map_err(StorageFault::Io)?;
         match first.recv_timeout(FIRST_DEADLINE) {
             Ok(Err(fault)) => Err(fault),
             // A slow disk holds nothing up: what comes of it is told when it's known.
@@ -78,7 +84,12 @@
 
     /// Hands a write over.
     pub fn write(&self, id: u64, records: Vec<Record>, is_whole: bool) {
-        let _ = self.writes.send(DiskWrite { life: self.life, id, records, is_whole });
+        let _ = self.writes.send(DiskWrite {
+            life: self.life,
+            id,
+            records,
+            is_whole,
+        });
     }
     /// The control thread has taken up this life.
     pub fn begin(&mut self, life: u64) {
@@ -98,8 +109,15 @@
     const EIO: i32 = 5;
     match fault {
         StorageFault::Io(fault) => {
-            let kinds =
-                [StorageFull, QuotaExceeded, ReadOnlyFilesystem, ResourceBusy, TimedOut, Interrupted, WouldBlock];
+            let kinds = [
+                StorageFull,
+                QuotaExceeded,
+                ReadOnlyFilesystem,
+                ResourceBusy,
+                TimedOut,
+                Interrupted,
+                WouldBlock,
+            ];
             fault.raw_os_error() == Some(EIO) || kinds.contains(&fault.kind())
         }
         StorageFault::Gone => true,
@@ -119,14 +137,19 @@
         let record = rkyv::from_bytes::<Record, rkyv::rancor::Error>(&aligned);
         record.map_err(|fault| StorageFault::Damaged(format!("a record can't be read: {fault}")))
     };
-    Ok(Kept { records: raw.iter().map(read).collect::<Result<_, _>>()? })
+    Ok(Kept {
+        records: raw.iter().map(read).collect::<Result<_, _>>()?,
+    })
 }
 
 /// Has writes made in order; those between two whole ones are one entry.
 fn apply_writes(storage: &mut Storage, writes: &[DiskWrite]) -> Result<(), StorageFault> {
     let raw = |records: &[Record]| -> Vec<Vec<u8>> {
-        let archive =
-            |record| rkyv::to_bytes::<rkyv::rancor::Error>(record).expect("a record can be archived").to_vec();
+        let archive = |record| {
+            rkyv::to_bytes::<rkyv::rancor::Error>(record)
+                .expect("a record can be archived")
+                .to_vec()
+        };
         records.iter().map(archive).collect()
     };
     let mut gathered = vec![];
@@ -139,7 +162,11 @@
             gathered.extend(raw(&write.records));
         }
     }
-    if gathered.is_empty() { Ok(()) } else { storage.write(&gathered) }
+    if gathered.is_empty() {
+        Ok(())
+    } else {
+        storage.write(&gathered)
+    }
 }
 
 fn keep(
@@ -152,11 +179,17 @@
     let mut life = 1;
     let mut opened = first;
     loop {
-        let ready = opened.and_then(|o| read_records(&o.records).map(|kept| (o.storage, o.disk, kept)));
+        let ready =
+            opened.and_then(|o| read_records(&o.records).map(|kept| (o.storage, o.disk, kept)));
         let (mut storage, disk, kept) = match ready {
             Ok(ready) => ready,
             Err(fault) => {
-                tell(life, DiskEvent::Fault { why: fault.to_string() });
+                tell(
+                    life,
+                    DiskEvent::Fault {
+                        why: fault.to_string(),
+                    },
+                );
                 std::thread::sleep(pause);
                 opened = open();
                 continue;
@@ -169,14 +202,21 @@
             let mut writes = vec![write];
             writes.extend(inbox.drain());
             writes.retain(|write| write.life == life);
-            let Some(last) = writes.last().map(|write| write.id) else { continue };
+            let Some(last) = writes.last().map(|write| write.id) else {
+                continue;
+            };
             let outcome = apply_writes(&mut storage, &writes);
             match outcome {
                 Ok(()) => tell(life, DiskEvent::Written { id: last }),
                 Err(fault) => break fault,
             }
         };
-        tell(life, DiskEvent::Fault { why: fault.to_string() });
+        tell(
+            life,
+            DiskEvent::Fault {
+                why: fault.to_string(),
+            },
+        );
         drop(storage);
         std::thread::sleep(pause);
         life += 1;
--- a/crates/controller/src/disk_thread/tests.rs
+++ b/crates/controller/src/disk_thread/tests.rs
@@ -15,9 +15,14 @@
         _ => open_folder(&path),
     };
     let (tell, told) = flume::unbounded();
-    let disk_thread = DiskThread::open_by(open, Duration::ZERO, move |life, event| tell.send((life, event)).unwrap());
+    let disk_thread = DiskThread::open_by(open, Duration::ZERO, move |life, event| {
+        tell.send((life, event)).unwrap()
+    });
     let _disk_thread = disk_thread.expect("it starts");
-    let next = || told.recv_timeout(Duration::from_secs(10)).expect("an event");
+    let next = || {
+        told.recv_timeout(Duration::from_secs(10))
+            .expect("an event")
+    };
     assert!(matches!(next(), (1, DiskEvent::Fault { .. })));
     assert!(matches!(next(), (1, DiskEvent::Fault { .. })));
     assert!(matches!(next(), (1, DiskEvent::Ready { .. })));
@@ -37,22 +42,53 @@
 fn bent_records_are_a_fault_or_records_that_a_member_can_judge() {
     use proptest::prelude::*;
     use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-    let me = Voter { address: Address::loopback(1), disk: DiskId(1) };
-    let view = View { chain: vec![Seat { voter: me, is_level: true }], voters: vec![me], ..View::none() };
-    let ticket = Ticket { origin: me.address, number: 1 };
-    let change = Change { seq: Seq(6), stamp: view.epoch, ticket, body: vec![1, 2, 3] };
+    let me = Voter {
+        address: Address::loopback(1),
+        disk: DiskId(1),
+    };
+    let view = View {
+        chain: vec![Seat {
+            voter: me,
+            is_level: true,
+        }],
+        voters: vec![me],
+        ..View::none()
+    };
+    let ticket = Ticket {
+        origin: me.address,
+        number: 1,
+    };
+    let change = Change {
+        seq: Seq(6),
+        stamp: view.epoch,
+        ticket,
+        body: vec![1, 2, 3],
+    };
     let body = Ledger::default().snapshot();
     let records = [
         Record::View { view: view.clone() },
-        Record::Snapshot { last: Seq(5), stamp: view.epoch, body },
+        Record::Snapshot {
+            last: Seq(5),
+            stamp: view.epoch,
+            body,
+        },
         Record::Change { change },
     ];
     let raw: Vec<Vec<u8>> = records
         .iter()
-        .map(|record| rkyv::to_bytes::<rkyv::rancor::Error>(record).expect("archived").to_vec())
+        .map(|record| {
+            rkyv::to_bytes::<rkyv::rancor::Error>(record)
+                .expect("archived")
+                .to_vec()
+        })
         .collect();
-    let config = Config { cases: 4000, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[19; 32]));
+    let config = Config {
+        cases: 4000,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[19; 32]));
     let bends = proptest::collection::vec((0..raw.len(), any::<usize>(), any::<u8>()), 1..5);
     let outcome = runner.run(&bends, |bends| {
         let mut bent = raw.clone();
@@ -61,7 +97,14 @@
             bent[record][place % length] = byte;
         }
         if let Ok(kept) = read_records(&bent) {
-            let _ = Replica::new(me, vec![], Timing::default(), kept, Ledger::default(), Moment(1));
+            let _ = Replica::new(
+                me,
+                vec![],
+                Timing::default(),
+                kept,
+                Ledger::default(),
+                Moment(1),
+            );
         }
         Ok(())
     });
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -21,7 +21,9 @@
 pub mod prelude {
     pub use crate::admin::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
     pub use crate::contacts::{ContactTiming, Contacts};
-    pub use crate::controller::{Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum};
+    pub use crate::controller::{
+        Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+    };
     pub use crate::core_line::{Attempt, CoreLine, Told};
     pub use crate::daemon::run;
     pub use crate::disk_thread::{DiskEvent, DiskThread};
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -39,13 +39,21 @@
 fn main() -> ExitCode {
     let line = Line::parse();
     tracing_subscriber::fmt()
-        .with_env_filter(tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into()))
+        .with_env_filter(
+            tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into()),
+        )
         .with_target(false)
         .with_writer(std::io::stderr)
         .init();
     match line.task {
         Task::Admin(admin) => ExitCode::from(admin.run()),
-        Task::Serve { settings, listen, inner, zone, folder } => {
+        Task::Serve {
+            settings,
+            listen,
+            inner,
+            zone,
+            folder,
+        } => {
             let mut read = match read_settings::<Settings>(settings.as_deref()) {
                 Ok(read) => read,
                 Err(fault) => {
@@ -53,8 +61,12 @@
                     return ExitCode::from(2);
                 }
             };
-            listen.into_iter().for_each(|address| read.listen = address.to_string());
-            inner.into_iter().for_each(|address| read.inner = address.to_string());
+            listen
+                .into_iter()
+                .for_each(|address| read.listen = address.to_string());
+            inner
+                .into_iter()
+                .for_each(|address| read.inner = address.to_string());
             zone.into_iter().for_each(|name| read.zone = name);
             folder.into_iter().for_each(|path| read.folder = path);
             ExitCode::from(run(&read, Dialects::default()))
--- a/crates/controller/src/own_interface.rs
+++ b/crates/controller/src/own_interface.rs
@@ -37,13 +37,23 @@
         tallies: &'a Tallies,
     ) -> Self {
         let attempt = Attempt::new(OPERATOR_PATIENCE, Some(request.client.clone()));
-        OwnInterface { request, core, sender, is_ready, tallies, attempt }
+        OwnInterface {
+            request,
+            core,
+            sender,
+            is_ready,
+            tallies,
+            attempt,
+        }
     }
 
     /// The answer.
     pub(crate) fn respond(&self) -> Response {
         let body = || self.request.body.to_vec();
-        match (self.request.method.as_str(), self.request.parts().as_slice()) {
+        match (
+            self.request.method.as_str(),
+            self.request.parts().as_slice(),
+        ) {
             ("GET", ["ready"]) => self.readiness(),
             ("GET", ["metrics"]) => metrics(self.tallies),
             ("GET", ["v1", "believes"]) => self.believes(),
@@ -51,10 +61,17 @@
             ("GET", ["v1", "tenants"]) => self.read(Reading::Tenants),
             ("GET", ["v1", "plan"]) => self.read(Reading::Epoch { epoch: Epoch(0) }),
             ("GET", ["v1", "plans", epoch]) => match epoch.parse() {
-                Ok(epoch) if epoch > 0 => self.read(Reading::Epoch { epoch: Epoch(epoch) }),
-                _ => Response::result(ResultCode::UnknownEpoch, format!("`{epoch}` is not an epoch")),
+                Ok(epoch) if epoch > 0 => self.read(Reading::Epoch {
+                    epoch: Epoch(epoch),
+                }),
+                _ => Response::result(
+                    ResultCode::UnknownEpoch,
+                    format!("`{epoch}` is not an epoch"),
+                ),
             },
-            ("GET", ["v1", "fates", id]) => self.read(Reading::Fate { id: (*id).to_owned() }),
+            ("GET", ["v1", "fates", id]) => self.read(Reading::Fate {
+                id: (*id).to_owned(),
+            }),
             ("PUT", ["v1", "plan"]) => match Command::plan(body()) {
                 Ok(command) => self.propose(command, true),
                 Err(faults) => self.refuse(faults),
@@ -64,14 +81,23 @@
                 Err(response) => *response,
             },
             ("POST", ["v1", "members", "forget"]) => self.forget(),
-            ("POST", ["v1", "zones", zone, "withdraw"]) => {
-                self.propose(Command::Withdraw { zone: (*zone).into() }, false)
-            }
-            ("POST", ["v1", "zones", zone, "restore"]) => {
-                self.propose(Command::Restore { zone: (*zone).into() }, false)
-            }
+            ("POST", ["v1", "zones", zone, "withdraw"]) => self.propose(
+                Command::Withdraw {
+                    zone: (*zone).into(),
+                },
+                false,
+            ),
+            ("POST", ["v1", "zones", zone, "restore"]) => self.propose(
+                Command::Restore {
+                    zone: (*zone).into(),
+                },
+                false,
+            ),
             _ => {
-                let why = format!("{} {} is not known here", self.request.method, self.request.path);
+                let why = format!(
+                    "{} {} is not known here",
+                    self.request.method, self.request.path
+                );
                 Response::result(ResultCode::NotFound, why)
             }
         }
@@ -89,7 +115,10 @@
         let _ = self.sender.send(ControlEvent::Believes(response));
         match inbox.recv_timeout(BELIEVES_PATIENCE) {
             Ok(value) => Response::json(200, &value),
-            Err(_) => Response::result(ResultCode::CoreNotReady, "the control thread gave no answer"),
+            Err(_) => Response::result(
+                ResultCode::CoreNotReady,
+                "the control thread gave no answer",
+            ),
         }
     }
 
@@ -111,7 +140,9 @@
 
     /// A document that has faults now may have been taken when it was first sent.
     fn refuse(&self, faults: Vec<Fault>) -> Response {
-        let reading = Reading::Fate { id: self.change_id() };
+        let reading = Reading::Fate {
+            id: self.change_id(),
+        };
         match self.core.ask(OperatorAsk::Read(reading), &self.attempt) {
             Ok((status, _)) if status == ResultCode::UnknownChange.http_status() => faulty(&faults),
             Ok((status, body)) => told(status, body),
@@ -121,8 +152,13 @@
 
     /// What these bytes change of the plan that they build on.
     fn change(&self, bytes: Vec<u8>) -> Result<Command, Box<Response>> {
-        let builds_on = self.request.query_word("builds_on").and_then(|epoch| epoch.parse().ok());
-        let reading = Reading::Base { at_least: Epoch(builds_on.unwrap_or(0)) };
+        let builds_on = self
+            .request
+            .query_word("builds_on")
+            .and_then(|epoch| epoch.parse().ok());
+        let reading = Reading::Base {
+            at_least: Epoch(builds_on.unwrap_or(0)),
+        };
         let (status, body) = self.core.ask(OperatorAsk::Read(reading), &self.attempt)?;
         match body.split_at_checked(8) {
             Some((base, plan)) if status == 200 => {
@@ -141,43 +177,66 @@
         }
         let builds_on = match self.request.query_word("builds_on").map(str::parse) {
             Some(Ok(epoch)) => Some(Epoch(epoch)),
-            Some(Err(_)) => return Response::result(ResultCode::BadPlan, "builds_on is not a number"),
+            Some(Err(_)) => {
+                return Response::result(ResultCode::BadPlan, "builds_on is not a number");
+            }
             None if needs_base => {
-                return Response::result(ResultCode::BadPlan, "the query must have builds_on, an epoch");
+                return Response::result(
+                    ResultCode::BadPlan,
+                    "the query must have builds_on, an epoch",
+                );
             }
             None => None,
         };
-        self.ask(OperatorAsk::Propose(Proposal { id, builds_on, seen: Epoch(0), command }))
+        self.ask(OperatorAsk::Propose(Proposal {
+            id,
+            builds_on,
+            seen: Epoch(0),
+            command,
+        }))
     }
 
     fn forget(&self) -> Response {
         match serde_json::from_slice::<Lost>(&self.request.body) {
-            Ok(Lost { members }) if !members.is_empty() => self.propose(Command::Forget { members }, false),
-            Ok(_) => Response::result(ResultCode::BadPlan, "members is empty: name each that is lost"),
-            Err(fault) => {
-                Response::result(ResultCode::BadPlan, format!("{fault}; wanted is {{\"members\": [\"IP:PORT\"]}}"))
+            Ok(Lost { members }) if !members.is_empty() => {
+                self.propose(Command::Forget { members }, false)
             }
+            Ok(_) => Response::result(
+                ResultCode::BadPlan,
+                "members is empty: name each that is lost",
+            ),
+            Err(fault) => Response::result(
+                ResultCode::BadPlan,
+                format!("{fault}; wanted is {{\"members\": [\"IP:PORT\"]}}"),
+            ),
         }
     }
 }
 
 /// What the core told, with a time to come back where its code has one.
 fn told(status: u16, body: Vec<u8>) -> Response {
-    let code = ResultCode::ALL.iter().find(|code| code.http_status() == status && code.comes_back().is_some());
+    let code = ResultCode::ALL
+        .iter()
+        .find(|code| code.http_status() == status && code.comes_back().is_some());
     let response = Response::whole(status, "application/json", body);
-    code.into_iter().fold(response, |response, code| response.to_come_back(*code, Span(0)))
+    code.into_iter().fold(response, |response, code| {
+        response.to_come_back(*code, Span(0))
+    })
 }
 
 fn faulty(faults: &[Fault]) -> Response {
     let code = ResultCode::BadPlan;
-    let value =
-        serde_json::json!({"code": code.number(), "result": code.word(), "why": "nothing changed", "faults": faults});
+    let value = serde_json::json!({"code": code.number(), "result": code.word(), "why": "nothing changed", "faults": faults});
     Response::json(code.http_status(), &value)
 }
 
 fn metrics(tallies: &Tallies) -> Response {
     let rows: [(&str, &str, &AtomicU64); 8] = [
-        ("controller_http_requests_total", "counter", &tallies.requests),
+        (
+            "controller_http_requests_total",
+            "counter",
+            &tallies.requests,
+        ),
         ("controller_disk_writes_total", "counter", &tallies.writes),
         ("controller_disk_faults_total", "counter", &tallies.faults),
         ("controller_polls_total", "counter", &tallies.polls),
@@ -186,8 +245,11 @@
         ("controller_chain_length", "gauge", &tallies.chain),
         ("controller_members", "gauge", &tallies.members),
     ];
-    let lines = rows
-        .iter()
-        .map(|(name, kind, value)| format!("# TYPE {name} {kind}\n{name} {}\n", value.load(Ordering::Relaxed)));
+    let lines = rows.iter().map(|(name, kind, value)| {
+        format!(
+            "# TYPE {name} {kind}\n{name} {}\n",
+            value.load(Ordering::Relaxed)
+        )
+    });
     Response::whole(200, "text/plain; version=0.0.4", lines.collect::<String>())
 }
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -27,7 +27,12 @@
 
 impl Default for Dialects {
     fn default() -> Self {
-        Dialects { plans: Arc::new(OwnPlans), admin: None, others: None, seeds: None }
+        Dialects {
+            plans: Arc::new(OwnPlans),
+            admin: None,
+            others: None,
+            seeds: None,
+        }
     }
 }
 
@@ -40,13 +45,18 @@
     // That settings have changed must not end the process. Its seeds are read anew all the time, and the rest of its
     // settings is fixed for its life.
     let has_changed = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(signal_hook::consts::SIGHUP, has_changed).map_err(|fault| fault.to_string())?;
+    signal_hook::flag::register(signal_hook::consts::SIGHUP, has_changed)
+        .map_err(|fault| fault.to_string())?;
     Ok(stop)
 }
 
 /// The gate at which operators are served.
 pub(crate) fn operators_gate(listen: Address) -> Result<Gate, String> {
-    let bounds =
-        GateBounds { connections: 128, body_bytes: 48 << 20, read_span: Span::seconds(20), ..GateBounds::default() };
+    let bounds = GateBounds {
+        connections: 128,
+        body_bytes: 48 << 20,
+        read_span: Span::seconds(20),
+        ..GateBounds::default()
+    };
     Gate::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))
 }
--- a/crates/controller/src/redirect.rs
+++ b/crates/controller/src/redirect.rs
@@ -33,7 +33,10 @@
     /// Among those that are read for each operator, by turns: the nodes of the first settings may all have been
     /// replaced since.
     pub(crate) fn new(read_others: ReadAddresses) -> Self {
-        Redirector { read_others, next: AtomicUsize::new(0) }
+        Redirector {
+            read_others,
+            next: AtomicUsize::new(0),
+        }
     }
 
     /// The next one that serves; if none does, the first that answers at all.
@@ -55,9 +58,16 @@
     /// Sends an operator on.
     pub(crate) fn respond(&self, request: &Request) -> Response {
         let Some(other) = self.pick(probe) else {
-            return Response::result(ResultCode::CoreNotReady, "this node has no disk, and no other answers it");
+            return Response::result(
+                ResultCode::CoreNotReady,
+                "this node has no disk, and no other answers it",
+            );
+        };
+        let query = if request.query.is_empty() {
+            String::new()
+        } else {
+            format!("?{}", request.query)
         };
-        let query = if request.query.is_empty() { String::new() } else { format!("?{}", request.query) };
         let location = format!("http://{other}{}{query}", request.path);
         Response::whole(307, "text/plain", "ask there\n").with_header("location", location)
     }
@@ -65,7 +75,11 @@
 
 /// Asks another node whether it serves.
 fn probe(other: Address) -> Readiness {
-    match ask_get(&format!("http://{other}/ready"), PROBE_PATIENCE, PROBE_PATIENCE) {
+    match ask_get(
+        &format!("http://{other}/ready"),
+        PROBE_PATIENCE,
+        PROBE_PATIENCE,
+    ) {
         Ok(answer) if answer.status() == 200 => Readiness::Serves,
         Ok(_) => Readiness::Waits,
         Err(_) => Readiness::Silent,
--- a/crates/controller/src/redirect/tests.rs
+++ b/crates/controller/src/redirect/tests.rs
@@ -25,7 +25,10 @@
 
 #[test]
 fn a_node_that_knows_no_other_sends_nobody_on() {
-    assert_eq!(Redirector::new(Arc::new(Vec::new)).pick(|_| Readiness::Serves), None);
+    assert_eq!(
+        Redirector::new(Arc::new(Vec::new)).pick(|_| Readiness::Serves),
+        None
+    );
 }
 
 /// All three that the settings named at the start may have been replaced by machines at other addresses.
@@ -33,9 +36,20 @@
 fn settings_that_change_are_heeded_at_once() {
     let replaced = Arc::new(AtomicBool::new(false));
     let is_replaced = replaced.clone();
-    let redirector =
-        Redirector::new(Arc::new(move || nodes(if is_replaced.load(Ordering::Relaxed) { &[4] } else { &[1, 2, 3] })));
-    assert_eq!(redirector.pick(|_| Readiness::Serves), Some(Address::loopback(1)));
+    let redirector = Redirector::new(Arc::new(move || {
+        nodes(if is_replaced.load(Ordering::Relaxed) {
+            &[4]
+        } else {
+            &[1, 2, 3]
+        })
+    }));
+    assert_eq!(
+        redirector.pick(|_| Readiness::Serves),
+        Some(Address::loopback(1))
+    );
     replaced.store(true, Ordering::Relaxed);
-    assert_eq!(redirector.pick(|_| Readiness::Serves), Some(Address::loopback(4)));
+    assert_eq!(
+        redirector.pick(|_| Readiness::Serves),
+        Some(Address::loopback(4))
+    );
 }
--- a/crates/controller/src/relay.rs
+++ b/crates/controller/src/relay.rs
@@ -28,13 +28,17 @@
 impl Relay {
     /// At the start of a process that is reached at `own`.
     pub fn new(own: Address, seeds: Vec<Address>, now: Moment) -> Self {
-        Relay { contacts: Contacts::new(own, None, seeds, now) }
+        Relay {
+            contacts: Contacts::new(own, None, seeds, now),
+        }
     }
 
     /// Takes an input in; gives the letters that are to be sent.
     pub fn step(&mut self, now: Moment, input: RelayInput) -> Vec<(Address, Letter)> {
         match input {
-            RelayInput::Letter { from, letter } => self.on_letter(now, from, letter).into_iter().collect(),
+            RelayInput::Letter { from, letter } => {
+                self.on_letter(now, from, letter).into_iter().collect()
+            }
             RelayInput::Seeds(seeds) => {
                 self.contacts.set_seeds(now, seeds);
                 self.contacts.on_clock(now)
@@ -43,12 +47,23 @@
         }
     }
 
-    fn on_letter(&mut self, now: Moment, from: Address, letter: Letter) -> Option<(Address, Letter)> {
+    fn on_letter(
+        &mut self,
+        now: Moment,
+        from: Address,
+        letter: Letter,
+    ) -> Option<(Address, Letter)> {
         let answer = match letter {
-            Letter::CoreLocation { location, is_answer } => self.contacts.on_location(now, from, &location, is_answer),
+            Letter::CoreLocation {
+                location,
+                is_answer,
+            } => self.contacts.on_location(now, from, &location, is_answer),
             Letter::Poll { poll } => {
                 let response = self.contacts.elsewhere();
-                response.map(|it| Letter::PollResponse { round: poll.round, response: Box::new(it) })
+                response.map(|it| Letter::PollResponse {
+                    round: poll.round,
+                    response: Box::new(it),
+                })
             }
             _ => None,
         };
--- a/crates/controller/src/relay_daemon.rs
+++ b/crates/controller/src/relay_daemon.rs
@@ -16,29 +16,43 @@
 pub(crate) fn run_relay(settings: &Settings, dialects: &Dialects) -> Result<(), String> {
     let listen: Address = settings.listen.parse()?;
     let inner: Address = settings.inner.parse()?;
-    let listener = TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
+    let listener =
+        TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let (sender, letters) = flume::bounded(QUEUE);
-    let post = Post::open(listener, move |from, letter| drop(sender.try_send(RelayInput::Letter { from, letter })));
+    let post = Post::open(listener, move |from, letter| {
+        drop(sender.try_send(RelayInput::Letter { from, letter }))
+    });
     let post = post.map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let stop = stop_flag()?;
     let served = Arc::new(RwLock::new(vec![]));
     serve_operators(settings, dialects, served.clone())?;
-    tracing::info!("controller: listens at {listen}, inner {inner}, has no disk and sends operators on.");
+    tracing::info!(
+        "controller: listens at {listen}, inner {inner}, has no disk and sends operators on."
+    );
     let now = Clock::now();
     let relay = Relay::new(inner, parse_addresses(&settings.seeds), now);
-    let mut daemon = RelayDaemon { relay, post, served };
+    let mut daemon = RelayDaemon {
+        relay,
+        post,
+        served,
+    };
     let mut next_reading = now;
     while !stop.load(Ordering::Relaxed) {
         let now = Clock::now();
         if now >= next_reading {
             next_reading = now + SETTINGS_PERIOD;
             let seeds = dialects.seeds.as_ref().and_then(|read| read());
-            seeds.into_iter().for_each(|seeds| daemon.take(now, RelayInput::Seeds(seeds)));
+            seeds
+                .into_iter()
+                .for_each(|seeds| daemon.take(now, RelayInput::Seeds(seeds)));
         }
         if now >= daemon.relay.next_timer() {
             daemon.take(now, RelayInput::ClockEvent);
         }
-        let wait = now.until(daemon.relay.next_timer()).min(now.until(next_reading)).min(LONGEST_WAIT);
+        let wait = now
+            .until(daemon.relay.next_timer())
+            .min(now.until(next_reading))
+            .min(LONGEST_WAIT);
         match letters.recv_timeout(wait.duration()) {
             Ok(letter) => daemon.take(Clock::now(), letter),
             Err(flume::RecvTimeoutError::Timeout) => {}
@@ -50,19 +64,38 @@
 }
 
 /// Sends operators on to where they are served, or, while that isn't known, to whom the settings name.
-fn serve_operators(settings: &Settings, dialects: &Dialects, served: Arc<RwLock<Vec<Address>>>) -> Result<(), String> {
+fn serve_operators(
+    settings: &Settings,
+    dialects: &Dialects,
+    served: Arc<RwLock<Vec<Address>>>,
+) -> Result<(), String> {
     let listen: Address = settings.listen.parse()?;
     let named = parse_addresses(&settings.admin_addresses);
-    let read_named = dialects.others.clone().unwrap_or_else(|| Arc::new(move || named.clone()));
+    let read_named = dialects
+        .others
+        .clone()
+        .unwrap_or_else(|| Arc::new(move || named.clone()));
     let read_others = move || {
-        let known = served.read().unwrap_or_else(PoisonError::into_inner).clone();
-        let others = if known.is_empty() { read_named() } else { known };
-        others.into_iter().filter(|other| *other != listen).collect()
+        let known = served
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
+        let others = if known.is_empty() {
+            read_named()
+        } else {
+            known
+        };
+        others
+            .into_iter()
+            .filter(|other| *other != listen)
+            .collect()
     };
     let gate = operators_gate(listen)?;
     let redirector = Arc::new(Redirector::new(Arc::new(read_others)));
     let gate_thread = move || gate.serve(move |request| redirector.respond(&request));
-    let spawned = std::thread::Builder::new().name("gate".into()).spawn(gate_thread);
+    let spawned = std::thread::Builder::new()
+        .name("gate".into())
+        .spawn(gate_thread);
     spawned.map(drop).map_err(|fault| fault.to_string())
 }
 
@@ -78,6 +111,7 @@
         for (to, letter) in self.relay.step(now, input) {
             self.post.send(to, PostClass::of(&letter, false), letter);
         }
-        *self.served.write().unwrap_or_else(PoisonError::into_inner) = self.relay.admin_addresses(now);
+        *self.served.write().unwrap_or_else(PoisonError::into_inner) =
+            self.relay.admin_addresses(now);
     }
 }
