--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -37,9 +37,16 @@
         OwnPlans.parse(bytes)
     }
     fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<Fault>> {
-        let note = |bytes: &[u8]| serde_json::from_slice::<serde_json::Value>(bytes).ok().map(|v| v["note"].clone());
+        let note = |bytes: &[u8]| {
+            serde_json::from_slice::<serde_json::Value>(bytes)
+                .ok()
+                .map(|v| v["note"].clone())
+        };
         if note(plan) == note(change) {
-            return Err(vec![Fault { path: "note".into(), why: "it is there already".into() }]);
+            return Err(vec![Fault {
+                path: "note".into(),
+                why: "it is there already".into(),
+            }]);
         }
         OwnPlans.merge(plan, change)
     }
@@ -51,7 +58,8 @@
 }
 
 fn document(revision: u64, note: u64) -> Vec<u8> {
-    format!(r#"{{"revision":{revision},"services":{{"a":{{"slots":4}}}},"note":"{note}"}}"#).into_bytes()
+    format!(r#"{{"revision":{revision},"services":{{"a":{{"slots":4}}}},"note":"{note}"}}"#)
+        .into_bytes()
 }
 
 /// One request at a machine, which may outlive its operator's patience.
@@ -119,7 +127,13 @@
 
 impl Play {
     fn new(seed: u64, mutant: Option<Mutant>) -> Play {
-        let operator = |job| Operator { job, running: None, rests_until: 0, told: None, is_next_evacuated: true };
+        let operator = |job| Operator {
+            job,
+            running: None,
+            rests_until: 0,
+            told: None,
+            is_next_evacuated: true,
+        };
         let jobs = [
             Job::Configures,
             Job::Configures,
@@ -140,7 +154,10 @@
             violations: vec![],
             is_over: true,
         };
-        let first = AdminCall::Plan { bytes: document(5, 0), base: 0 };
+        let first = AdminCall::Plan {
+            bytes: document(5, 0),
+            base: 0,
+        };
         assert_eq!(play.send_until_clear(first), Outcome::Confirmed);
         play.newest = 5;
         play.is_over = false;
@@ -152,19 +169,36 @@
         self.next_number += 1;
         let number = self.next_number;
         let (task, step) = AdminTask::begin(call, &OncePlans, zones(), true);
-        let until = self.core.now + if self.core.chance(60) { PATIENCE } else { UNNOTICED };
-        self.doors.insert(number, Door { task, machine, operator, until, is_about_fate: false });
+        let until = self.core.now
+            + if self.core.chance(60) {
+                PATIENCE
+            } else {
+                UNNOTICED
+            };
+        self.doors.insert(
+            number,
+            Door {
+                task,
+                machine,
+                operator,
+                until,
+                is_about_fate: false,
+            },
+        );
         self.take_step(number, step);
         number
     }
 
     fn take_step(&mut self, number: u64, step: SchedulerStep) {
-        let Some(door) = self.doors.get_mut(&number) else { return };
+        let Some(door) = self.doors.get_mut(&number) else {
+            return;
+        };
         match step {
             SchedulerStep::Ask(ask) => {
                 door.is_about_fate = matches!(ask, OperatorAsk::Read(Reading::Fate { .. }));
                 let machine = door.machine;
-                self.core.tell(machine, ControllerInput::Operator { number, ask });
+                self.core
+                    .tell(machine, ControllerInput::Operator { number, ask });
             }
             SchedulerStep::Answer(answer) => {
                 let is_about_fate = door.is_about_fate;
@@ -177,11 +211,23 @@
         }
     }
 
-    fn on_answer(&mut self, operator: usize, number: u64, answer: AdminAnswer, is_about_fate: bool) {
+    fn on_answer(
+        &mut self,
+        operator: usize,
+        number: u64,
+        answer: AdminAnswer,
+        is_about_fate: bool,
+    ) {
         let is_lost = !self.is_over && self.core.chance(35);
         let now = self.core.now;
-        let Some(running) = &mut self.operators[operator].running else { return };
-        if is_lost || running.waits.is_none_or(|(waits_for, _)| waits_for != number) {
+        let Some(running) = &mut self.operators[operator].running else {
+            return;
+        };
+        if is_lost
+            || running
+                .waits
+                .is_none_or(|(waits_for, _)| waits_for != number)
+        {
             return;
         }
         running.waits = None;
@@ -189,9 +235,12 @@
         let outcome = match answer {
             AdminAnswer::Done => Outcome::Confirmed,
             AdminAnswer::Refused {
-                code: ResultCode::Conflict | ResultCode::IdReused | ResultCode::BadPlan, ..
+                code: ResultCode::Conflict | ResultCode::IdReused | ResultCode::BadPlan,
+                ..
             } => Outcome::Refused,
-            AdminAnswer::Refused { .. } if is_about_fate && self.mutant == Some(Mutant::AnyFateRefuses) => {
+            AdminAnswer::Refused { .. }
+                if is_about_fate && self.mutant == Some(Mutant::AnyFateRefuses) =>
+            {
                 Outcome::Refused
             }
             AdminAnswer::Refused { code, .. } if (400..500).contains(&code.http_status()) => {
@@ -208,8 +257,14 @@
 
     fn end(&mut self, operator: usize, outcome: Outcome) {
         let now = self.core.now;
-        let rest = if self.core.chance(50) { self.core.below(150) } else { self.core.below(2500) };
-        let Some(running) = self.operators[operator].running.take() else { return };
+        let rest = if self.core.chance(50) {
+            self.core.below(150)
+        } else {
+            self.core.below(2500)
+        };
+        let Some(running) = self.operators[operator].running.take() else {
+            return;
+        };
         let operator = &mut self.operators[operator];
         operator.rests_until = now + rest;
         match (&running.call, outcome) {
@@ -218,10 +273,14 @@
                 operator.is_next_evacuated = !operator.is_next_evacuated;
             }
             (AdminCall::Withdraw { .. } | AdminCall::Restore { .. }, Outcome::Refused) => {
-                self.violations.push(format!("{now}: an evacuation was refused for good"));
+                self.violations
+                    .push(format!("{now}: an evacuation was refused for good"));
             }
             (_, Outcome::Refused) if running.base.is_some_and(|base| self.accepted <= base) => {
-                self.violations.push(format!("{now}: refused on {:?}, and nothing newer was accepted", running.base));
+                self.violations.push(format!(
+                    "{now}: refused on {:?}, and nothing newer was accepted",
+                    running.base
+                ));
             }
             (_, Outcome::Confirmed) => {
                 let revision = revision_of(&running.call);
@@ -239,7 +298,9 @@
             let operator = &self.operators[place];
             if let Some(running) = &operator.running {
                 match running.waits {
-                    Some((number, since)) if now >= since + SILENCE => self.turn_away(place, number),
+                    Some((number, since)) if now >= since + SILENCE => {
+                        self.turn_away(place, number)
+                    }
                     None if now >= running.next_try => self.try_again(place),
                     _ => {}
                 }
@@ -267,14 +328,19 @@
 
     fn try_again(&mut self, place: usize) {
         let machine = self.core.below(3) as usize;
-        let Some(running) = &mut self.operators[place].running else { return };
+        let Some(running) = &mut self.operators[place].running else {
+            return;
+        };
         running.tries += 1;
         // An evacuation goes on until it's clear: the next one is of no use before.
-        let is_given_up = running.tries > TRIES || (running.tries > 1 && self.core.chance(GIVEN_UP) && !self.is_over);
+        let is_given_up = running.tries > TRIES
+            || (running.tries > 1 && self.core.chance(GIVEN_UP) && !self.is_over);
         if is_given_up && running.base.is_some() {
             return self.end(place, Outcome::Unclear);
         }
-        let Some(running) = &mut self.operators[place].running else { return };
+        let Some(running) = &mut self.operators[place].running else {
+            return;
+        };
         let call = running.call.clone();
         if !self.core.is_up(machine) {
             running.next_try = self.core.now + PAUSE;
@@ -294,7 +360,11 @@
                 // All that build on one number pick the same next one.
                 let bytes = document(base + 2, note);
                 let is_whole = self.core.chance(50);
-                let call = if is_whole { AdminCall::Plan { bytes, base } } else { AdminCall::Change { bytes, base } };
+                let call = if is_whole {
+                    AdminCall::Plan { bytes, base }
+                } else {
+                    AdminCall::Change { bytes, base }
+                };
                 (call, Some(base))
             }
             Job::Evacuates(zone) if self.operators[place].is_next_evacuated => {
@@ -304,8 +374,14 @@
         };
         let operator = &mut self.operators[place];
         operator.told = None;
-        operator.running =
-            Some(Running { call, base, tries: 0, other_refusals: 0, waits: None, next_try: self.core.now });
+        operator.running = Some(Running {
+            call,
+            base,
+            tries: 0,
+            other_refusals: 0,
+            waits: None,
+            next_try: self.core.now,
+        });
         self.try_again(place);
     }
 
@@ -319,22 +395,34 @@
         }
         let now = self.core.now;
         let is_over = |door: &Door| now >= door.until;
-        let over: Vec<u64> = self.doors.iter().filter(|(_, door)| is_over(door)).map(|(number, _)| *number).collect();
+        let over: Vec<u64> = self
+            .doors
+            .iter()
+            .filter(|(_, door)| is_over(door))
+            .map(|(number, _)| *number)
+            .collect();
         for number in over {
-            let Some(door) = self.doors.get_mut(&number) else { continue };
+            let Some(door) = self.doors.get_mut(&number) else {
+                continue;
+            };
             let (machine, step) = (door.machine, door.task.on_told(None));
-            self.core.tell(machine, ControllerInput::Abandoned { number });
+            self.core
+                .tell(machine, ControllerInput::Abandoned { number });
             self.take_step(number, step);
             self.doors.remove(&number);
         }
     }
 
     fn check(&mut self) {
-        let Some(ledger) = self.core.accepted() else { return };
+        let Some(ledger) = self.core.accepted() else {
+            return;
+        };
         self.accepted = self.accepted.max(ledger.revision);
         let mut wrong = vec![];
         for operator in &mut self.operators {
-            let Job::Evacuates(zone) = &operator.job else { continue };
+            let Job::Evacuates(zone) = &operator.job else {
+                continue;
+            };
             let is_evacuated = ledger.withdrawn.contains(zone);
             if operator.told.is_some_and(|told| told != is_evacuated) {
                 wrong.push(format!(
@@ -388,7 +476,9 @@
         match trouble {
             0 => self.core.set_lines_of(machine, Carriage::Cut),
             1 => self.core.set_lines_of(machine, Carriage::Held),
-            2 => (0..3).filter(|to| *to != machine).for_each(|to| self.core.set_line(machine, to, Carriage::Held)),
+            2 => (0..3)
+                .filter(|to| *to != machine)
+                .for_each(|to| self.core.set_line(machine, to, Carriage::Held)),
             3 => {
                 // What it proposes is on its way while others go on.
                 let head = self.core.head().unwrap_or(0);
@@ -403,7 +493,9 @@
             }
             _ => {
                 // What it took last may be on its disk alone.
-                (0..3).filter(|to| *to != machine).for_each(|to| self.core.set_line(machine, to, Carriage::Held));
+                (0..3)
+                    .filter(|to| *to != machine)
+                    .for_each(|to| self.core.set_line(machine, to, Carriage::Held));
                 self.pass(self.core.now % 300, true);
                 self.core.wipe(machine);
                 self.forget_doors_of(machine);
@@ -422,10 +514,23 @@
     fn send_until_clear(&mut self, call: AdminCall) -> Outcome {
         let place = self.operators.len();
         let (base, next_try) = (base_of(&call), self.core.now);
-        let running = Running { call, base, tries: 0, other_refusals: 0, waits: None, next_try };
+        let running = Running {
+            call,
+            base,
+            tries: 0,
+            other_refusals: 0,
+            waits: None,
+            next_try,
+        };
         let running = Some(running);
         let (job, rests_until) = (Job::Configures, u64::MAX);
-        self.operators.push(Operator { job, running, rests_until, told: None, is_next_evacuated: true });
+        self.operators.push(Operator {
+            job,
+            running,
+            rests_until,
+            told: None,
+            is_next_evacuated: true,
+        });
         let before = self.ended.len();
         for _ in 0..TRIES {
             self.pass(SILENCE, false);
@@ -438,7 +543,9 @@
         }
         self.operators.remove(place);
         if self.ended.len() > before {
-            self.ended.pop().map_or(Outcome::Unclear, |(_, _, outcome)| outcome)
+            self.ended
+                .pop()
+                .map_or(Outcome::Unclear, |(_, _, outcome)| outcome)
         } else {
             Outcome::Unclear
         }
@@ -453,19 +560,25 @@
         let ended = std::mem::take(&mut self.ended);
         let mut winners: BTreeMap<u64, BTreeSet<Vec<u8>>> = BTreeMap::new();
         for (call, base, outcome) in &ended {
-            let (Some(base), AdminCall::Plan { bytes, .. } | AdminCall::Change { bytes, .. }) = (base, call) else {
+            let (Some(base), AdminCall::Plan { bytes, .. } | AdminCall::Change { bytes, .. }) =
+                (base, call)
+            else {
                 continue;
             };
             let again = self.send_until_clear(call.clone());
             if *outcome != Outcome::Unclear && again != *outcome {
-                self.violations.push(format!("{call:?} was {outcome:?} and sent again {again:?}"));
+                self.violations
+                    .push(format!("{call:?} was {outcome:?} and sent again {again:?}"));
             }
             if again == Outcome::Confirmed || *outcome == Outcome::Confirmed {
                 winners.entry(*base).or_default().insert(bytes.clone());
             }
         }
         for (base, documents) in winners.iter().filter(|(_, documents)| documents.len() > 1) {
-            self.violations.push(format!("{} documents on revision {base} were confirmed", documents.len()));
+            self.violations.push(format!(
+                "{} documents on revision {base} were confirmed",
+                documents.len()
+            ));
         }
         self.ended = ended;
     }
@@ -487,22 +600,44 @@
     let mut play = Play::new(seed, mutant);
     play.play();
     play.judge();
-    let count = |wanted: Outcome| play.ended.iter().filter(|(_, _, outcome)| *outcome == wanted).count();
-    let counts = [count(Outcome::Confirmed), count(Outcome::Refused), count(Outcome::Unclear)];
+    let count = |wanted: Outcome| {
+        play.ended
+            .iter()
+            .filter(|(_, _, outcome)| *outcome == wanted)
+            .count()
+    };
+    let counts = [
+        count(Outcome::Confirmed),
+        count(Outcome::Refused),
+        count(Outcome::Unclear),
+    ];
     (play.violations, counts)
 }
 
 /// Plays these seeds on a few threads; gives the seeds with violations, and the sums of outcomes.
-fn run_all(seeds: std::ops::Range<u64>, mutant: Option<Mutant>) -> (Vec<(u64, Vec<String>)>, [usize; 3]) {
+fn run_all(
+    seeds: std::ops::Range<u64>,
+    mutant: Option<Mutant>,
+) -> (Vec<(u64, Vec<String>)>, [usize; 3]) {
     const THREADS: u64 = 4;
     let parts = (0..THREADS).map(|part| {
         let seeds = seeds.clone().filter(move |seed| seed % THREADS == part);
-        std::thread::spawn(move || seeds.map(|seed| (seed, run(seed, mutant))).collect::<Vec<_>>())
+        std::thread::spawn(move || {
+            seeds
+                .map(|seed| (seed, run(seed, mutant)))
+                .collect::<Vec<_>>()
+        })
     });
     let parts: Vec<_> = parts.collect();
     let (mut bad, mut sums) = (vec![], [0; 3]);
-    for (seed, (violations, counts)) in parts.into_iter().flat_map(|part| part.join().expect("a part runs")) {
-        counts.iter().zip(&mut sums).for_each(|(count, sum)| *sum += count);
+    for (seed, (violations, counts)) in parts
+        .into_iter()
+        .flat_map(|part| part.join().expect("a part runs"))
+    {
+        counts
+            .iter()
+            .zip(&mut sums)
+            .for_each(|(count, sum)| *sum += count);
         if !violations.is_empty() {
             bad.push((seed, violations));
         }
@@ -515,7 +650,8 @@
 fn seeds() -> std::ops::Range<u64> {
     let named = std::env::var("CONTROL_SEEDS").ok();
     let ends = named.as_deref().and_then(|range| range.split_once(".."));
-    ends.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?)).unwrap_or(1..201)
+    ends.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?))
+        .unwrap_or(1..201)
 }
 
 #[test]
@@ -523,7 +659,10 @@
     let (bad, sums) = run_all(seeds(), None);
     println!("confirmed, refused, unclear: {sums:?}");
     assert!(bad.is_empty(), "{} seeds: {bad:#?}", bad.len());
-    assert!(sums.iter().all(|sum| *sum > 0), "each outcome is brought about: {sums:?}");
+    assert!(
+        sums.iter().all(|sum| *sum > 0),
+        "each outcome is brought about: {sums:?}"
+    );
 }
 
 /// Hundreds of changes later, what was taken is confirmed still, and what was refused is not taken.
@@ -536,7 +675,10 @@
         for _ in 0..LATER_CHANGES {
             play.next_note += 1;
             let base = play.newest;
-            let call = AdminCall::Change { bytes: document(base + 2, play.next_note), base };
+            let call = AdminCall::Change {
+                bytes: document(base + 2, play.next_note),
+                base,
+            };
             // Unclear calls may still have been on top of the newest that was told.
             if play.send_until_clear(call) == Outcome::Confirmed {
                 play.newest = base + 2;
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -68,9 +68,21 @@
 impl Core {
     /// Three machines that form a chain from the first to the last and serve already.
     pub fn new(seed: u64, mutant: Option<Mutant>) -> Core {
-        let voter = |n: usize| Voter { address: address(n), disk: DiskId(n as u128 + 1) };
-        let chain = (0..3).map(|n| Seat { voter: voter(n), is_level: true }).collect();
-        let view = View { epoch: ViewEpoch(1), chain, voters: (0..3).map(voter).collect() };
+        let voter = |n: usize| Voter {
+            address: address(n),
+            disk: DiskId(n as u128 + 1),
+        };
+        let chain = (0..3)
+            .map(|n| Seat {
+                voter: voter(n),
+                is_level: true,
+            })
+            .collect();
+        let view = View {
+            epoch: ViewEpoch(1),
+            chain,
+            voters: (0..3).map(voter).collect(),
+        };
         let machine = |n: usize| Machine {
             disk: voter(n).disk,
             durable: vec![Record::View { view: view.clone() }],
@@ -89,7 +101,10 @@
         };
         (0..3).for_each(|n| core.start(n));
         core.run(3000);
-        assert!(core.tail().is_some(), "a core without faults serves after three seconds");
+        assert!(
+            core.tail().is_some(),
+            "a core without faults serves after three seconds"
+        );
         core
     }
 
@@ -109,17 +124,30 @@
     }
     /// The machine that may answer for the core now.
     pub fn tail(&self) -> Option<usize> {
-        let may_respond = |controller: &Controller| controller.replica().may_respond(Moment(self.now));
-        (0..3).find(|n| self.machines[*n].controller.as_ref().is_some_and(may_respond))
+        let may_respond =
+            |controller: &Controller| controller.replica().may_respond(Moment(self.now));
+        (0..3).find(|n| {
+            self.machines[*n]
+                .controller
+                .as_ref()
+                .is_some_and(may_respond)
+        })
     }
     /// The first of the chain, as the tail knows it.
     pub fn head(&self) -> Option<usize> {
         let controller = self.machines[self.tail()?].controller.as_ref()?;
-        controller.replica().view().head().map(|head| usize::from(head.address.0.port()) - 1)
+        controller
+            .replica()
+            .view()
+            .head()
+            .map(|head| usize::from(head.address.0.port()) - 1)
     }
     /// What a machine's disk came to.
     pub fn ledger(&self, machine: usize) -> Option<&Ledger> {
-        self.machines[machine].controller.as_ref().map(|controller| controller.replica().state_machine())
+        self.machines[machine]
+            .controller
+            .as_ref()
+            .map(|controller| controller.replica().state_machine())
     }
     /// What was accepted, as the tail has it.
     pub fn accepted(&self) -> Option<&Ledger> {
@@ -137,19 +165,34 @@
         }
         m.lives += 1;
         let incarnation = mix((machine as u64) << 32 | m.lives) | 1;
-        let me = Voter { address: address(machine), disk: m.disk };
-        let kept = Kept { records: m.durable.clone() };
-        let replica = Replica::new(me, founders, timing.replica, kept, Ledger::default(), now).expect("a sound disk");
+        let me = Voter {
+            address: address(machine),
+            disk: m.disk,
+        };
+        let kept = Kept {
+            records: m.durable.clone(),
+        };
+        let replica = Replica::new(me, founders, timing.replica, kept, Ledger::default(), now)
+            .expect("a sound disk");
         let contacts = Contacts::new(me.address, None, vec![], now);
-        m.controller =
-            Some(Controller::new(replica, contacts, timing, TokenKey([machine as u8; 32]), incarnation, now));
+        m.controller = Some(Controller::new(
+            replica,
+            contacts,
+            timing,
+            TokenKey([machine as u8; 32]),
+            incarnation,
+            now,
+        ));
     }
     /// Ends it; what was not synced is lost, and so is what is on its way to it.
     pub fn kill(&mut self, machine: usize) {
         let m = &mut self.machines[machine];
         m.controller = None;
         m.unsynced.clear();
-        self.lines.iter_mut().filter(|((_, to), _)| *to == machine).for_each(|(_, (_, letters))| letters.clear());
+        self.lines
+            .iter_mut()
+            .filter(|((_, to), _)| *to == machine)
+            .for_each(|(_, (_, letters))| letters.clear());
     }
     /// Ends it and gives it an empty disk.
     pub fn wipe(&mut self, machine: usize) {
@@ -160,7 +203,10 @@
     }
     /// Sets how the line from one to another carries.
     pub fn set_line(&mut self, from: usize, to: usize, carriage: Carriage) {
-        let line = self.lines.entry((from, to)).or_insert((Carriage::Open, VecDeque::new()));
+        let line = self
+            .lines
+            .entry((from, to))
+            .or_insert((Carriage::Open, VecDeque::new()));
         line.0 = carriage;
         if carriage == Carriage::Cut {
             line.1.clear();
@@ -177,14 +223,28 @@
     /// Tells a machine something; what follows from it happens in [`Core::advance`] and [`Core::run`].
     pub fn tell(&mut self, machine: usize, input: ControllerInput) {
         let now = Moment(self.now);
-        let Some(controller) = &mut self.machines[machine].controller else { return };
+        let Some(controller) = &mut self.machines[machine].controller else {
+            return;
+        };
         for output in controller.step(now, input) {
             match output {
-                ControllerOutput::Send { to, letter, .. } => self.send(machine, usize::from(to.0.port()) - 1, letter),
-                ControllerOutput::Write { id, records, is_whole } => {
-                    self.machines[machine].unsynced.push_back((id, records, is_whole));
+                ControllerOutput::Send { to, letter, .. } => {
+                    self.send(machine, usize::from(to.0.port()) - 1, letter)
+                }
+                ControllerOutput::Write {
+                    id,
+                    records,
+                    is_whole,
+                } => {
+                    self.machines[machine]
+                        .unsynced
+                        .push_back((id, records, is_whole));
                 }
-                ControllerOutput::Response { number, status, body } => {
+                ControllerOutput::Response {
+                    number,
+                    status,
+                    body,
+                } => {
                     self.answers.insert(number, (status, body));
                 }
                 ControllerOutput::ViewChanged(_) => {}
@@ -197,7 +257,10 @@
             return;
         }
         let (to, letter) = self.tamper(from, to, letter);
-        let (carriage, letters) = self.lines.entry((from, to)).or_insert((Carriage::Open, VecDeque::new()));
+        let (carriage, letters) = self
+            .lines
+            .entry((from, to))
+            .or_insert((Carriage::Open, VecDeque::new()));
         if *carriage != Carriage::Cut {
             letters.push_back(letter);
         }
@@ -207,19 +270,42 @@
     fn tamper(&self, from: usize, to: usize, letter: Letter) -> (usize, Letter) {
         match letter {
             // The newest epoch, in answer to a zone's change: it looks younger than anything.
-            Letter::Told { number, status: 200, body }
-                if self.mutant == Some(Mutant::BlindEvacuations) && body.len() == 8 =>
-            {
-                (to, Letter::Told { number, status: 200, body: u64::MAX.to_be_bytes().to_vec() })
-            }
+            Letter::Told {
+                number,
+                status: 200,
+                body,
+            } if self.mutant == Some(Mutant::BlindEvacuations) && body.len() == 8 => (
+                to,
+                Letter::Told {
+                    number,
+                    status: 200,
+                    body: u64::MAX.to_be_bytes().to_vec(),
+                },
+            ),
             Letter::Note { note } if self.mutant == Some(Mutant::HeadRefuses) => match *note {
                 Note::Judge { ticket, body, .. } => {
                     let judged = self.ledger(from).map(|ledger| ledger.preview(&body));
-                    let Some(Preview::TurnAway(body)) = judged else { unreachable!("the head would not take it") };
-                    let note = Note::Response { number: ticket.number, is_replied: true, body };
-                    (usize::from(ticket.origin.0.port()) - 1, Letter::Note { note: Box::new(note) })
+                    let Some(Preview::TurnAway(body)) = judged else {
+                        unreachable!("the head would not take it")
+                    };
+                    let note = Note::Response {
+                        number: ticket.number,
+                        is_replied: true,
+                        body,
+                    };
+                    (
+                        usize::from(ticket.origin.0.port()) - 1,
+                        Letter::Note {
+                            note: Box::new(note),
+                        },
+                    )
                 }
-                note => (to, Letter::Note { note: Box::new(note) }),
+                note => (
+                    to,
+                    Letter::Note {
+                        note: Box::new(note),
+                    },
+                ),
             },
             letter => (to, letter),
         }
@@ -227,10 +313,17 @@
 
     /// Does one thing that can happen now, drawn at random: a letter arrives or a disk syncs.
     pub fn advance(&mut self) -> bool {
-        let is_moving = |line: &(Carriage, VecDeque<Letter>)| line.0 == Carriage::Open && !line.1.is_empty();
-        let lines = self.lines.iter().filter(|(_, line)| is_moving(line)).map(|(ends, _)| *ends);
+        let is_moving =
+            |line: &(Carriage, VecDeque<Letter>)| line.0 == Carriage::Open && !line.1.is_empty();
+        let lines = self
+            .lines
+            .iter()
+            .filter(|(_, line)| is_moving(line))
+            .map(|(ends, _)| *ends);
         let lines: Vec<(usize, usize)> = lines.collect();
-        let disks: Vec<usize> = (0..3).filter(|n| !self.machines[*n].unsynced.is_empty()).collect();
+        let disks: Vec<usize> = (0..3)
+            .filter(|n| !self.machines[*n].unsynced.is_empty())
+            .collect();
         let choices = lines.len() + disks.len();
         if choices == 0 {
             return false;
@@ -238,9 +331,18 @@
         let choice = self.below(choices as u64) as usize;
         match lines.get(choice) {
             Some((from, to)) => {
-                let letter = self.lines.get_mut(&(*from, *to)).and_then(|line| line.1.pop_front());
+                let letter = self
+                    .lines
+                    .get_mut(&(*from, *to))
+                    .and_then(|line| line.1.pop_front());
                 let letter = letter.expect("it was not empty");
-                self.tell(*to, ControllerInput::Letter { from: address(*from), letter });
+                self.tell(
+                    *to,
+                    ControllerInput::Letter {
+                        from: address(*from),
+                        letter,
+                    },
+                );
             }
             None => self.sync(disks[choice - lines.len()]),
         }
@@ -249,7 +351,9 @@
 
     fn sync(&mut self, machine: usize) {
         let m = &mut self.machines[machine];
-        let Some((id, records, is_whole)) = m.unsynced.pop_front() else { return };
+        let Some((id, records, is_whole)) = m.unsynced.pop_front() else {
+            return;
+        };
         if is_whole {
             m.durable.clear();
         }
--- a/crates/controller/tests/delayed_and_refused.rs
+++ b/crates/controller/tests/delayed_and_refused.rs
@@ -11,21 +11,37 @@
 const TAIL: usize = 2;
 
 fn proposal(id: &str, command: Command) -> OperatorAsk {
-    OperatorAsk::Propose(Proposal { id: id.into(), builds_on: None, seen: Epoch(0), command })
+    OperatorAsk::Propose(Proposal {
+        id: id.into(),
+        builds_on: None,
+        seen: Epoch(0),
+        command,
+    })
 }
 
 fn plan(id: &str, base: u64, revision: u64) -> OperatorAsk {
-    let bytes = format!(r#"{{"revision":{revision},"services":{{"a":{{"slots":4}}}}}}"#).into_bytes();
+    let bytes =
+        format!(r#"{{"revision":{revision},"services":{{"a":{{"slots":4}}}}}}"#).into_bytes();
     let command = Command::plan_in(&OwnPlans, bytes, Some(base)).expect("a good plan");
     proposal(id, command.with_zones(&["east".into()]))
 }
 
 fn withdraw(id: &str) -> OperatorAsk {
-    proposal(id, Command::Withdraw { zone: "east".into() })
+    proposal(
+        id,
+        Command::Withdraw {
+            zone: "east".into(),
+        },
+    )
 }
 
 fn restore(id: &str) -> OperatorAsk {
-    proposal(id, Command::Restore { zone: "east".into() })
+    proposal(
+        id,
+        Command::Restore {
+            zone: "east".into(),
+        },
+    )
 }
 
 fn ask(core: &mut Core, machine: usize, number: u64, ask: OperatorAsk) {
@@ -55,13 +71,20 @@
 #[test]
 fn a_delayed_evacuation_is_not_carried_out_after_it_was_taken_back() {
     let core = after_a_delayed_call(withdraw, restore);
-    assert!(core.accepted().expect("a tail").withdrawn.is_empty(), "the first call came in after the last");
+    assert!(
+        core.accepted().expect("a tail").withdrawn.is_empty(),
+        "the first call came in after the last"
+    );
 }
 
 #[test]
 fn a_delayed_withdrawal_of_an_evacuation_does_not_open_the_zone_again() {
     let core = after_a_delayed_call(restore, withdraw);
-    assert_eq!(core.accepted().expect("a tail").withdrawn.len(), 1, "the first call came in after the last");
+    assert_eq!(
+        core.accepted().expect("a tail").withdrawn.len(),
+        1,
+        "the first call came in after the last"
+    );
 }
 
 /// What one disk holds may vanish with it: nothing is refused on the strength of it.
@@ -75,9 +98,16 @@
     assert_eq!(core.ledger(HEAD).map(|ledger| ledger.revision), Some(7));
     ask(&mut core, TAIL, 3, plan("other", 5, 9));
     core.run(300);
-    assert_eq!(core.answers.get(&3).map(|answer| answer.0), None, "revision 7 is on one disk only");
+    assert_eq!(
+        core.answers.get(&3).map(|answer| answer.0),
+        None,
+        "revision 7 is on one disk only"
+    );
     core.wipe(HEAD);
     let told = core.await_answer(3, 10_000).map(|(status, _)| status);
-    assert!(told != Some(409), "revision 7 is gone, and nothing else was ever taken");
+    assert!(
+        told != Some(409),
+        "revision 7 is gone, and nothing else was ever taken"
+    );
     assert_eq!(status(&mut core, TAIL, 4, plan("other", 5, 9)), Some(200));
 }
--- a/crates/loadgen/src/asker.rs
+++ b/crates/loadgen/src/asker.rs
@@ -39,7 +39,9 @@
 
 /// Names a prompt.
 pub fn print_of(prompt: &str) -> u64 {
-    prompt.bytes().fold(3, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3))
+    prompt.bytes().fold(3, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
 }
 
 const CONNECT: Span = Span(1000);
@@ -66,19 +68,37 @@
     let body = serde_json::json!({
         "id": planned.id, "service": planned.service, "prompt": planned.prompt, "max_pieces": planned.pieces,
     });
-    let outcome = ask_post(&format!("http://{router}/v1/requests"), body.to_string().into_bytes(), CONNECT, READ);
-    let Some(response) = opened(outcome, &mut asked) else { return asked };
-    let mut reader = StreamReader { run: None, token: None, next: 0, print: asked.print };
+    let outcome = ask_post(
+        &format!("http://{router}/v1/requests"),
+        body.to_string().into_bytes(),
+        CONNECT,
+        READ,
+    );
+    let Some(response) = opened(outcome, &mut asked) else {
+        return asked;
+    };
+    let mut reader = StreamReader {
+        run: None,
+        token: None,
+        next: 0,
+        print: asked.print,
+    };
     let mut is_whole = reader.read(response, &mut asked, began);
     let mut turn = first;
     while !is_whole && asked.resumed < 5 && asked.violations.is_empty() {
-        let Some(token) = reader.token.clone() else { break };
+        let Some(token) = reader.token.clone() else {
+            break;
+        };
         asked.resumed += 1;
         turn += 1;
         let router = routers[turn % routers.len()];
-        let body = serde_json::json!({"token": token, "from": reader.next}).to_string().into_bytes();
+        let body = serde_json::json!({"token": token, "from": reader.next})
+            .to_string()
+            .into_bytes();
         match ask_post(&format!("http://{router}/v1/resume"), body, CONNECT, READ) {
-            Ok(response) if response.status() == 200 => is_whole = reader.read(response, &mut asked, began),
+            Ok(response) if response.status() == 200 => {
+                is_whole = reader.read(response, &mut asked, began)
+            }
             Ok(response) if response.status() == 503 => {
                 std::thread::sleep(std::time::Duration::from_millis(300));
             }
@@ -86,7 +106,11 @@
             Err(_) => std::thread::sleep(std::time::Duration::from_millis(300)),
         }
     }
-    asked.fate = if is_whole { Fate::Complete } else { Fate::Broken };
+    asked.fate = if is_whole {
+        Fate::Complete
+    } else {
+        Fate::Broken
+    };
     asked
 }
 
@@ -95,14 +119,26 @@
     match outcome {
         Ok(response) if response.status() == 200 => Some(response),
         Ok(response) => {
-            let retry_after = response.header("retry-after").and_then(|value| value.parse().ok());
+            let retry_after = response
+                .header("retry-after")
+                .and_then(|value| value.parse().ok());
             asked.retry_after = retry_after;
-            let value: Value =
-                read_all(response, 1 << 20).ok().and_then(|b| serde_json::from_slice(&b).ok()).unwrap_or_default();
+            let value: Value = read_all(response, 1 << 20)
+                .ok()
+                .and_then(|b| serde_json::from_slice(&b).ok())
+                .unwrap_or_default();
             let code = value["code"].as_u64().unwrap_or(0);
-            asked.why = format!("{} {}", value["result"].as_str().unwrap_or("?"), value["why"].as_str().unwrap_or("?"));
+            asked.why = format!(
+                "{} {}",
+                value["result"].as_str().unwrap_or("?"),
+                value["why"].as_str().unwrap_or("?")
+            );
             let never_ran = value["ran"] == Value::Bool(false);
-            asked.fate = if never_ran { Fate::Refused(code) } else { Fate::Unknown(code) };
+            asked.fate = if never_ran {
+                Fate::Refused(code)
+            } else {
+                Fate::Unknown(code)
+            };
             None
         }
         Err(AskError::Withheld) => {
@@ -121,15 +157,22 @@
 }
 
 fn fetch(planned: &PlannedRequest, router: Address, asked: &mut Asked, began: Instant) {
-    let url = format!("http://{router}/v1/pages/{}/board/{}", planned.service, planned.id);
-    let Some(response) = opened(ask_get(&url, CONNECT, READ), asked) else { return };
+    let url = format!(
+        "http://{router}/v1/pages/{}/board/{}",
+        planned.service, planned.id
+    );
+    let Some(response) = opened(ask_get(&url, CONNECT, READ), asked) else {
+        return;
+    };
     match read_all(response, 1 << 20) {
         Ok(body) => {
             asked.first_ms = Some(began.elapsed().as_secs_f64() * 1000.0);
             asked.fate = Fate::Complete;
             let text = String::from_utf8_lossy(&body);
             if !text.contains(&planned.id) {
-                asked.violations.push(format!("{}: another client's page: {text}", planned.id));
+                asked
+                    .violations
+                    .push(format!("{}: another client's page: {text}", planned.id));
             }
         }
         Err(fault) => (asked.fate, asked.why) = (Fate::Broken, fault.to_string()),
@@ -154,7 +197,9 @@
             match lines.read_line(&mut line) {
                 Ok(0) => {
                     if !is_ended {
-                        asked.violations.push("a clean HTTP end without a final record".into());
+                        asked
+                            .violations
+                            .push("a clean HTTP end without a final record".into());
                     }
                     return is_ended;
                 }
@@ -162,7 +207,9 @@
                 Ok(_) if !line.ends_with('\n') => return false,
                 Ok(_) => {
                     if is_ended {
-                        asked.violations.push(format!("after the final record: {line}"));
+                        asked
+                            .violations
+                            .push(format!("after the final record: {line}"));
                         return false;
                     }
                     let Ok(value) = serde_json::from_str::<Value>(&line) else {
@@ -182,31 +229,48 @@
     /// Takes a record; says whether it's the final one.
     fn take(&mut self, value: &Value, asked: &mut Asked, began: Instant) -> bool {
         if let Some(run) = value["run"].as_str() {
-            self.token = value["token"].as_str().map(str::to_owned).or(self.token.take());
+            self.token = value["token"]
+                .as_str()
+                .map(str::to_owned)
+                .or(self.token.take());
             if self.run.get_or_insert(run.to_owned()) != run {
-                asked.violations.push(format!("spliced: run {run} after {:?}", self.run));
+                asked
+                    .violations
+                    .push(format!("spliced: run {run} after {:?}", self.run));
             }
         } else if let Some(n) = value["n"].as_u64() {
             if asked.first_ms.is_none() {
                 asked.first_ms = Some(began.elapsed().as_secs_f64() * 1000.0);
             }
             if n != self.next {
-                asked.violations.push(format!("piece {n} came where {} was due", self.next));
+                asked
+                    .violations
+                    .push(format!("piece {n} came where {} was due", self.next));
             }
             self.next = n + 1;
-            let wanted = format!("{}|{n}|{:x}", self.run.as_deref().unwrap_or("?"), self.print);
+            let wanted = format!(
+                "{}|{n}|{:x}",
+                self.run.as_deref().unwrap_or("?"),
+                self.print
+            );
             if value["text"].as_str() != Some(wanted.as_str()) {
-                asked
-                    .violations
-                    .push(format!("a piece of another run or client: {} instead of {wanted}", value["text"]));
+                asked.violations.push(format!(
+                    "a piece of another run or client: {} instead of {wanted}",
+                    value["text"]
+                ));
             }
         } else if value["end"] == Value::Bool(true) {
             if value["pieces"].as_u64() != Some(self.next) {
-                asked.violations.push(format!("the end says {} pieces, {} came", value["pieces"], self.next));
+                asked.violations.push(format!(
+                    "the end says {} pieces, {} came",
+                    value["pieces"], self.next
+                ));
             }
             return true;
         } else {
-            asked.violations.push(format!("a record of no kind: {value}"));
+            asked
+                .violations
+                .push(format!("a record of no kind: {value}"));
         }
         false
     }
--- a/crates/loadgen/src/campaign.rs
+++ b/crates/loadgen/src/campaign.rs
@@ -26,7 +26,11 @@
 impl Campaign {
     /// Of this traffic.
     pub fn new(mix: Mix, rules: CampaignRules) -> Self {
-        Campaign { mix, rules, stop: Arc::default() }
+        Campaign {
+            mix,
+            rules,
+            stop: Arc::default(),
+        }
     }
     /// Set to end it early.
     pub fn stop(&self) -> Arc<AtomicBool> {
@@ -54,10 +58,13 @@
             }
             turn += 1;
             let (routers, count, done) = (routers.clone(), in_hand.clone(), done.clone());
-            let spawned = std::thread::Builder::new().name("asker".into()).stack_size(256 << 10).spawn(move || {
-                let _ = done.send(ask(&planned, &routers, turn));
-                count.fetch_sub(1, Ordering::Relaxed);
-            });
+            let spawned = std::thread::Builder::new()
+                .name("asker".into())
+                .stack_size(256 << 10)
+                .spawn(move || {
+                    let _ = done.send(ask(&planned, &routers, turn));
+                    count.fetch_sub(1, Ordering::Relaxed);
+                });
             if spawned.is_err() {
                 in_hand.fetch_sub(1, Ordering::Relaxed);
                 late += 1;
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -33,11 +33,19 @@
         eprintln!("loadgen: scale: {} is not within 0.01 to 20", line.scale);
         return ExitCode::from(2);
     }
-    let rules = CampaignRules { routers: line.at, span: Span::seconds(line.seconds), scale: line.scale, in_hand: 1500 };
+    let rules = CampaignRules {
+        routers: line.at,
+        span: Span::seconds(line.seconds),
+        scale: line.scale,
+        in_hand: 1500,
+    };
     let (asked, late) = Campaign::new(Mix::new(line.mix, line.seed), rules).run();
     let report = Report::of(&asked, late);
     if line.json {
-        println!("{}", serde_json::to_string_pretty(&report).expect("a report is JSON"));
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&report).expect("a report is JSON")
+        );
     } else {
         print!("{report}");
     }
--- a/crates/loadgen/src/mix.rs
+++ b/crates/loadgen/src/mix.rs
@@ -80,7 +80,13 @@
                 shape("checks", 30.0, true, 0, 1, 0, 0),
             ],
         };
-        Mix { shapes, seed, count: 0, hot_share: 0.5, burst_ms: 8000 }
+        Mix {
+            shapes,
+            seed,
+            count: 0,
+            hot_share: 0.5,
+            burst_ms: 8000,
+        }
     }
 
     fn draw(&mut self) -> u64 {
@@ -106,12 +112,28 @@
         let shape = self.shapes[place].clone();
         let burst = (at_ms / self.burst_ms as f64) as u64;
         let is_hot = shape.prefix_bytes > 4096 && self.part() < self.hot_share;
-        let prefix = if is_hot { 1_000_000 + mix(self.seed ^ burst) % 1000 } else { self.draw() % shape.prefixes };
+        let prefix = if is_hot {
+            1_000_000 + mix(self.seed ^ burst) % 1000
+        } else {
+            self.draw() % shape.prefixes
+        };
         let id = format!("{}-{:x}-{}", shape.service, self.seed, self.count);
-        let mut prompt = words(mix(prefix ^ mix(shape.prefix_bytes as u64)), shape.prefix_bytes);
+        let mut prompt = words(
+            mix(prefix ^ mix(shape.prefix_bytes as u64)),
+            shape.prefix_bytes,
+        );
         prompt.push_str(&format!("\n{id}\n"));
         prompt.push_str(&words(self.draw(), shape.own_bytes));
-        (gap, PlannedRequest { id, service: shape.service, is_fetch: shape.is_fetch, prompt, pieces: shape.pieces })
+        (
+            gap,
+            PlannedRequest {
+                id,
+                service: shape.service,
+                is_fetch: shape.is_fetch,
+                prompt,
+                pieces: shape.pieces,
+            },
+        )
     }
 }
 
@@ -134,7 +156,8 @@
     #[test]
     fn a_seed_gives_the_same_traffic_at_the_rates_asked_for() {
         let play = |seed| {
-            let (mut mix, mut at, mut drafts, mut ids) = (Mix::new(MixKind::Pahana, seed), 0.0, 0, vec![]);
+            let (mut mix, mut at, mut drafts, mut ids) =
+                (Mix::new(MixKind::Pahana, seed), 0.0, 0, vec![]);
             for _ in 0..12_500 {
                 let (gap, planned) = mix.next(at, 1.0);
                 at += gap;
@@ -144,7 +167,10 @@
             (at, drafts, ids)
         };
         let (at, drafts, ids) = play(7);
-        assert!((95_000.0..105_000.0).contains(&at), "12500 requests at 125 a second took {at} ms");
+        assert!(
+            (95_000.0..105_000.0).contains(&at),
+            "12500 requests at 125 a second took {at} ms"
+        );
         assert!((1850..2150).contains(&drafts));
         assert_eq!(play(7).2, ids);
     }
--- a/crates/loadgen/src/report.rs
+++ b/crates/loadgen/src/report.rs
@@ -40,7 +40,10 @@
 impl Report {
     /// Of these requests.
     pub fn of(asked: &[Asked], late: u64) -> Self {
-        let mut report = Report { late, ..Report::default() };
+        let mut report = Report {
+            late,
+            ..Report::default()
+        };
         let mut times: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for one in asked {
             let service = report.services.entry(one.service.clone()).or_default();
@@ -53,15 +56,25 @@
                 Fate::Unknown(_) => service.unknown += 1,
             }
             if one.fate != Fate::Complete {
-                let why: String = one.why.chars().filter(|c| !c.is_ascii_digit()).take(90).collect();
-                *report.reasons.entry(format!("{}: {why}", one.service)).or_default() += 1;
+                let why: String = one
+                    .why
+                    .chars()
+                    .filter(|c| !c.is_ascii_digit())
+                    .take(90)
+                    .collect();
+                *report
+                    .reasons
+                    .entry(format!("{}: {why}", one.service))
+                    .or_default() += 1;
             }
             times.entry(&one.service).or_default().extend(one.first_ms);
             report.violations.extend(one.violations.iter().cloned());
         }
         for (service, mut times) in times {
             times.sort_by(f64::total_cmp);
-            let at = |part: f64| times.get(((times.len() as f64 * part) as usize).min(times.len().max(1) - 1));
+            let at = |part: f64| {
+                times.get(((times.len() as f64 * part) as usize).min(times.len().max(1) - 1))
+            };
             if let Some(found) = report.services.get_mut(service) {
                 found.first_ms = [0.50, 0.95, 0.99].map(|part| at(part).copied().unwrap_or(0.0));
             }
@@ -72,7 +85,10 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "service      sent complete refused broken unknown resumed  first piece p50/p95/p99 ms")?;
+        writeln!(
+            f,
+            "service      sent complete refused broken unknown resumed  first piece p50/p95/p99 ms"
+        )?;
         for (name, s) in &self.services {
             let [p50, p95, p99] = s.first_ms;
             writeln!(
@@ -81,9 +97,21 @@
                 s.sent, s.complete, s.refused, s.broken, s.unknown, s.resumed
             )?;
         }
-        self.reasons.iter().try_for_each(|(why, count)| writeln!(f, "  {count} x {why}"))?;
-        self.at_servers.iter().try_for_each(|(what, count)| writeln!(f, "  at servers: {what}: {count}"))?;
-        writeln!(f, "late at the source: {}, violations: {}", self.late, self.violations.len())?;
-        self.violations.iter().take(20).try_for_each(|violation| writeln!(f, "  VIOLATION {violation}"))
+        self.reasons
+            .iter()
+            .try_for_each(|(why, count)| writeln!(f, "  {count} x {why}"))?;
+        self.at_servers
+            .iter()
+            .try_for_each(|(what, count)| writeln!(f, "  at servers: {what}: {count}"))?;
+        writeln!(
+            f,
+            "late at the source: {}, violations: {}",
+            self.late,
+            self.violations.len()
+        )?;
+        self.violations
+            .iter()
+            .take(20)
+            .try_for_each(|violation| writeln!(f, "  VIOLATION {violation}"))
     }
 }
--- a/crates/placement/examples/placing_speed.rs
+++ b/crates/placement/examples/placing_speed.rs
@@ -17,10 +17,23 @@
     let mut scheduler = Scheduler::new(
         Address::loopback(1),
         1,
-        SchedulerRules { block_micros: 143, does_order_copies: false, ..SchedulerRules::default() },
+        SchedulerRules {
+            block_micros: 143,
+            does_order_copies: false,
+            ..SchedulerRules::default()
+        },
     );
-    let mut take = |at: u64, event| scheduler.take(Dated { at: Moment(1_000_000 + at), event });
-    let rules = Rules { epoch: Epoch(1), services: [("drafts".into(), rules)].into(), withdrawn: vec![] };
+    let mut take = |at: u64, event| {
+        scheduler.take(Dated {
+            at: Moment(1_000_000 + at),
+            event,
+        })
+    };
+    let rules = Rules {
+        epoch: Epoch(1),
+        services: [("drafts".into(), rules)].into(),
+        withdrawn: vec![],
+    };
     take(0, Event::Rules { rules });
     let entry = |n: u64| ServerEntry {
         server: format!("i-{n:08x}").as_str().into(),
@@ -30,14 +43,36 @@
         pool: "model".into(),
         ..ServerEntry::default()
     };
-    take(0, Event::ServerList { servers: (0..90).map(entry).collect() });
-    take(0, Event::Members { members: (1..=90).map(Address::loopback).collect(), since: Epoch(1) });
-    let in_flight = |n: u64| InFlight { server: entry(n).server, count: 1, unread: 500, tokens: 12_000, read: 9 };
+    take(
+        0,
+        Event::ServerList {
+            servers: (0..90).map(entry).collect(),
+        },
+    );
+    take(
+        0,
+        Event::Members {
+            members: (1..=90).map(Address::loopback).collect(),
+            since: Epoch(1),
+        },
+    );
+    let in_flight = |n: u64| InFlight {
+        server: entry(n).server,
+        count: 1,
+        unread: 500,
+        tokens: 12_000,
+        read: 9,
+    };
     let sketch = Sketch {
         missing: None,
         incarnation: 1,
         number: 1,
-        hot: (0..60).map(|n| Hot { prefix: PrefixHash(mix(n)), count: 1 }).collect(),
+        hot: (0..60)
+            .map(|n| Hot {
+                prefix: PrefixHash(mix(n)),
+                count: 1,
+            })
+            .collect(),
         holdings: (0..180)
             .map(|n| Holding {
                 prefix: PrefixHash(mix(n % 60)),
@@ -51,13 +86,23 @@
     };
     let sketches = std::time::Instant::now();
     for peer in 2..=90 {
-        take(0, Event::PeerSketch { from: Address::loopback(peer), sketch: sketch.clone() });
+        take(
+            0,
+            Event::PeerSketch {
+                from: Address::loopback(peer),
+                sketch: sketch.clone(),
+            },
+        );
     }
     let sketches = sketches.elapsed();
     let prompt = |n: u64| Event::Prompt {
         request: RequestId(format!("request-{n:016x}")),
         service: "drafts".into(),
-        hashes: vec![PrefixHash(mix(1000 + n % 3)), PrefixHash(mix(n % 60)), PrefixHash(mix(9_000_000 + n))],
+        hashes: vec![
+            PrefixHash(mix(1000 + n % 3)),
+            PrefixHash(mix(n % 60)),
+            PrefixHash(mix(9_000_000 + n)),
+        ],
         round: 0,
         tried: vec![],
         demand: Demand {
@@ -72,5 +117,9 @@
     for n in 0..count {
         take(n / 5, prompt(n));
     }
-    println!("a sketch {:?}, a choice {:?}", sketches / 89, begun.elapsed() / count as u32);
+    println!(
+        "a sketch {:?}, a choice {:?}",
+        sketches / 89,
+        begun.elapsed() / count as u32
+    );
 }
--- a/crates/placement/src/allowance.rs
+++ b/crates/placement/src/allowance.rs
@@ -18,7 +18,10 @@
 impl Allowance {
     /// At the start of a life.
     pub fn new(now: Moment) -> Self {
-        Allowance { saved: 0, dripped: now }
+        Allowance {
+            saved: 0,
+            dripped: now,
+        }
     }
     /// A request was placed for the first time: it earns this many percent of a repeat.
     pub fn earn(&mut self, percent: u32, part: u32) {
@@ -29,7 +32,11 @@
         let deadline = now.since(self.dripped).0 * u64::from(part) / EACH;
         if part == 0 || deadline > 0 {
             // What is less than a thousandth waits for the next time.
-            self.dripped = if part == 0 { now } else { self.dripped + Span(deadline * EACH / u64::from(part)) };
+            self.dripped = if part == 0 {
+                now
+            } else {
+                self.dripped + Span(deadline * EACH / u64::from(part))
+            };
             self.add(deadline, part);
         }
     }
@@ -72,7 +79,10 @@
                 spent += 1;
             }
         }
-        assert!((128..=130).contains(&spent), "{spent} of 120 earned and 10 allowed");
+        assert!(
+            (128..=130).contains(&spent),
+            "{spent} of 120 earned and 10 allowed"
+        );
         allowance.drip(1, Moment(100_000_000));
         (0..100).for_each(|_| allowance.earn(20, 1));
         let saved = std::iter::from_fn(|| allowance.has_one().then(|| allowance.spend())).count();
--- a/crates/placement/src/blocks.rs
+++ b/crates/placement/src/blocks.rs
@@ -25,6 +25,9 @@
         let two = block_hashes(b"aaaabbbbxxxxcccc", 4, 100);
         assert_eq!((one.len(), two.len()), (3, 4));
         assert_eq!(one[..2], two[..2]);
-        assert!(one[2] != two[2] && one[2] != two[3], "the same block after another prefix differs");
+        assert!(
+            one[2] != two[2] && one[2] != two[3],
+            "the same block after another prefix differs"
+        );
     }
 }
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -37,11 +37,16 @@
     /// The core gave a lease.
     pub fn lease(&mut self, until: Moment, span: Span) {
         let former = self.lease.unwrap_or(Lease { until, span });
-        self.lease = Some(Lease { until: former.until.max(until), span: former.span.max(span) });
+        self.lease = Some(Lease {
+            until: former.until.max(until),
+            span: former.span.max(span),
+        });
     }
     /// Whether it holds; else when to look again.
     pub fn check(&self, now: Moment) -> Result<(), Span> {
-        let Some(membership_from) = self.membership_from else { return Err(LOOK_AGAIN) };
+        let Some(membership_from) = self.membership_from else {
+            return Err(LOOK_AGAIN);
+        };
         let others_lapse = self.lease.map_or(Span(0), |lease| lease.span);
         let holds_from = membership_from + others_lapse + SENT_BY_THEN;
         if now < holds_from {
--- a/crates/placement/src/digest.rs
+++ b/crates/placement/src/digest.rs
@@ -92,18 +92,31 @@
     pub fn of(sketch: &Sketch) -> Digest {
         let mut digest = Digest::default();
         let cut = |count: u32| count.min(u32::from(u16::MAX)) as u16;
-        sketch.hot.iter().for_each(|hot| digest.more(DigestKey::Hot(hot.prefix), cut(hot.count)));
+        sketch
+            .hot
+            .iter()
+            .for_each(|hot| digest.more(DigestKey::Hot(hot.prefix), cut(hot.count)));
         for busy in &sketch.in_flight {
             let server = server_key(&busy.server);
-            let units = |tokens: u64, unit: u64| tokens.div_ceil(unit).min(u64::from(u16::MAX)) as u16;
+            let units =
+                |tokens: u64, unit: u64| tokens.div_ceil(unit).min(u64::from(u16::MAX)) as u16;
             digest.more(DigestKey::Load(server), cut(busy.count));
             digest.more(DigestKey::Unread(server), units(busy.unread, UNREAD_UNIT));
             digest.more(DigestKey::Memory(server), units(busy.tokens, MEMORY_UNIT));
         }
         for held in sketch.holdings.iter().take(HELD[0]) {
-            digest.more(DigestKey::Held(held.prefix, life_key(&held.server, held.incarnation, held.is_shown)), 1);
+            digest.more(
+                DigestKey::Held(
+                    held.prefix,
+                    life_key(&held.server, held.incarnation, held.is_shown),
+                ),
+                1,
+            );
         }
-        sketch.leaving.iter().for_each(|server| digest.more(DigestKey::Leaving(server_key(server)), 1));
+        sketch
+            .leaving
+            .iter()
+            .for_each(|server| digest.more(DigestKey::Leaving(server_key(server)), 1));
         digest.bound(HOT[0], HELD[0]);
         digest
     }
@@ -116,32 +129,53 @@
         servers: impl Iterator<Item = (&'a ServerName, u64)>,
     ) -> Sketch {
         let servers: Vec<(&ServerName, u64)> = servers.collect();
-        let names: BTreeMap<u32, &ServerName> = servers.iter().map(|(name, _)| (server_key(name), *name)).collect();
-        let lives: BTreeMap<u32, (&ServerName, u64)> =
-            servers.iter().map(|(name, life)| (life_key(name, *life, false), (*name, *life))).collect();
+        let names: BTreeMap<u32, &ServerName> = servers
+            .iter()
+            .map(|(name, _)| (server_key(name), *name))
+            .collect();
+        let lives: BTreeMap<u32, (&ServerName, u64)> = servers
+            .iter()
+            .map(|(name, life)| (life_key(name, *life, false), (*name, *life)))
+            .collect();
         let missing = Some(self.missing.iter().copied().collect());
-        let mut sketch = Sketch { incarnation, number, missing, ..Sketch::default() };
+        let mut sketch = Sketch {
+            incarnation,
+            number,
+            missing,
+            ..Sketch::default()
+        };
         for (key, count) in &self.counts {
             match key {
-                DigestKey::Hot(prefix) => sketch.hot.push(Hot { prefix: *prefix, count: u32::from(*count) }),
-                DigestKey::Load(server) => sketch.in_flight.extend(names.get(server).map(|name| InFlight {
-                    server: (*name).clone(),
+                DigestKey::Hot(prefix) => sketch.hot.push(Hot {
+                    prefix: *prefix,
                     count: u32::from(*count),
-                    unread: u64::from(self.count(DigestKey::Unread(*server))) * UNREAD_UNIT,
-                    tokens: u64::from(self.count(DigestKey::Memory(*server))) * MEMORY_UNIT,
-                    read: 0,
-                })),
+                }),
+                DigestKey::Load(server) => {
+                    sketch
+                        .in_flight
+                        .extend(names.get(server).map(|name| InFlight {
+                            server: (*name).clone(),
+                            count: u32::from(*count),
+                            unread: u64::from(self.count(DigestKey::Unread(*server))) * UNREAD_UNIT,
+                            tokens: u64::from(self.count(DigestKey::Memory(*server))) * MEMORY_UNIT,
+                            read: 0,
+                        }))
+                }
                 // Told with the server's load.
                 DigestKey::Unread(_) | DigestKey::Memory(_) => {}
                 DigestKey::Held(prefix, life) => {
-                    sketch.holdings.extend(lives.get(&(life & !1)).map(|(name, incarnation)| Holding {
-                        prefix: *prefix,
-                        server: (*name).clone(),
-                        incarnation: *incarnation,
-                        is_shown: life & 1 == 1,
-                    }))
+                    sketch
+                        .holdings
+                        .extend(lives.get(&(life & !1)).map(|(name, incarnation)| Holding {
+                            prefix: *prefix,
+                            server: (*name).clone(),
+                            incarnation: *incarnation,
+                            is_shown: life & 1 == 1,
+                        }))
                 }
-                DigestKey::Leaving(server) => sketch.leaving.extend(names.get(server).map(|name| (*name).clone())),
+                DigestKey::Leaving(server) => sketch
+                    .leaving
+                    .extend(names.get(server).map(|name| (*name).clone())),
             }
         }
         // Of both, that it's shown counts: it must come last.
@@ -170,7 +204,10 @@
     }
     /// Adds another's counts.
     pub fn add(&mut self, other: &Digest) {
-        other.counts.iter().for_each(|(key, count)| self.more(*key, *count));
+        other
+            .counts
+            .iter()
+            .for_each(|(key, count)| self.more(*key, *count));
     }
     /// Takes away what is a part of it.
     pub fn subtract(&mut self, part: &Digest) {
@@ -197,8 +234,12 @@
             (LEAVING, |key| matches!(key, DigestKey::Leaving(_))),
         ];
         for (most, is_kind) in kinds {
-            let mut those: Vec<(u16, DigestKey)> =
-                self.counts.iter().filter(|(key, _)| is_kind(key)).map(|(key, count)| (*count, *key)).collect();
+            let mut those: Vec<(u16, DigestKey)> = self
+                .counts
+                .iter()
+                .filter(|(key, _)| is_kind(key))
+                .map(|(key, count)| (*count, *key))
+                .collect();
             if those.len() > most {
                 those.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(&b.1)));
                 for (_, key) in &those[most..] {
@@ -213,11 +254,16 @@
     pub fn change_from(&self, held: &Digest) -> Option<DigestChange> {
         let mut change = DigestChange::default();
         let mut is_any = self.missing != held.missing;
-        let gone = held.counts.keys().filter(|key| !self.counts.contains_key(key)).map(|key| (*key, 0));
+        let gone = held
+            .counts
+            .keys()
+            .filter(|key| !self.counts.contains_key(key))
+            .map(|key| (*key, 0));
         let new = self.counts.iter().map(|(key, count)| (*key, *count));
         for (key, count) in gone.chain(new) {
             let old = held.count(key);
-            let is_close = old > 0 && count > 0 && u32::from(old.abs_diff(count)) * 8 <= u32::from(old);
+            let is_close =
+                old > 0 && count > 0 && u32::from(old.abs_diff(count)) * 8 <= u32::from(old);
             if old == count || is_close {
                 continue;
             }
@@ -270,19 +316,48 @@
     }
 
     fn entries(&self) -> impl Iterator<Item = (DigestKey, u16)> + '_ {
-        let hot = self.hot.iter().zip(&self.hot_counts).map(|(prefix, n)| (DigestKey::Hot(PrefixHash(*prefix)), *n));
-        let loads = self.loads.iter().zip(&self.load_counts).map(|(server, n)| (DigestKey::Load(*server), *n));
+        let hot = self
+            .hot
+            .iter()
+            .zip(&self.hot_counts)
+            .map(|(prefix, n)| (DigestKey::Hot(PrefixHash(*prefix)), *n));
+        let loads = self
+            .loads
+            .iter()
+            .zip(&self.load_counts)
+            .map(|(server, n)| (DigestKey::Load(*server), *n));
         let held = self.held.iter().zip(&self.held_by).zip(&self.held_counts);
-        let held = held.map(|((prefix, life), n)| (DigestKey::Held(PrefixHash(*prefix), *life), *n));
-        let leaving = self.leaving.iter().zip(&self.leaving_counts).map(|(s, n)| (DigestKey::Leaving(*s), *n));
-        let unread = self.unread.iter().zip(&self.unread_counts).map(|(s, n)| (DigestKey::Unread(*s), *n));
-        let memory = self.memory.iter().zip(&self.memory_counts).map(|(s, n)| (DigestKey::Memory(*s), *n));
-        hot.chain(loads).chain(unread).chain(memory).chain(held).chain(leaving)
+        let held =
+            held.map(|((prefix, life), n)| (DigestKey::Held(PrefixHash(*prefix), *life), *n));
+        let leaving = self
+            .leaving
+            .iter()
+            .zip(&self.leaving_counts)
+            .map(|(s, n)| (DigestKey::Leaving(*s), *n));
+        let unread = self
+            .unread
+            .iter()
+            .zip(&self.unread_counts)
+            .map(|(s, n)| (DigestKey::Unread(*s), *n));
+        let memory = self
+            .memory
+            .iter()
+            .zip(&self.memory_counts)
+            .map(|(s, n)| (DigestKey::Memory(*s), *n));
+        hot.chain(loads)
+            .chain(unread)
+            .chain(memory)
+            .chain(held)
+            .chain(leaving)
     }
 
     /// About how many bytes it takes in a letter.
     pub fn bytes(&self) -> u64 {
-        let (hot, loads, held) = (self.hot.len() * 10, self.loads.len() * 6, self.held.len() * 14);
+        let (hot, loads, held) = (
+            self.hot.len() * 10,
+            self.loads.len() * 6,
+            self.held.len() * 14,
+        );
         let tokens = (self.unread.len() + self.memory.len()) * 6;
         (hot + loads + tokens + held + self.leaving.len() * 6 + self.missing.len() * 8) as u64
     }
--- a/crates/placement/src/digest/tests.rs
+++ b/crates/placement/src/digest/tests.rs
@@ -2,9 +2,23 @@
 
 fn sketch(count: u32) -> Sketch {
     Sketch {
-        hot: vec![Hot { prefix: PrefixHash(7), count }],
-        holdings: vec![Holding { prefix: PrefixHash(7), server: "a".into(), incarnation: 3, is_shown: true }],
-        in_flight: vec![InFlight { server: "a".into(), count, unread: 0, tokens: 0, read: 0 }],
+        hot: vec![Hot {
+            prefix: PrefixHash(7),
+            count,
+        }],
+        holdings: vec![Holding {
+            prefix: PrefixHash(7),
+            server: "a".into(),
+            incarnation: 3,
+            is_shown: true,
+        }],
+        in_flight: vec![InFlight {
+            server: "a".into(),
+            count,
+            unread: 0,
+            tokens: 0,
+            read: 0,
+        }],
         leaving: vec!["b".into()],
         ..Sketch::default()
     }
@@ -17,41 +31,85 @@
     sum.add(&two);
     sum.subtract(&two);
     assert_eq!(sum, one);
-    let (a, b, other) = (ServerName::from("a"), ServerName::from("b"), ServerName::from("a-later"));
+    let (a, b, other) = (
+        ServerName::from("a"),
+        ServerName::from("b"),
+        ServerName::from("a-later"),
+    );
     let read = sum.sketch(1, 1, [(&a, 3), (&b, 1), (&other, 3)].into_iter());
-    assert_eq!((read.hot, read.in_flight), (sketch(2).hot, sketch(2).in_flight));
-    assert_eq!((read.holdings, read.leaving), (sketch(2).holdings, sketch(2).leaving));
+    assert_eq!(
+        (read.hot, read.in_flight),
+        (sketch(2).hot, sketch(2).in_flight)
+    );
+    assert_eq!(
+        (read.holdings, read.leaving),
+        (sketch(2).holdings, sketch(2).leaving)
+    );
     let next_life = sum.sketch(1, 1, [(&a, 4)].into_iter());
-    assert_eq!(next_life.holdings, vec![], "what was held in another life of the server");
+    assert_eq!(
+        next_life.holdings,
+        vec![],
+        "what was held in another life of the server"
+    );
 }
 
 #[test]
 fn a_change_makes_the_new_of_the_old_and_nothing_new_is_no_change() {
-    let (old, new) = (Digest::of(&sketch(2)), Digest::of(&Sketch { in_flight: vec![], ..sketch(5) }));
+    let (old, new) = (
+        Digest::of(&sketch(2)),
+        Digest::of(&Sketch {
+            in_flight: vec![],
+            ..sketch(5)
+        }),
+    );
     let change = new.change_from(&old).expect("it differs");
     let mut held = old.clone();
     held.apply(&change);
     assert_eq!(held, new);
     assert_eq!(new.change_from(&held), None);
     let (many, nearly) = (Digest::of(&sketch(80)), Digest::of(&sketch(89)));
-    assert_eq!(nearly.change_from(&many), None, "off by little more than a tenth");
+    assert_eq!(
+        nearly.change_from(&many),
+        None,
+        "off by little more than a tenth"
+    );
     assert!(Digest::of(&sketch(91)).change_from(&many).is_some());
 }
 
 #[test]
 fn whatever_a_node_saw_what_it_tells_is_bounded() {
     let many = Sketch {
-        hot: (0..10_000).map(|n| Hot { prefix: PrefixHash(n), count: n as u32 }).collect(),
+        hot: (0..10_000)
+            .map(|n| Hot {
+                prefix: PrefixHash(n),
+                count: n as u32,
+            })
+            .collect(),
         holdings: (0..10_000)
-            .map(|n| Holding { prefix: PrefixHash(n), server: "a".into(), incarnation: 1, is_shown: false })
+            .map(|n| Holding {
+                prefix: PrefixHash(n),
+                server: "a".into(),
+                incarnation: 1,
+                is_shown: false,
+            })
             .collect(),
         in_flight: (0..10_000)
-            .map(|n| InFlight { server: ServerName(format!("s{n}")), count: 1, unread: 0, tokens: 0, read: 0 })
+            .map(|n| InFlight {
+                server: ServerName(format!("s{n}")),
+                count: 1,
+                unread: 0,
+                tokens: 0,
+                read: 0,
+            })
             .collect(),
         ..Sketch::default()
     };
     let digest = Digest::of(&many);
-    assert_eq!(digest.count(DigestKey::Hot(PrefixHash(9_999))), 9_999, "the hottest stay");
+    assert_eq!(
+        digest.count(DigestKey::Hot(PrefixHash(9_999))),
+        9_999,
+        "the hottest stay"
+    );
     let change = digest.change_from(&Digest::default()).expect("much");
     assert!(change.bytes() < 15_000, "{} bytes", change.bytes());
     let mut sum = digest.clone();
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -27,7 +27,9 @@
     pub use crate::blocks::block_hashes;
     pub use crate::claim::Claim;
     pub use crate::digest::{Digest, DigestChange, DigestKey, life_key, server_key};
-    pub use crate::event::{Candidate, Dated, Decision, Demand, Event, Outcome, PlaceReason, ServerEntry};
+    pub use crate::event::{
+        Candidate, Dated, Decision, Demand, Event, Outcome, PlaceReason, ServerEntry,
+    };
     pub use crate::repeat_window::RepeatWindow;
     pub use crate::residency::Residency;
     pub use crate::rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
--- a/crates/placement/src/repeat_window.rs
+++ b/crates/placement/src/repeat_window.rs
@@ -20,7 +20,12 @@
 impl RepeatWindow {
     /// At the start of a life.
     pub fn new(now: Moment) -> Self {
-        RepeatWindow { part: 0, grows_from: Some(now), arrivals: VecDeque::new(), repeats: 0 }
+        RepeatWindow {
+            part: 0,
+            grows_from: Some(now),
+            arrivals: VecDeque::new(),
+            repeats: 0,
+        }
     }
     /// A request went to a server.
     pub fn place(&mut self, is_repeat: bool, now: Moment, window: Span) {
@@ -36,7 +41,13 @@
         }
     }
     /// Whether a repeat may be made; else when one may be, if nothing more comes.
-    pub fn check(&mut self, percent: u32, part: u32, now: Moment, window: Span) -> Result<(), Span> {
+    pub fn check(
+        &mut self,
+        percent: u32,
+        part: u32,
+        now: Moment,
+        window: Span,
+    ) -> Result<(), Span> {
         self.expire(now, window);
         let firsts = self.arrivals.len() as u64 - u64::from(self.repeats);
         let extra = u64::from(self.settle_part(part, now, window));
--- a/crates/placement/src/residency.rs
+++ b/crates/placement/src/residency.rs
@@ -37,7 +37,9 @@
         self.0
     }
     fn write(&mut self, bytes: &[u8]) {
-        self.0 = bytes.iter().fold(self.0, |sum, byte| mix(sum ^ u64::from(*byte)));
+        self.0 = bytes
+            .iter()
+            .fold(self.0, |sum, byte| mix(sum ^ u64::from(*byte)));
     }
     fn write_u64(&mut self, number: u64) {
         self.0 = mix(number);
@@ -63,7 +65,10 @@
         if self.sent.len() > BOUND {
             self.sent.retain(|_, used| now.since(used.at) < SENT_LIFE);
         }
-        let used = Used { at: now, read: self.read };
+        let used = Used {
+            at: now,
+            read: self.read,
+        };
         self.sent.extend(hashes.iter().map(|hash| (*hash, used)));
     }
     /// It came to nothing.
@@ -75,7 +80,13 @@
     /// The server has worked through this prompt, or was given a copy.
     pub fn hold(&mut self, hashes: &[PrefixHash], now: Moment) {
         for hash in hashes {
-            self.parts.insert(*hash, Used { at: now, read: self.read });
+            self.parts.insert(
+                *hash,
+                Used {
+                    at: now,
+                    read: self.read,
+                },
+            );
             self.sent.remove(hash);
         }
         if self.parts.len() > BOUND {
@@ -94,15 +105,24 @@
     }
     /// Whether it's believed to hold this very prefix.
     pub fn holds(&self, prefix: PrefixHash, now: Moment) -> bool {
-        self.parts.get(&prefix).is_some_and(|used| now.since(used.at) < LIFE && self.has_room_for(used))
+        self.parts
+            .get(&prefix)
+            .is_some_and(|used| now.since(used.at) < LIFE && self.has_room_for(used))
     }
     /// Whether it's believed to hold it, or to do so soon.
     pub fn expects(&self, prefix: PrefixHash, now: Moment) -> bool {
-        self.holds(prefix, now) || self.sent.get(&prefix).is_some_and(|used| now.since(used.at) < SENT_LIFE)
+        self.holds(prefix, now)
+            || self
+                .sent
+                .get(&prefix)
+                .is_some_and(|used| now.since(used.at) < SENT_LIFE)
     }
     /// How many leading parts it's believed to hold, or to hold soon.
     pub fn matched(&self, hashes: &[PrefixHash], now: Moment) -> u32 {
-        hashes.iter().take_while(|hash| self.expects(**hash, now)).count() as u32
+        hashes
+            .iter()
+            .take_while(|hash| self.expects(**hash, now))
+            .count() as u32
     }
     /// Forgets all.
     pub fn clear(&mut self) {
@@ -130,7 +150,13 @@
         residency.drop_all(&hashes[1..3]);
         assert_eq!(residency.matched(&hashes, Moment(1)), 1);
         residency.send(&hashes, Moment(2));
-        assert_eq!((residency.matched(&hashes, Moment(3)), residency.holds(hashes[4], Moment(3))), (5, false));
+        assert_eq!(
+            (
+                residency.matched(&hashes, Moment(3)),
+                residency.holds(hashes[4], Moment(3))
+            ),
+            (5, false)
+        );
         residency.unsend(&hashes);
         assert_eq!(residency.matched(&hashes, Moment(3)), 1);
     }
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -20,7 +20,14 @@
 
 impl Default for BtbRules {
     fn default() -> Self {
-        BtbRules { is_on: true, blocks: 64, arrivals: 4, window: Span::seconds(5), copies: 3, most_copies: 6 }
+        BtbRules {
+            is_on: true,
+            blocks: 64,
+            arrivals: 4,
+            window: Span::seconds(5),
+            copies: 3,
+            most_copies: 6,
+        }
     }
 }
 
--- a/crates/placement/src/scheduler.rs
+++ b/crates/placement/src/scheduler.rs
@@ -174,17 +174,45 @@
             Event::Members { members, since } => self.on_members(members, since, now),
             Event::Lease { until, span } => self.claim.lease(until, span),
             Event::ServerList { servers } => self.on_server_list(servers, now),
-            Event::Load { server, incarnation, up, running, waiting, slots, weights } => {
-                self.on_load(&server, incarnation, up, running + waiting, slots, weights, now);
+            Event::Load {
+                server,
+                incarnation,
+                up,
+                running,
+                waiting,
+                slots,
+                weights,
+            } => {
+                self.on_load(
+                    &server,
+                    incarnation,
+                    up,
+                    running + waiting,
+                    slots,
+                    weights,
+                    now,
+                );
             }
             Event::Unreachable { server } => self.on_unreachable(&server, now),
-            Event::Prompt { request, service, hashes, round, tried, demand } => {
+            Event::Prompt {
+                request,
+                service,
+                hashes,
+                round,
+                tried,
+                demand,
+            } => {
                 self.on_prompt(request, service, hashes, round, &tried, &demand, begun, now);
             }
             Event::FirstToken { request } => self.on_first_token(request, now),
             Event::Ended { request, outcome } => self.on_ended(&request, outcome, now),
             Event::PeerSketch { from, sketch } => self.on_peer_sketch(from, sketch, now),
-            Event::CopyFate { prefix, server, is_taken, knows_kv } => {
+            Event::CopyFate {
+                prefix,
+                server,
+                is_taken,
+                knows_kv,
+            } => {
                 self.on_copy_fate(prefix, &server, is_taken, knows_kv);
             }
             Event::Tick => self.on_tick(now),
@@ -200,7 +228,11 @@
         let mut holdings = vec![];
         // Hottest first, and so many that looking them up at every server costs little.
         let most = (HOLDING_LOOKUPS / self.servers.len().max(1)).max(8);
-        let active = self.active.keys().copied().filter(|prefix| !hot.iter().any(|hot| hot.prefix == *prefix));
+        let active = self
+            .active
+            .keys()
+            .copied()
+            .filter(|prefix| !hot.iter().any(|hot| hot.prefix == *prefix));
         for found in hot.iter().map(|hot| hot.prefix).chain(active).take(most) {
             for (name, server) in &self.servers {
                 if server.residency.expects(found, now) {
@@ -214,8 +246,14 @@
             }
         }
         holdings.truncate(512);
-        let busy = self.servers.iter().filter(|(_, server)| server.own > 0 || server.read > server.read_told);
-        let leaving = self.servers.iter().filter(|(_, server)| server.is_listed && server.is_leaving);
+        let busy = self
+            .servers
+            .iter()
+            .filter(|(_, server)| server.own > 0 || server.read > server.read_told);
+        let leaving = self
+            .servers
+            .iter()
+            .filter(|(_, server)| server.is_listed && server.is_leaving);
         let sketch = Sketch {
             incarnation: self.incarnation,
             number: self.sketch_number,
@@ -249,7 +287,10 @@
     }
     /// Active prefixes and the servers believed to hold each.
     pub fn active(&self, now: Moment) -> Vec<(PrefixHash, Vec<ServerName>)> {
-        self.active.keys().map(|prefix| (*prefix, self.holders(*prefix, now))).collect()
+        self.active
+            .keys()
+            .map(|prefix| (*prefix, self.holders(*prefix, now)))
+            .collect()
     }
     /// How many requests are in hand.
     pub fn in_hand(&self) -> usize {
@@ -257,7 +298,11 @@
     }
 
     fn widest_window(&self) -> Span {
-        let windows = self.rules.services.values().map(|service| service.btb.window);
+        let windows = self
+            .rules
+            .services
+            .values()
+            .map(|service| service.btb.window);
         windows.max().unwrap_or(BtbRules::default().window)
     }
 
@@ -281,11 +326,13 @@
 
     /// One that is gone from the list and has nothing in hand is forgotten, and comes back fresh.
     fn forget_unlisted(&mut self) {
-        self.servers.retain(|_, server| server.is_listed || server.own > 0);
+        self.servers
+            .retain(|_, server| server.is_listed || server.own > 0);
     }
 
     fn on_members(&mut self, members: Vec<Address>, since: Epoch, now: Moment) {
-        let has_others = members.iter().collect::<BTreeSet<_>>() != self.members.iter().collect::<BTreeSet<_>>();
+        let has_others =
+            members.iter().collect::<BTreeSet<_>>() != self.members.iter().collect::<BTreeSet<_>>();
         self.claim.learn_membership(since, has_others, now);
         self.members = members;
         for server in self.servers.values_mut() {
@@ -305,7 +352,9 @@
         weights: String,
         now: Moment,
     ) {
-        let Some(server) = self.servers.get_mut(name) else { return };
+        let Some(server) = self.servers.get_mut(name) else {
+            return;
+        };
         let is_new_life = server.incarnation.is_some_and(|old| old != incarnation);
         let has_other_weights = server.weights.as_ref().is_some_and(|old| *old != weights);
         if is_new_life || has_other_weights {
@@ -332,7 +381,9 @@
 
     fn on_first_token(&mut self, request: RequestId, now: Moment) {
         let base = self.scheduler_rules.base_first_token;
-        let Some(hand) = self.requests.get_mut(&request) else { return };
+        let Some(hand) = self.requests.get_mut(&request) else {
+            return;
+        };
         if hand.first.is_some() {
             return;
         }
@@ -342,12 +393,19 @@
             server.unread = server.unread.saturating_sub(footprint.uncached);
         }
         let lag = now.since(hand.placed).0.saturating_sub(hand.expected.0);
-        let (name, was_noted) = (hand.server.clone(), std::mem::replace(&mut hand.is_noted, true));
+        let (name, was_noted) = (
+            hand.server.clone(),
+            std::mem::replace(&mut hand.is_noted, true),
+        );
         if !was_noted {
             self.note_lag(&name, lag, now);
         }
-        let Some(hand) = self.requests.get_mut(&request) else { return };
-        let Some(server) = self.servers.get_mut(&name) else { return };
+        let Some(hand) = self.requests.get_mut(&request) else {
+            return;
+        };
+        let Some(server) = self.servers.get_mut(&name) else {
+            return;
+        };
         if server.late == 0 && !server.is_suspect(now) {
             server.well();
         }
@@ -359,12 +417,20 @@
         let uncached = blocks - u64::from(hand.matched);
         if footprint.is_told {
             if hand.was_idle {
-                server.learn_prefill(took, footprint.ahead + footprint.uncached, &self.scheduler_rules);
+                server.learn_prefill(
+                    took,
+                    footprint.ahead + footprint.uncached,
+                    &self.scheduler_rules,
+                );
             }
-            let whole = footprint.prompt * server.block_micros / u64::from(self.scheduler_rules.block_tokens.max(1));
+            let whole = footprint.prompt * server.block_micros
+                / u64::from(self.scheduler_rules.block_tokens.max(1));
             let kept = footprint.prompt - footprint.uncached;
             if footprint.ahead == 0 && hand.was_idle && kept >= 1024 && took * 10 > whole * 9 {
-                self.decisions.push(Decision::Disproved { request, server: hand.server.clone() });
+                self.decisions.push(Decision::Disproved {
+                    request,
+                    server: hand.server.clone(),
+                });
             }
             server.residency.hold(&hand.hashes, now);
             return;
@@ -378,7 +444,10 @@
         if is_disproved {
             // It came as late as a cold one: the belief was wrong, up to this prompt itself.
             let server_name = hand.server.clone();
-            self.decisions.push(Decision::Disproved { request, server: server_name });
+            self.decisions.push(Decision::Disproved {
+                request,
+                server: server_name,
+            });
         }
         server.residency.hold(&hand.hashes, now);
     }
@@ -387,24 +456,35 @@
     fn note_lag(&mut self, name: &ServerName, lag: u64, now: Moment) {
         let usual = usual_lag(&self.servers, name).unwrap_or(u64::MAX / 8);
         let may_lose = self.may_lose(name, now);
-        let Some(server) = self.servers.get_mut(name) else { return };
+        let Some(server) = self.servers.get_mut(name) else {
+            return;
+        };
         if server.note_lag(lag, usual) && may_lose {
             server.late = 0;
             if let Some(span) = server.fault(now, true) {
-                self.decisions.push(Decision::Suspected { server: name.clone(), span });
+                self.decisions.push(Decision::Suspected {
+                    server: name.clone(),
+                    span,
+                });
             }
         }
     }
 
     /// Whether it may be kept from work on mere doubt: no more than half of a pool ever is.
     fn may_lose(&self, name: &ServerName, now: Moment) -> bool {
-        let Some(own) = self.servers.get(name) else { return false };
-        let is_kin = |server: &&ServerState| server.is_listed && !server.is_leaving && server.pool == own.pool;
+        let Some(own) = self.servers.get(name) else {
+            return false;
+        };
+        let is_kin = |server: &&ServerState| {
+            server.is_listed && !server.is_leaving && server.pool == own.pool
+        };
         let (all, lost) = self
             .servers
             .values()
             .filter(is_kin)
-            .fold((0, 0), |(all, lost), server| (all + 1, lost + usize::from(server.is_suspect(now))));
+            .fold((0, 0), |(all, lost), server| {
+                (all + 1, lost + usize::from(server.is_suspect(now)))
+            });
         (lost + 1) * 2 <= all
     }
 
@@ -418,19 +498,32 @@
             let slack = Span(usual.saturating_mul(4) + self.scheduler_rules.overdue_slack.0);
             now.since(hand.placed) > Span(hand.expected.0 + slack.0)
         };
-        let overdue: Vec<RequestId> =
-            self.requests.iter().filter(|(_, hand)| is_overdue(hand)).map(|(request, _)| request.clone()).collect();
+        let overdue: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, hand)| is_overdue(hand))
+            .map(|(request, _)| request.clone())
+            .collect();
         for request in overdue {
-            let Some(hand) = self.requests.get_mut(&request) else { continue };
+            let Some(hand) = self.requests.get_mut(&request) else {
+                continue;
+            };
             hand.is_noted = true;
-            let (name, lag) = (hand.server.clone(), now.since(hand.placed).0.saturating_sub(hand.expected.0));
+            let (name, lag) = (
+                hand.server.clone(),
+                now.since(hand.placed).0.saturating_sub(hand.expected.0),
+            );
             self.note_lag(&name, lag, now);
         }
     }
 
     fn on_ended(&mut self, request: &RequestId, outcome: Outcome, now: Moment) {
-        let Some(hand) = self.requests.remove(request) else { return };
-        let Some(server) = self.servers.get_mut(&hand.server) else { return };
+        let Some(hand) = self.requests.remove(request) else {
+            return;
+        };
+        let Some(server) = self.servers.get_mut(&hand.server) else {
+            return;
+        };
         server.own = server.own.saturating_sub(1);
         server.tokens = server.tokens.saturating_sub(hand.footprint.memory);
         if hand.first.is_none() {
@@ -445,7 +538,10 @@
                 // Without a prompt, a server works from the start to its first piece.
                 let is_plain = hand.footprint.is_told && hand.hashes.is_empty();
                 let since = hand.first.filter(|_| !is_plain).unwrap_or(hand.placed);
-                let held = now.since(since).0.saturating_sub(hand.footprint.queue * u64::from(is_plain));
+                let held = now
+                    .since(since)
+                    .0
+                    .saturating_sub(hand.footprint.queue * u64::from(is_plain));
                 let held = held.clamp(5, 60_000);
                 server.hold = Span((server.hold.0 * 7 + held) / 8);
             }
@@ -458,7 +554,12 @@
                     if let Some(window) = self.repeat_windows.get_mut(&hand.service) {
                         window.unplace(hand.is_repeat);
                     }
-                    let part = repeat_part(&self.scheduler_rules, &hand.service, &self.own, &self.members);
+                    let part = repeat_part(
+                        &self.scheduler_rules,
+                        &hand.service,
+                        &self.own,
+                        &self.members,
+                    );
                     if let Some(allowance) = self.repeats.get_mut(&hand.service) {
                         if hand.is_repeat {
                             allowance.give_back(part);
@@ -470,9 +571,14 @@
                 if !is_certain && !self.may_lose(&hand.server, now) {
                     return;
                 }
-                let Some(server) = self.servers.get_mut(&hand.server) else { return };
+                let Some(server) = self.servers.get_mut(&hand.server) else {
+                    return;
+                };
                 if let Some(span) = server.fault(now, is_certain) {
-                    self.decisions.push(Decision::Suspected { server: hand.server, span });
+                    self.decisions.push(Decision::Suspected {
+                        server: hand.server,
+                        span,
+                    });
                 }
             }
         }
@@ -480,10 +586,15 @@
 
     /// Whatever comes back there, comes back empty and ramps up.
     fn on_unreachable(&mut self, name: &ServerName, now: Moment) {
-        let Some(server) = self.servers.get_mut(name) else { return };
+        let Some(server) = self.servers.get_mut(name) else {
+            return;
+        };
         server.residency.clear();
         if let Some(span) = server.fault(now, true) {
-            self.decisions.push(Decision::Suspected { server: name.clone(), span });
+            self.decisions.push(Decision::Suspected {
+                server: name.clone(),
+                span,
+            });
         }
     }
 
@@ -491,10 +602,9 @@
         if from == self.own || !self.scheduler_rules.does_merge {
             return;
         }
-        let is_old = self
-            .peers
-            .get(&from)
-            .is_some_and(|peer| peer.sketch.incarnation == sketch.incarnation && peer.sketch.number >= sketch.number);
+        let is_old = self.peers.get(&from).is_some_and(|peer| {
+            peer.sketch.incarnation == sketch.incarnation && peer.sketch.number >= sketch.number
+        });
         if is_old {
             return;
         }
@@ -505,8 +615,13 @@
             }
         }
         let mut former = self.peers.remove(&from);
-        let is_same_life = former.as_ref().is_some_and(|peer| peer.sketch.incarnation == sketch.incarnation);
-        let known = former.as_mut().filter(|_| is_same_life).map(|peer| std::mem::take(&mut peer.read));
+        let is_same_life = former
+            .as_ref()
+            .is_some_and(|peer| peer.sketch.incarnation == sketch.incarnation);
+        let known = former
+            .as_mut()
+            .filter(|_| is_same_life)
+            .map(|peer| std::mem::take(&mut peer.read));
         let mut read = known.unwrap_or_default();
         for told in &sketch.in_flight {
             let before = read.insert(told.server.clone(), told.read).unwrap_or(0);
@@ -522,7 +637,15 @@
         }
         self.told.add(&sketch);
         sum_loads(&mut self.servers, &self.told, &sketch);
-        self.peers.insert(from, Peer { heard: now, sketch, is_counted: true, read });
+        self.peers.insert(
+            from,
+            Peer {
+                heard: now,
+                sketch,
+                is_counted: true,
+                read,
+            },
+        );
         self.count_known();
     }
 
@@ -530,12 +653,18 @@
     fn claimed(&self, whole: u32, server: &ServerState, now: Moment) -> Result<u32, Span> {
         self.claim.check(now)?;
         let is_member = self.members.contains(&self.own);
-        Ok(if is_member { share_at(whole, server.rank, self.fleet_size()) } else { 0 })
+        Ok(if is_member {
+            share_at(whole, server.rank, self.fleet_size())
+        } else {
+            0
+        })
     }
 
     /// How many nodes there are at least, as far as known here.
     fn fleet_size(&self) -> u32 {
-        (self.members.len() as u32).max(self.scheduler_rules.members_least).max(self.counted_peers + 1)
+        (self.members.len() as u32)
+            .max(self.scheduler_rules.members_least)
+            .max(self.counted_peers + 1)
     }
 
     /// Sketches that have grown old count no more.
@@ -544,7 +673,11 @@
             return;
         }
         let life = self.scheduler_rules.sketch_life;
-        for peer in self.peers.values_mut().filter(|peer| peer.is_counted && now.since(peer.heard) >= life) {
+        for peer in self
+            .peers
+            .values_mut()
+            .filter(|peer| peer.is_counted && now.since(peer.heard) >= life)
+        {
             self.told.remove(&peer.sketch);
             sum_loads(&mut self.servers, &self.told, &peer.sketch);
             peer.is_counted = false;
@@ -567,7 +700,11 @@
         let mut heard = BTreeSet::from([self.own]);
         for (from, peer) in self.peers.iter().filter(|(_, peer)| peer.is_counted) {
             match &peer.sketch.missing {
-                Some(missing) => heard.extend(self.members.iter().filter(|member| !missing.contains(member))),
+                Some(missing) => heard.extend(
+                    self.members
+                        .iter()
+                        .filter(|member| !missing.contains(member)),
+                ),
                 None => drop(heard.insert(*from)),
             }
         }
@@ -584,25 +721,42 @@
     fn load(&self, server: &ServerState, now: Moment) -> u32 {
         let known = server.own + server.theirs.count;
         match server.reported {
-            Some((reported, at)) if now.since(at) < self.scheduler_rules.report_life => known.max(reported),
+            Some((reported, at)) if now.since(at) < self.scheduler_rules.report_life => {
+                known.max(reported)
+            }
             _ => known,
         }
     }
 
     /// Servers believed to hold a prefix, by own sight or a peer's.
     fn holders(&self, prefix: PrefixHash, now: Moment) -> Vec<ServerName> {
-        let holds = |(name, server): &(&ServerName, &ServerState)| self.is_warm(prefix, name, server, now);
-        self.servers.iter().filter(holds).map(|(name, _)| name.clone()).collect()
+        let holds =
+            |(name, server): &(&ServerName, &ServerState)| self.is_warm(prefix, name, server, now);
+        self.servers
+            .iter()
+            .filter(holds)
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     /// Whether it's believed to hold a prefix.
-    fn is_warm(&self, prefix: PrefixHash, name: &ServerName, server: &ServerState, now: Moment) -> bool {
+    fn is_warm(
+        &self,
+        prefix: PrefixHash,
+        name: &ServerName,
+        server: &ServerState,
+        now: Moment,
+    ) -> bool {
         server.residency.holds(prefix, now) || self.is_told(prefix, name, server) == Some(true)
     }
 
     /// Whether a peer says that it holds a prefix (`true`), or that it was sent there.
     fn is_told(&self, prefix: PrefixHash, name: &ServerName, server: &ServerState) -> Option<bool> {
-        let told = self.told.holdings(prefix).iter().find(|told| told.is_of(name, server.incarnation.unwrap_or(0)))?;
+        let told = self
+            .told
+            .holdings(prefix)
+            .iter()
+            .find(|told| told.is_of(name, server.incarnation.unwrap_or(0)))?;
         Some(told.is_shown())
     }
 
@@ -626,15 +780,32 @@
     let is_kin = |(other, server): &(&ServerName, &ServerState)| {
         *other != name && server.is_listed && server.pool == own.pool && server.faults == 0
     };
-    let mut lags: Vec<u64> = servers.iter().filter(is_kin).map(|(_, server)| server.lag).collect();
-    let all = servers.values().filter(|server| server.is_listed && server.pool == own.pool).count();
+    let mut lags: Vec<u64> = servers
+        .iter()
+        .filter(is_kin)
+        .map(|(_, server)| server.lag)
+        .collect();
+    let all = servers
+        .values()
+        .filter(|server| server.is_listed && server.pool == own.pool)
+        .count();
     lags.sort_unstable();
     (lags.len() * 2 >= all).then(|| lags[lags.len() / 2])
 }
 
 /// A node's part of the allowance of repeats that a service has a minute, fleet-wide.
-fn repeat_part(rules: &SchedulerRules, service: &ServiceName, own: &Address, members: &[Address]) -> u32 {
-    share(rules.repeats_a_minute, key_of(service.as_str()), own, members)
+fn repeat_part(
+    rules: &SchedulerRules,
+    service: &ServiceName,
+    own: &Address,
+    members: &[Address],
+) -> u32 {
+    share(
+        rules.repeats_a_minute,
+        key_of(service.as_str()),
+        own,
+        members,
+    )
 }
 
 #[cfg(test)]
--- a/crates/placement/src/scheduler/peer_totals.rs
+++ b/crates/placement/src/scheduler/peer_totals.rs
@@ -39,17 +39,28 @@
         }
         for holding in &sketch.holdings {
             let those = self.holdings.entry(holding.prefix).or_default();
-            let is_it = |t: &&mut ToldHolding| t.server == holding.server && t.incarnation == holding.incarnation;
+            let is_it = |t: &&mut ToldHolding| {
+                t.server == holding.server && t.incarnation == holding.incarnation
+            };
             let place = match those.iter_mut().find(is_it) {
                 Some(place) => place,
                 None => {
                     let (server, incarnation) = (holding.server.clone(), holding.incarnation);
-                    those.push(ToldHolding { server, incarnation, shown: 0, sent: 0 });
+                    those.push(ToldHolding {
+                        server,
+                        incarnation,
+                        shown: 0,
+                        sent: 0,
+                    });
                     let last = those.len() - 1;
                     &mut those[last]
                 }
             };
-            *(if holding.is_shown { &mut place.shown } else { &mut place.sent }) += 1;
+            *(if holding.is_shown {
+                &mut place.shown
+            } else {
+                &mut place.sent
+            }) += 1;
         }
         for told in &sketch.in_flight {
             let load = self.loads.entry(told.server.clone()).or_default();
@@ -69,10 +80,16 @@
             }
         }
         for holding in &sketch.holdings {
-            let Some(those) = self.holdings.get_mut(&holding.prefix) else { continue };
+            let Some(those) = self.holdings.get_mut(&holding.prefix) else {
+                continue;
+            };
             for told in those.iter_mut() {
                 if told.server == holding.server && told.incarnation == holding.incarnation {
-                    let count = if holding.is_shown { &mut told.shown } else { &mut told.sent };
+                    let count = if holding.is_shown {
+                        &mut told.shown
+                    } else {
+                        &mut told.sent
+                    };
                     *count = count.saturating_sub(1);
                 }
             }
@@ -82,7 +99,9 @@
             }
         }
         for told in &sketch.in_flight {
-            let Some(load) = self.loads.get_mut(&told.server) else { continue };
+            let Some(load) = self.loads.get_mut(&told.server) else {
+                continue;
+            };
             load.count = load.count.saturating_sub(told.count);
             load.unread = load.unread.saturating_sub(told.unread);
             load.tokens = load.tokens.saturating_sub(told.tokens);
--- a/crates/placement/src/scheduler/placing.rs
+++ b/crates/placement/src/scheduler/placing.rs
@@ -44,7 +44,10 @@
 pub(super) const WAIT_LEAST: Span = Span(50);
 
 pub(super) fn late_words(expected: Span, deadline: Span) -> String {
-    format!("the first piece is expected after {} ms, {} ms are allowed", expected.0, deadline.0)
+    format!(
+        "the first piece is expected after {} ms, {} ms are allowed",
+        expected.0, deadline.0
+    )
 }
 
 /// A candidate with what the choice needs besides.
@@ -69,7 +72,14 @@
     ) {
         let Some(rules) = self.services.get(&service).cloned() else {
             let why = "no accepted plan allows this service".to_owned();
-            return self.refuse(request, service, ResultCode::UnknownService, why, Span(0), round);
+            return self.refuse(
+                request,
+                service,
+                ResultCode::UnknownService,
+                why,
+                Span(0),
+                round,
+            );
         };
         if let Err(wait) = self.may_repeat(&service, round, begun, now) {
             let why = "the service's repeats are used up".to_owned();
@@ -85,11 +95,32 @@
             self.note_burst(prefix, &rules, &service, &hashes, count, now);
         }
         let is_active = prefix.is_some_and(|prefix| self.active.contains_key(&prefix));
-        let ask = Ask { request: &request, rules: &rules, hashes: &hashes, counted, tried, demand, is_active, now };
-        let choice = if demand.is_told() { self.choose_by_time(&ask) } else { self.choose_by_load(&ask) };
-        let Choice { chosen, reason, was_idle, footprint, candidates } = match choice {
+        let ask = Ask {
+            request: &request,
+            rules: &rules,
+            hashes: &hashes,
+            counted,
+            tried,
+            demand,
+            is_active,
+            now,
+        };
+        let choice = if demand.is_told() {
+            self.choose_by_time(&ask)
+        } else {
+            self.choose_by_load(&ask)
+        };
+        let Choice {
+            chosen,
+            reason,
+            was_idle,
+            footprint,
+            candidates,
+        } = match choice {
             Ok(choice) => choice,
-            Err(Refusal { code, why, wait }) => return self.refuse(request, service, code, why, wait, round),
+            Err(Refusal { code, why, wait }) => {
+                return self.refuse(request, service, code, why, wait, round);
+            }
         };
         // Only what goes to a server counts, as a repeat or as traffic.
         self.note_placed(&service, round, now);
@@ -123,32 +154,72 @@
             self.requests.insert(request.clone(), hand);
         }
         let (server, epoch) = (chosen.server, self.rules.epoch);
-        self.decisions.push(Decision::Placed { request, service, server, reason, round, count, candidates, epoch });
+        self.decisions.push(Decision::Placed {
+            request,
+            service,
+            server,
+            reason,
+            round,
+            count,
+            candidates,
+            epoch,
+        });
     }
 
     /// Whether an order of this round may be placed; else when about.
-    fn may_repeat(&mut self, service: &ServiceName, round: u32, begun: Moment, now: Moment) -> Result<(), Span> {
+    fn may_repeat(
+        &mut self,
+        service: &ServiceName,
+        round: u32,
+        begun: Moment,
+        now: Moment,
+    ) -> Result<(), Span> {
         let scheduler_rules = &self.scheduler_rules;
         if scheduler_rules.repeat_window.0 > 0 {
             if round == 0 {
                 return Ok(());
             }
             let own_rank = rank(key_of(service.as_str()), &self.own, &self.members) as u32;
-            let part = share_at(scheduler_rules.repeats_in_window, own_rank, self.fleet_size());
-            let window = self.repeat_windows.entry(service.clone()).or_insert_with(|| RepeatWindow::new(begun));
-            let wait = window.check(scheduler_rules.repeat_percent, part, now, scheduler_rules.repeat_window);
+            let part = share_at(
+                scheduler_rules.repeats_in_window,
+                own_rank,
+                self.fleet_size(),
+            );
+            let window = self
+                .repeat_windows
+                .entry(service.clone())
+                .or_insert_with(|| RepeatWindow::new(begun));
+            let wait = window.check(
+                scheduler_rules.repeat_percent,
+                part,
+                now,
+                scheduler_rules.repeat_window,
+            );
             return wait.map_err(|wait| wait.max_with(WAIT_LEAST));
         }
         let part = repeat_part(scheduler_rules, service, &self.own, &self.members);
-        let allowance = self.repeats.entry(service.clone()).or_insert_with(|| Allowance::new(now));
+        let allowance = self
+            .repeats
+            .entry(service.clone())
+            .or_insert_with(|| Allowance::new(now));
         allowance.drip(part, now);
-        if round > 0 && !allowance.has_one() { Err(Span(1000)) } else { Ok(()) }
+        if round > 0 && !allowance.has_one() {
+            Err(Span(1000))
+        } else {
+            Ok(())
+        }
     }
 
     fn note_placed(&mut self, service: &ServiceName, round: u32, now: Moment) {
-        let (span, begun) = (self.scheduler_rules.repeat_window, self.begun.unwrap_or(now));
+        let (span, begun) = (
+            self.scheduler_rules.repeat_window,
+            self.begun.unwrap_or(now),
+        );
         if span.0 > 0 {
-            let window = self.repeat_windows.entry(service.clone()).or_insert_with(|| RepeatWindow::new(begun));
+            let window = self
+                .repeat_windows
+                .entry(service.clone())
+                .or_insert_with(|| RepeatWindow::new(begun));
             return window.place(round > 0, now, span);
         }
         let part = repeat_part(&self.scheduler_rules, service, &self.own, &self.members);
@@ -165,23 +236,45 @@
     fn choose_by_load(&self, ask: &Ask) -> Result<Choice, Refusal> {
         let (weighed, full_until) = self.weigh(ask);
         let deadline = ask.rules.first_token;
-        let Some((place, reason)) = choose(&weighed, ask.is_active, deadline, &self.scheduler_rules) else {
+        let Some((place, reason)) =
+            choose(&weighed, ask.is_active, deadline, &self.scheduler_rules)
+        else {
             let (code, why) = if full_until.0 > 0 {
-                (ResultCode::Crowded, "every server that may serve it is at its cap")
+                (
+                    ResultCode::Crowded,
+                    "every server that may serve it is at its cap",
+                )
             } else {
-                (ResultCode::NoServer, "no server that may serve it is known and well")
+                (
+                    ResultCode::NoServer,
+                    "no server that may serve it is known and well",
+                )
             };
-            return Err(Refusal { code, why: why.to_owned(), wait: full_until.max_with(Span(1000)) });
+            return Err(Refusal {
+                code,
+                why: why.to_owned(),
+                wait: full_until.max_with(Span(1000)),
+            });
         };
         let chosen = weighed[place].candidate.clone();
         if self.scheduler_rules.does_admit && chosen.expected > deadline {
             let why = late_words(chosen.expected, deadline);
             let wait = Span(chosen.expected.0 - deadline.0).max_with(Span(1000));
-            return Err(Refusal { code: ResultCode::Crowded, why, wait });
+            return Err(Refusal {
+                code: ResultCode::Crowded,
+                why,
+                wait,
+            });
         }
         let was_idle = chosen.load < weighed[place].slots;
         let candidates = weighed.into_iter().map(|w| w.candidate).collect();
-        Ok(Choice { chosen, reason, was_idle, footprint: Footprint::default(), candidates })
+        Ok(Choice {
+            chosen,
+            reason,
+            was_idle,
+            footprint: Footprint::default(),
+            candidates,
+        })
     }
 
     fn refuse(
@@ -194,12 +287,25 @@
         round: u32,
     ) {
         let (code, epoch) = (code.number(), self.rules.epoch);
-        self.decisions.push(Decision::Refused { request, service, code, why, retry_after, round, epoch });
+        self.decisions.push(Decision::Refused {
+            request,
+            service,
+            code,
+            why,
+            retry_after,
+            round,
+            epoch,
+        });
     }
 
     /// Where in a prompt the prefix ends that is counted: at the first part by which Y blocks are full, if it's
     /// that long and BTB is on. What a client alone brings, the last part of a told prompt, is never counted.
-    pub(super) fn counted_place(&self, rules: &ServiceRules, hashes: &[PrefixHash], demand: &Demand) -> Option<usize> {
+    pub(super) fn counted_place(
+        &self,
+        rules: &ServiceRules,
+        hashes: &[PrefixHash],
+        demand: &Demand,
+    ) -> Option<usize> {
         if !rules.btb.is_on {
             return None;
         }
@@ -207,7 +313,8 @@
             let place = (rules.btb.blocks as usize).checked_sub(1)?;
             return (place < hashes.len()).then_some(place);
         }
-        let needed = u64::from(rules.btb.blocks.max(1)) * u64::from(self.scheduler_rules.block_tokens);
+        let needed =
+            u64::from(rules.btb.blocks.max(1)) * u64::from(self.scheduler_rules.block_tokens);
         let mut so_far = 0;
         let mut parts = demand.hash_tokens.iter().take(hashes.len());
         let place = parts.position(|tokens| {
@@ -219,7 +326,13 @@
     }
 
     /// Whether the rules and the server's state let it take work of this service at all.
-    pub(super) fn may_serve(&self, rules: &ServiceRules, name: &ServerName, server: &ServerState, now: Moment) -> bool {
+    pub(super) fn may_serve(
+        &self,
+        rules: &ServiceRules,
+        name: &ServerName,
+        server: &ServerState,
+        now: Moment,
+    ) -> bool {
         server.is_listed
             && !server.is_leaving
             && !server.is_suspect(now)
@@ -231,21 +344,42 @@
 
     /// Whether a server that may have this much in hand from the whole fleet can take one more from this node now;
     /// else when, about.
-    fn may_add_to(&self, server: &ServerState, cap: u32, load: u32, now: Moment) -> Result<(), Span> {
+    fn may_add_to(
+        &self,
+        server: &ServerState,
+        cap: u32,
+        load: u32,
+        now: Moment,
+    ) -> Result<(), Span> {
         if server.is_fresh(now, &self.scheduler_rules) {
             let part = self.claimed(cap, server, now)?;
             // What a former life of a node left there shows only in what others and the server itself tell.
-            return if server.own < part && load < cap { Ok(()) } else { Err(FRESH_WAIT) };
+            return if server.own < part && load < cap {
+                Ok(())
+            } else {
+                Err(FRESH_WAIT)
+            };
         }
         let part = share_at(cap, server.rank, self.members.len() as u32);
         // Beyond the own part, room that others leave may be used, if all others are heard.
         let may_borrow = self.knows_all && load < cap;
-        if server.own < part || may_borrow { Ok(()) } else { Err(server.hold) }
+        if server.own < part || may_borrow {
+            Ok(())
+        } else {
+            Err(server.hold)
+        }
     }
 
     /// All servers that may take the request now, and, if some are only full, until when about.
     fn weigh(&self, ask: &Ask) -> (Vec<Weighed>, Span) {
-        let Ask { request, rules, hashes, tried, now, .. } = *ask;
+        let Ask {
+            request,
+            rules,
+            hashes,
+            tried,
+            now,
+            ..
+        } = *ask;
         let counted = ask.prefix();
         let mut weighed = vec![];
         let mut full_until = Span(0);
@@ -258,19 +392,41 @@
             let cap = server.cap(rules.slots, now, &self.scheduler_rules);
             let load = self.load(server, now);
             if let Err(wait) = self.may_add_to(server, cap, load, now) {
-                full_until = if full_until.0 == 0 { wait } else { Span(full_until.0.min(wait.0)) };
+                full_until = if full_until.0 == 0 {
+                    wait
+                } else {
+                    Span(full_until.0.min(wait.0))
+                };
                 continue;
             }
             let is_warm = counted.is_some_and(|prefix| self.is_warm(prefix, name, server, now));
             let held = server.residency.matched(hashes, now);
-            let is_expected = counted.is_some_and(|prefix| self.is_told(prefix, name, server).is_some());
-            let matched = if is_warm || is_expected { held.max(rules.btb.blocks) } else { held };
+            let is_expected =
+                counted.is_some_and(|prefix| self.is_told(prefix, name, server).is_some());
+            let matched = if is_warm || is_expected {
+                held.max(rules.btb.blocks)
+            } else {
+                held
+            };
             let slots = server.slots.unwrap_or(rules.slots).max(1);
-            let queue = u64::from((load + 1).saturating_sub(slots)) * server.hold.0 / u64::from(slots);
-            let prefill = (hashes.len() as u64).saturating_sub(u64::from(matched)) * server.block_micros / 1000;
+            let queue =
+                u64::from((load + 1).saturating_sub(slots)) * server.hold.0 / u64::from(slots);
+            let prefill = (hashes.len() as u64).saturating_sub(u64::from(matched))
+                * server.block_micros
+                / 1000;
             let expected = Span(self.scheduler_rules.base_first_token.0 + queue + prefill);
-            let candidate = Candidate { server: name.clone(), load, matched, expected, is_warm };
-            weighed.push(Weighed { candidate, slots, tie: mix(key ^ request_key) });
+            let candidate = Candidate {
+                server: name.clone(),
+                load,
+                matched,
+                expected,
+                is_warm,
+            };
+            weighed.push(Weighed {
+                candidate,
+                slots,
+                tie: mix(key ^ request_key),
+            });
         }
         (weighed, full_until)
     }
@@ -295,16 +451,24 @@
 ) -> Option<(usize, PlaceReason)> {
     let least = |may: &dyn Fn(&Weighed) -> bool| {
         let those = weighed.iter().enumerate().filter(|(_, w)| may(w));
-        those.min_by_key(|(_, w)| (w.candidate.load, w.tie)).map(|(place, _)| place)
+        those
+            .min_by_key(|(_, w)| (w.candidate.load, w.tie))
+            .map(|(place, _)| place)
     };
     let first = if let Some(warm) = least(&|w| is_active && w.candidate.is_warm) {
         (warm, PlaceReason::Warm)
     } else {
         let idlest = least(&|_| true)?;
-        let matching = weighed.iter().enumerate().filter(|(_, w)| w.candidate.matched > 0);
-        let best = matching.max_by_key(|(_, w)| (w.candidate.matched, u32::MAX - w.candidate.load, w.tie));
+        let matching = weighed
+            .iter()
+            .enumerate()
+            .filter(|(_, w)| w.candidate.matched > 0);
+        let best =
+            matching.max_by_key(|(_, w)| (w.candidate.matched, u32::MAX - w.candidate.load, w.tie));
         match best {
-            Some((place, w)) if w.candidate.load <= weighed[idlest].candidate.load + rules.imbalance => {
+            Some((place, w))
+                if w.candidate.load <= weighed[idlest].candidate.load + rules.imbalance =>
+            {
                 (place, PlaceReason::CacheMatch)
             }
             Some(_) => (idlest, PlaceReason::Imbalance),
@@ -312,7 +476,10 @@
         }
     };
     if rules.does_admit && weighed[first.0].candidate.expected > deadline {
-        let soonest = weighed.iter().enumerate().min_by_key(|(_, w)| (w.candidate.expected, w.tie));
+        let soonest = weighed
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, w)| (w.candidate.expected, w.tie));
         return soonest.map(|(place, _)| (place, PlaceReason::Soonest));
     }
     Some(first)
--- a/crates/placement/src/scheduler/tests.rs
+++ b/crates/placement/src/scheduler/tests.rs
@@ -9,16 +9,31 @@
         servers: vec![],
         first_token: Span(2000),
         slots: 8,
-        btb: BtbRules { blocks: 4, ..BtbRules::default() },
+        btb: BtbRules {
+            blocks: 4,
+            ..BtbRules::default()
+        },
         cold_per_second: 0,
         cold_span: Span(0),
         memory_tokens: 0,
     };
-    Rules { epoch: Epoch(1), services: [("drafts".into(), service)].into(), withdrawn: vec![] }
+    Rules {
+        epoch: Epoch(1),
+        services: [("drafts".into(), service)].into(),
+        withdrawn: vec![],
+    }
 }
 
 fn prompt(request: u64, prefix: u64) -> Event {
-    let hashes = (0..6).map(|n| PrefixHash(if n < 4 { prefix * 100 + n } else { request * 1000 + n })).collect();
+    let hashes = (0..6)
+        .map(|n| {
+            PrefixHash(if n < 4 {
+                prefix * 100 + n
+            } else {
+                request * 1000 + n
+            })
+        })
+        .collect();
     Event::Prompt {
         request: RequestId(format!("o{request}")),
         service: "drafts".into(),
@@ -50,7 +65,9 @@
 
 impl Played {
     fn new() -> Self {
-        let mut played = Played { scheduler: Scheduler::new(Address::loopback(1), 1, SchedulerRules::default()) };
+        let mut played = Played {
+            scheduler: Scheduler::new(Address::loopback(1), 1, SchedulerRules::default()),
+        };
         played.take(0, Event::Rules { rules: rules() });
         let entry = |name: &str, zone: &str| ServerEntry {
             server: name.into(),
@@ -59,7 +76,12 @@
             is_leaving: false,
             ..ServerEntry::default()
         };
-        let servers = vec![entry("a", "north"), entry("b", "north"), entry("c", "south"), entry("d", "south")];
+        let servers = vec![
+            entry("a", "north"),
+            entry("b", "north"),
+            entry("c", "south"),
+            entry("d", "south"),
+        ];
         played.take(0, Event::ServerList { servers });
         for name in ["a", "b", "c", "d"] {
             played.take(0, load(name, 60_000));
@@ -67,18 +89,28 @@
         played
     }
     fn take(&mut self, at: u64, event: Event) -> Vec<Decision> {
-        self.scheduler.take(Dated { at: Moment(START + at), event })
+        self.scheduler.take(Dated {
+            at: Moment(START + at),
+            event,
+        })
     }
     fn place(&mut self, at: u64, request: u64, prefix: u64) -> Option<(ServerName, PlaceReason)> {
-        self.take(at, prompt(request, prefix)).into_iter().find_map(|decision| match decision {
-            Decision::Placed { server, reason, .. } => Some((server, reason)),
-            _ => None,
-        })
+        self.take(at, prompt(request, prefix))
+            .into_iter()
+            .find_map(|decision| match decision {
+                Decision::Placed { server, reason, .. } => Some((server, reason)),
+                _ => None,
+            })
     }
     /// Four prompts of one prefix, the first of them replied.
     fn burst(&mut self) -> ServerName {
         let (holder, _) = self.place(100, 1, 7).expect("placed");
-        self.take(150, Event::FirstToken { request: "o1".into() });
+        self.take(
+            150,
+            Event::FirstToken {
+                request: "o1".into(),
+            },
+        );
         for request in 2..=4 {
             self.place(100 + request * 20, request, 7);
         }
@@ -91,7 +123,13 @@
     let mut played = Played::new();
     let holder = played.burst();
     let decisions = played.take(300, Event::Tick);
-    let Some(Decision::Warm { holder: exporter, targets, count: 4, .. }) = decisions.first() else {
+    let Some(Decision::Warm {
+        holder: exporter,
+        targets,
+        count: 4,
+        ..
+    }) = decisions.first()
+    else {
         panic!("no copies were ordered: {decisions:?}");
     };
     assert_eq!((exporter, targets.len()), (&holder, 2));
@@ -110,12 +148,26 @@
     let mut played = Played::new();
     let (holder, reason) = played.place(0, 1, 7).expect("placed");
     assert_eq!(reason, PlaceReason::LeastLoaded);
-    played.take(50, Event::FirstToken { request: "o1".into() });
+    played.take(
+        50,
+        Event::FirstToken {
+            request: "o1".into(),
+        },
+    );
     for request in 2..6 {
         let at = request * 4000;
-        assert_eq!(played.place(at, request, 7), Some((holder.clone(), PlaceReason::CacheMatch)));
+        assert_eq!(
+            played.place(at, request, 7),
+            Some((holder.clone(), PlaceReason::CacheMatch))
+        );
         assert_eq!(played.take(at, Event::Tick), vec![]);
-        played.take(at + 1, Event::Ended { request: RequestId(format!("o{request}")), outcome: Outcome::Complete });
+        played.take(
+            at + 1,
+            Event::Ended {
+                request: RequestId(format!("o{request}")),
+                outcome: Outcome::Complete,
+            },
+        );
     }
 }
 
@@ -123,27 +175,75 @@
 fn counts_of_peers_add_up_once_however_often_they_come() {
     let mut played = Played::new();
     played.place(100, 1, 7);
-    played.take(150, Event::FirstToken { request: "o1".into() });
+    played.take(
+        150,
+        Event::FirstToken {
+            request: "o1".into(),
+        },
+    );
     let sketch = |number, incarnation| Sketch {
         incarnation,
         number,
-        hot: vec![Hot { prefix: PrefixHash(703), count: 1 }],
+        hot: vec![Hot {
+            prefix: PrefixHash(703),
+            count: 1,
+        }],
         ..Sketch::default()
     };
     for (number, incarnation) in [(1, 5), (2, 5), (2, 5), (1, 6)] {
         let (from, sketch) = (Address::loopback(2), sketch(number, incarnation));
         played.take(200, Event::PeerSketch { from, sketch });
     }
-    assert_eq!(played.scheduler.count(PrefixHash(703), Moment(START + 200), Span(5000)), 2);
+    assert_eq!(
+        played
+            .scheduler
+            .count(PrefixHash(703), Moment(START + 200), Span(5000)),
+        2
+    );
     // It has cooled at the peer, and the sketch from before comes late.
-    let (from, cooled) = (Address::loopback(2), Sketch { incarnation: 6, number: 2, ..Sketch::default() });
-    played.take(210, Event::PeerSketch { from, sketch: cooled });
-    played.take(220, Event::PeerSketch { from, sketch: sketch(1, 6) });
-    assert_eq!(played.scheduler.count(PrefixHash(703), Moment(START + 220), Span(5000)), 1);
+    let (from, cooled) = (
+        Address::loopback(2),
+        Sketch {
+            incarnation: 6,
+            number: 2,
+            ..Sketch::default()
+        },
+    );
+    played.take(
+        210,
+        Event::PeerSketch {
+            from,
+            sketch: cooled,
+        },
+    );
+    played.take(
+        220,
+        Event::PeerSketch {
+            from,
+            sketch: sketch(1, 6),
+        },
+    );
+    assert_eq!(
+        played
+            .scheduler
+            .count(PrefixHash(703), Moment(START + 220), Span(5000)),
+        1
+    );
     for port in [3, 4] {
-        played.take(200, Event::PeerSketch { from: Address::loopback(port), sketch: sketch(1, 1) });
+        played.take(
+            200,
+            Event::PeerSketch {
+                from: Address::loopback(port),
+                sketch: sketch(1, 1),
+            },
+        );
     }
-    assert_eq!(played.scheduler.count(PrefixHash(703), Moment(START + 220), Span(5000)), 3);
+    assert_eq!(
+        played
+            .scheduler
+            .count(PrefixHash(703), Moment(START + 220), Span(5000)),
+        3
+    );
 }
 
 #[parameterized(
@@ -185,7 +285,13 @@
 fn a_fresh_server_is_never_flooded() {
     let mut played = Played::new();
     let members = (1..=4).map(Address::loopback).collect();
-    played.take(0, Event::Members { members, since: Epoch(1) });
+    played.take(
+        0,
+        Event::Members {
+            members,
+            since: Epoch(1),
+        },
+    );
     let entry = ServerEntry {
         server: "new".into(),
         zone: "north".into(),
@@ -193,9 +299,19 @@
         is_leaving: false,
         ..ServerEntry::default()
     };
-    played.take(1000, Event::ServerList { servers: vec![entry] });
-    let placed = (0..20).filter(|n| played.place(1100, 50 + n, 90 + n).is_some()).count();
-    assert!(placed <= 1, "one of four members put {placed} on a server whose cap is two");
+    played.take(
+        1000,
+        Event::ServerList {
+            servers: vec![entry],
+        },
+    );
+    let placed = (0..20)
+        .filter(|n| played.place(1100, 50 + n, 90 + n).is_some())
+        .count();
+    assert!(
+        placed <= 1,
+        "one of four members put {placed} on a server whose cap is two"
+    );
 }
 
 #[test]
@@ -205,8 +321,20 @@
     for request in 0..200u64 {
         let at = request * 100;
         played.place(at, request, request);
-        played.take(at + 1, Event::Ended { request: RequestId(format!("o{request}")), outcome: Outcome::Refused });
-        if let Event::Prompt { request, service, hashes, .. } = prompt(request, request) {
+        played.take(
+            at + 1,
+            Event::Ended {
+                request: RequestId(format!("o{request}")),
+                outcome: Outcome::Refused,
+            },
+        );
+        if let Event::Prompt {
+            request,
+            service,
+            hashes,
+            ..
+        } = prompt(request, request)
+        {
             let again = Event::Prompt {
                 request: request.clone(),
                 service,
@@ -216,12 +344,24 @@
                 demand: Demand::default(),
             };
             let decisions = played.take(at + 2, again);
-            repeats += decisions.iter().filter(|d| matches!(d, Decision::Placed { .. })).count();
-            played.take(at + 3, Event::Ended { request, outcome: Outcome::Complete });
+            repeats += decisions
+                .iter()
+                .filter(|d| matches!(d, Decision::Placed { .. }))
+                .count();
+            played.take(
+                at + 3,
+                Event::Ended {
+                    request,
+                    outcome: Outcome::Complete,
+                },
+            );
         }
     }
     // A fifth, and of the fleet's ten a minute this only member's third of a minute.
-    assert!((40..=44).contains(&repeats), "{repeats} repeats of 200 requests");
+    assert!(
+        (40..=44).contains(&repeats),
+        "{repeats} repeats of 200 requests"
+    );
 }
 
 #[test]
@@ -237,14 +377,20 @@
     let mut refused = 0;
     for request in 0..60 {
         for decision in played.take(100, prompt(request, request)) {
-            if let Decision::Refused { code, retry_after, .. } = decision {
+            if let Decision::Refused {
+                code, retry_after, ..
+            } = decision
+            {
                 assert_eq!(code, ResultCode::Crowded.number());
                 assert!(retry_after.0 >= 1000);
                 refused += 1;
             }
         }
     }
-    assert!((20..=50).contains(&refused), "{refused} of 60 refused by 4 servers of 4 slots");
+    assert!(
+        (20..=50).contains(&refused),
+        "{refused} of 60 refused by 4 servers of 4 slots"
+    );
 }
 
 #[test]
--- a/crates/placement/src/scheduler/timing.rs
+++ b/crates/placement/src/scheduler/timing.rs
@@ -71,7 +71,11 @@
     /// Whether fewer servers than are due hold an active prefix or are reading it.
     fn wants_more(&self, btb: &BtbRules) -> bool {
         let more = u32::from(!self.is_any_free && self.under_way == 0);
-        self.holders < btb.copies.max(self.holders + more).min(btb.most_copies.max(btb.copies))
+        self.holders
+            < btb
+                .copies
+                .max(self.holders + more)
+                .min(btb.most_copies.max(btb.copies))
     }
 }
 
@@ -83,25 +87,43 @@
             scored = self.score(ask, true).0;
         }
         // Prompts stay with what holds them; plain fetches have nothing to stay for.
-        let hysteresis = if ask.hashes.is_empty() { Span(0) } else { self.scheduler_rules.hysteresis };
+        let hysteresis = if ask.hashes.is_empty() {
+            Span(0)
+        } else {
+            self.scheduler_rules.hysteresis
+        };
         let Some(best) = best_of(&scored, hysteresis, |_| true) else {
             return Err(match survey.wait {
                 Some(wait) => {
                     let why = "every server that may serve it is at its cap".to_owned();
-                    Refusal { code: ResultCode::Crowded, why, wait: wait.max_with(WAIT_LEAST) }
+                    Refusal {
+                        code: ResultCode::Crowded,
+                        why,
+                        wait: wait.max_with(WAIT_LEAST),
+                    }
                 }
                 None => {
                     let why = "no server that may serve it is known and well".to_owned();
-                    Refusal { code: ResultCode::NoServer, why, wait: self.well_again(ask).max_with(WAIT_LEAST) }
+                    Refusal {
+                        code: ResultCode::NoServer,
+                        why,
+                        wait: self.well_again(ask).max_with(WAIT_LEAST),
+                    }
                 }
             });
         };
-        let deadline = if ask.demand.target.0 > 0 { ask.demand.target } else { ask.rules.first_token };
+        let deadline = if ask.demand.target.0 > 0 {
+            ask.demand.target
+        } else {
+            ask.rules.first_token
+        };
         let (mut chosen, mut reason) = self.choose_among(ask, &scored, best, &survey, deadline);
         // A late answer is worth something still; one after the deadline is worth nothing.
         let latest = deadline.max_with(Span(ask.demand.deadline.0 * LATE_PERCENT / 100));
         if chosen.expected > deadline.0 {
-            let soonest = scored.iter().min_by_key(|r| (r.expected, r.cost, r.affinity));
+            let soonest = scored
+                .iter()
+                .min_by_key(|r| (r.expected, r.cost, r.affinity));
             if let Some(soonest) = soonest.filter(|soonest| soonest.expected < chosen.expected) {
                 (chosen, reason) = (soonest, PlaceReason::Soonest);
             }
@@ -109,7 +131,11 @@
         let has_room = scored.iter().any(|r| r.load * 100 < r.slots * HALF_EMPTY);
         if self.scheduler_rules.does_admit && chosen.expected > latest.0 && !has_room {
             let wait = Span(chosen.expected - latest.0).max_with(WAIT_LEAST);
-            return Err(Refusal { code: ResultCode::Crowded, why: late_words(Span(chosen.expected), latest), wait });
+            return Err(Refusal {
+                code: ResultCode::Crowded,
+                why: late_words(Span(chosen.expected), latest),
+                wait,
+            });
         }
         let mut others: Vec<&Scored> = scored.iter().collect();
         let by_cost = |r: &&Scored| (r.cost, u64::MAX - r.affinity);
@@ -136,7 +162,11 @@
         deadline: Span,
     ) -> (&'b Scored<'a>, PlaceReason) {
         let by_cache = || {
-            let reason = if best.matched > 0 { PlaceReason::CacheMatch } else { PlaceReason::LeastLoaded };
+            let reason = if best.matched > 0 {
+                PlaceReason::CacheMatch
+            } else {
+                PlaceReason::LeastLoaded
+            };
             (best, reason)
         };
         if !ask.is_active {
@@ -150,10 +180,13 @@
         let wanted = !self.scheduler_rules.does_order_copies && survey.wants_more(&ask.rules.btb);
         // Its own reading warms the next target; a target reads the prefix once, and the rest go where it is held.
         let holder = warm.or_else(|| least(&|r| r.holding.is_some()));
-        let is_needed = holder.is_none_or(|holder| holder.expected > self.scheduler_rules.warm_from.0);
+        let is_needed =
+            holder.is_none_or(|holder| holder.expected > self.scheduler_rules.warm_from.0);
         if wanted
             && is_needed
-            && let Some(target) = best_of(scored, self.scheduler_rules.hysteresis, |r| r.holding.is_none())
+            && let Some(target) = best_of(scored, self.scheduler_rules.hysteresis, |r| {
+                r.holding.is_none()
+            })
             && (target.expected <= deadline.0 || warm.is_none_or(|warm| warm.expected > deadline.0))
         {
             return (target, PlaceReason::Warming);
@@ -172,23 +205,46 @@
         server: &ServerState,
         now: Moment,
     ) -> Option<bool> {
-        let told = told.iter().find(|told| told.is_of(name, server.incarnation.unwrap_or(0)));
+        let told = told
+            .iter()
+            .find(|told| told.is_of(name, server.incarnation.unwrap_or(0)));
         if told.is_some_and(ToldHolding::is_shown) || server.residency.holds(prefix, now) {
             return Some(true);
         }
-        if told.is_some() || server.residency.expects(prefix, now) { Some(false) } else { None }
+        if told.is_some() || server.residency.expects(prefix, now) {
+            Some(false)
+        } else {
+            None
+        }
     }
 
     /// When the first server that is kept from work for its faults may have some again.
     fn well_again(&self, ask: &Ask) -> Span {
-        let is_kin = |server: &&ServerState| server.is_listed && !server.is_leaving && server.pool == ask.rules.pool;
-        let waits = self.servers.values().filter(is_kin).filter_map(|server| server.suspect_until);
-        waits.map(|deadline| ask.now.until(deadline)).filter(|wait| wait.0 > 0).min().unwrap_or(Span(1000))
+        let is_kin = |server: &&ServerState| {
+            server.is_listed && !server.is_leaving && server.pool == ask.rules.pool
+        };
+        let waits = self
+            .servers
+            .values()
+            .filter(is_kin)
+            .filter_map(|server| server.suspect_until);
+        waits
+            .map(|deadline| ask.now.until(deadline))
+            .filter(|wait| wait.0 > 0)
+            .min()
+            .unwrap_or(Span(1000))
     }
 
     /// All servers that can take the request now, and what is with those that can't.
     fn score<'a>(&'a self, ask: &Ask, does_trust: bool) -> (Vec<Scored<'a>>, Survey) {
-        let Ask { rules, hashes, tried, demand, now, .. } = *ask;
+        let Ask {
+            rules,
+            hashes,
+            tried,
+            demand,
+            now,
+            ..
+        } = *ask;
         let mut scored = Vec::with_capacity(self.servers.len());
         let mut survey = Survey::default();
         let prefix = ask.prefix();
@@ -196,7 +252,9 @@
         let prompt = self.prompt_tokens(hashes, demand);
         // Prompts that begin alike prefer the same servers; others are spread.
         let shared = hashes.len().saturating_sub(2);
-        let affinity_key = hashes.get(shared).map_or_else(|| key_of(ask.request.as_str()), |hash| hash.0);
+        let affinity_key = hashes
+            .get(shared)
+            .map_or_else(|| key_of(ask.request.as_str()), |hash| hash.0);
         for (name, server) in &self.servers {
             if !self.may_serve(rules, name, server, now) {
                 continue;
@@ -204,7 +262,8 @@
             let theirs = server.theirs;
             let load = self.load(server, now);
             let slots = server.slots.unwrap_or(rules.slots).max(1);
-            let holding = prefix.and_then(|prefix| Scheduler::holding(told, prefix, name, server, now));
+            let holding =
+                prefix.and_then(|prefix| Scheduler::holding(told, prefix, name, server, now));
             survey.note_holding(holding, load < slots && server.overdue == 0);
             if tried.contains(name) {
                 continue;
@@ -218,9 +277,16 @@
                 (Some(_), Some(place)) => matched.max(place as u32 + 1),
                 _ => matched,
             };
-            let kept = self.tokens_of(&hashes[..matched as usize], demand).min(prompt);
-            let memory = if rules.memory_tokens > 0 { prompt + u64::from(demand.output_tokens) } else { 0 };
-            let queue = u64::from((load + 1).saturating_sub(slots)) * server.hold.0 / u64::from(slots);
+            let kept = self
+                .tokens_of(&hashes[..matched as usize], demand)
+                .min(prompt);
+            let memory = if rules.memory_tokens > 0 {
+                prompt + u64::from(demand.output_tokens)
+            } else {
+                0
+            };
+            let queue =
+                u64::from((load + 1).saturating_sub(slots)) * server.hold.0 / u64::from(slots);
             let footprint = Footprint {
                 is_told: true,
                 uncached: prompt - kept,
@@ -229,16 +295,34 @@
                 memory,
                 queue,
             };
-            let expected = self.expect(rules, server, &footprint, load, server.tokens + theirs.tokens);
+            let expected = self.expect(
+                rules,
+                server,
+                &footprint,
+                load,
+                server.tokens + theirs.tokens,
+            );
             let reading = self.prefill(server, footprint.uncached);
-            let mut cost = expected + reading * u64::from(self.scheduler_rules.prefill_percent) / 100;
+            let mut cost =
+                expected + reading * u64::from(self.scheduler_rules.prefill_percent) / 100;
             cost += u64::from(load) * self.scheduler_rules.load_bias.0 / u64::from(slots);
             if self.zone.as_ref().is_some_and(|zone| *zone != server.zone) {
                 cost += self.scheduler_rules.zone_bias.0;
             }
             let affinity = mix(server.key ^ affinity_key);
             let likely = matched;
-            scored.push(Scored { name, slots, load, matched, likely, footprint, expected, cost, affinity, holding });
+            scored.push(Scored {
+                name,
+                slots,
+                load,
+                matched,
+                likely,
+                footprint,
+                expected,
+                cost,
+                affinity,
+                holding,
+            });
         }
         self.look_at_first_choice(&mut scored, hashes, demand, shared);
         (scored, survey)
@@ -247,17 +331,31 @@
     /// Shared parts that nobody is known to hold are looked for at the server that comes first in the prefix's
     /// own order: the other nodes send them there, too. If they aren't there, they have to be read wherever the
     /// request goes, so that it costs nothing to have looked.
-    fn look_at_first_choice(&self, scored: &mut [Scored], hashes: &[PrefixHash], demand: &Demand, shared: usize) {
+    fn look_at_first_choice(
+        &self,
+        scored: &mut [Scored],
+        hashes: &[PrefixHash],
+        demand: &Demand,
+        shared: usize,
+    ) {
         if hashes.len() < 2 || scored.iter().any(|s| s.matched as usize > shared) {
             return;
         }
-        let Some(first) = scored.iter_mut().max_by_key(|s| s.affinity) else { return };
+        let Some(first) = scored.iter_mut().max_by_key(|s| s.affinity) else {
+            return;
+        };
         let kept = first.footprint.prompt - first.footprint.uncached;
-        let saved = self.tokens_of(&hashes[..=shared], demand).saturating_sub(kept);
-        let reading = self.servers.get(first.name).map_or(0, |server| self.prefill(server, saved));
+        let saved = self
+            .tokens_of(&hashes[..=shared], demand)
+            .saturating_sub(kept);
+        let reading = self
+            .servers
+            .get(first.name)
+            .map_or(0, |server| self.prefill(server, saved));
         first.likely = shared as u32 + 1;
-        first.cost =
-            first.cost.saturating_sub(reading + reading * u64::from(self.scheduler_rules.prefill_percent) / 100);
+        first.cost = first.cost.saturating_sub(
+            reading + reading * u64::from(self.scheduler_rules.prefill_percent) / 100,
+        );
     }
 
     /// Whether a server can take one more from this node now; else when, about.
@@ -284,22 +382,47 @@
         let members = self.members.len() as u32;
         let is_own_part = server.own < share_at(cap, server.rank, members);
         // Beyond the own part, room that others leave is used; for those not heard, half of theirs stays free.
-        let unheard = if self.knows_all { 0 } else { members.saturating_sub(1 + self.counted_peers) };
+        let unheard = if self.knows_all {
+            0
+        } else {
+            members.saturating_sub(1 + self.counted_peers)
+        };
         let kept_free = unheard * (cap / members.max(1)) / 2;
-        if load + kept_free < cap || (is_own_part && load < cap * 2) { Ok(()) } else { Err(place_wait) }
+        if load + kept_free < cap || (is_own_part && load < cap * 2) {
+            Ok(())
+        } else {
+            Err(place_wait)
+        }
     }
 
     /// Expected time to the first piece, in ms.
-    fn expect(&self, rules: &ServiceRules, server: &ServerState, footprint: &Footprint, load: u32, tokens: u64) -> u64 {
+    fn expect(
+        &self,
+        rules: &ServiceRules,
+        server: &ServerState,
+        footprint: &Footprint,
+        load: u32,
+        tokens: u64,
+    ) -> u64 {
         if footprint.prompt == 0 {
             return server.hold.0 + footprint.queue + server.overdue;
         }
-        let step = (self.scheduler_rules.step_micros + u64::from(load) * self.scheduler_rules.step_micros_each) / 1000;
+        let step = (self.scheduler_rules.step_micros
+            + u64::from(load) * self.scheduler_rules.step_micros_each)
+            / 1000;
         // What doesn't fit beside those that run waits until as much of them has ended.
         let over = (tokens + footprint.memory).saturating_sub(rules.memory_tokens);
-        let room = if rules.memory_tokens == 0 || tokens == 0 { 0 } else { server.hold.0 * over / tokens };
+        let room = if rules.memory_tokens == 0 || tokens == 0 {
+            0
+        } else {
+            server.hold.0 * over / tokens
+        };
         let reading = self.prefill(server, footprint.ahead + footprint.uncached);
-        self.scheduler_rules.base_first_token.0 + reading + step + footprint.queue.max(room) + server.overdue
+        self.scheduler_rules.base_first_token.0
+            + reading
+            + step
+            + footprint.queue.max(room)
+            + server.overdue
     }
 
     /// How long a server reads so many tokens, in ms.
@@ -308,7 +431,8 @@
     }
 
     fn prompt_tokens(&self, hashes: &[PrefixHash], demand: &Demand) -> u64 {
-        self.tokens_of(hashes, demand).max(u64::from(demand.prompt_tokens))
+        self.tokens_of(hashes, demand)
+            .max(u64::from(demand.prompt_tokens))
     }
 
     /// Tokens of the leading parts.
@@ -316,7 +440,12 @@
         if demand.hash_tokens.is_empty() {
             return hashes.len() as u64 * u64::from(self.scheduler_rules.block_tokens);
         }
-        demand.hash_tokens.iter().take(hashes.len()).map(|tokens| u64::from(*tokens)).sum()
+        demand
+            .hash_tokens
+            .iter()
+            .take(hashes.len())
+            .map(|tokens| u64::from(*tokens))
+            .sum()
     }
 }
 
@@ -327,6 +456,8 @@
     may: impl Fn(&Scored) -> bool,
 ) -> Option<&'b Scored<'a>> {
     let least = scored.iter().filter(|r| may(r)).map(|r| r.cost).min()?;
-    let near = scored.iter().filter(|r| may(r) && r.cost <= least + hysteresis.0);
+    let near = scored
+        .iter()
+        .filter(|r| may(r) && r.cost <= least + hysteresis.0);
     near.max_by_key(|r| (r.likely, r.affinity))
 }
--- a/crates/placement/src/scheduler/warming.rs
+++ b/crates/placement/src/scheduler/warming.rs
@@ -16,9 +16,17 @@
         if let Some(active) = self.active.get_mut(&prefix) {
             active.last = now;
         } else if count >= rules.btb.arrivals {
-            let counted = hashes.iter().position(|hash| *hash == prefix).map_or(0, |place| place + 1);
+            let counted = hashes
+                .iter()
+                .position(|hash| *hash == prefix)
+                .map_or(0, |place| place + 1);
             let counted = hashes[..counted].to_vec();
-            let active = Active { last: now, hashes: counted, service: service.clone(), copies: BTreeMap::new() };
+            let active = Active {
+                last: now,
+                hashes: counted,
+                service: service.clone(),
+                copies: BTreeMap::new(),
+            };
             self.active.insert(prefix, active);
         }
     }
@@ -62,15 +70,30 @@
             if rank(prefix.0, &self.own, &heard) != 0 {
                 continue;
             }
-            let Some(rules) = self.rules.services.get(&self.active[&prefix].service).cloned() else { continue };
+            let Some(rules) = self
+                .rules
+                .services
+                .get(&self.active[&prefix].service)
+                .cloned()
+            else {
+                continue;
+            };
             let is_usable = |name: &ServerName| {
-                self.servers.get(name).is_some_and(|server| self.may_serve(&rules, name, server, now))
+                self.servers
+                    .get(name)
+                    .is_some_and(|server| self.may_serve(&rules, name, server, now))
             };
-            let holders: Vec<ServerName> = self.holders(prefix, now).into_iter().filter(is_usable).collect();
-            let Some(holder) = holders
-                .iter()
-                .min_by_key(|name| (self.servers.get(*name).map_or(0, |s| self.load(s, now)), (*name).clone()))
-            else {
+            let holders: Vec<ServerName> = self
+                .holders(prefix, now)
+                .into_iter()
+                .filter(is_usable)
+                .collect();
+            let Some(holder) = holders.iter().min_by_key(|name| {
+                (
+                    self.servers.get(*name).map_or(0, |s| self.load(s, now)),
+                    (*name).clone(),
+                )
+            }) else {
                 continue;
             };
             let is_under_way = |copy: &Copy| {
@@ -78,15 +101,21 @@
                     || (copy.state == CopyState::Failed && now.since(copy.ordered) < Span(3000))
             };
             let active = &self.active[&prefix];
-            let under_way = active.copies.values().filter(|copy| copy.state == CopyState::Ordered).count();
+            let under_way = active
+                .copies
+                .values()
+                .filter(|copy| copy.state == CopyState::Ordered)
+                .count();
             let is_full = |name: &ServerName| {
-                self.servers
-                    .get(name)
-                    .is_some_and(|server| self.load(server, now) >= server.slots.unwrap_or(rules.slots))
+                self.servers.get(name).is_some_and(|server| {
+                    self.load(server, now) >= server.slots.unwrap_or(rules.slots)
+                })
             };
             let more = usize::from(under_way == 0 && holders.iter().all(is_full));
             let most = rules.btb.most_copies.max(rules.btb.copies) as usize;
-            let goal = (rules.btb.copies as usize).max(holders.len() + more).min(most);
+            let goal = (rules.btb.copies as usize)
+                .max(holders.len() + more)
+                .min(most);
             let wanted = goal.saturating_sub(holders.len() + under_way);
             if wanted == 0 {
                 continue;
@@ -104,7 +133,13 @@
                         && server.weights == weights
                         && self.copies_under_way(name) < self.scheduler_rules.copies_per_server
                 })
-                .map(|(name, server)| (self.load(server, now), mix(prefix.0 ^ key_of(name.as_str())), name.clone()))
+                .map(|(name, server)| {
+                    (
+                        self.load(server, now),
+                        mix(prefix.0 ^ key_of(name.as_str())),
+                        name.clone(),
+                    )
+                })
                 .collect();
             targets.sort();
             targets.truncate(wanted);
@@ -116,24 +151,47 @@
             let (holder, epoch) = (holder.clone(), self.rules.epoch);
             if let Some(active) = self.active.get_mut(&prefix) {
                 for target in &targets {
-                    let copy = Copy { ordered: now, state: CopyState::Ordered };
+                    let copy = Copy {
+                        ordered: now,
+                        state: CopyState::Ordered,
+                    };
                     active.copies.insert(target.clone(), copy);
                 }
             }
-            self.decisions.push(Decision::Warm { prefix, holder, targets, count, epoch });
+            self.decisions.push(Decision::Warm {
+                prefix,
+                holder,
+                targets,
+                count,
+                epoch,
+            });
         }
     }
 
     fn copies_under_way(&self, name: &ServerName) -> u32 {
-        let copies = self.active.values().filter_map(|active| active.copies.get(name));
-        copies.filter(|copy| copy.state != CopyState::Failed).count() as u32
+        let copies = self
+            .active
+            .values()
+            .filter_map(|active| active.copies.get(name));
+        copies
+            .filter(|copy| copy.state != CopyState::Failed)
+            .count() as u32
     }
 
-    pub(super) fn on_copy_fate(&mut self, prefix: PrefixHash, name: &ServerName, is_taken: bool, knows_kv: bool) {
+    pub(super) fn on_copy_fate(
+        &mut self,
+        prefix: PrefixHash,
+        name: &ServerName,
+        is_taken: bool,
+        knows_kv: bool,
+    ) {
         if let Some(server) = self.servers.get_mut(name) {
             server.knows_kv = knows_kv;
         }
-        if let Some(copy) = self.active.get_mut(&prefix).and_then(|active| active.copies.get_mut(name))
+        if let Some(copy) = self
+            .active
+            .get_mut(&prefix)
+            .and_then(|active| active.copies.get_mut(name))
             && !is_taken
         {
             copy.state = CopyState::Failed;
@@ -145,7 +203,11 @@
         for server in self.servers.values_mut() {
             server.overdue = 0;
         }
-        for hand in self.requests.values().filter(|hand| hand.first.is_none() && hand.footprint.is_told) {
+        for hand in self
+            .requests
+            .values()
+            .filter(|hand| hand.first.is_none() && hand.footprint.is_told)
+        {
             let overdue = now.since(hand.placed).0.saturating_sub(hand.expected.0);
             if let Some(server) = self.servers.get_mut(&hand.server) {
                 server.overdue = server.overdue.max(overdue);
@@ -167,7 +229,9 @@
             .map(|(prefix, _)| *prefix)
             .collect();
         for prefix in cooled {
-            let Some(active) = self.active.remove(&prefix) else { continue };
+            let Some(active) = self.active.remove(&prefix) else {
+                continue;
+            };
             let copies: Vec<ServerName> = active.copies.into_keys().collect();
             for name in &copies {
                 if let Some(server) = self.servers.get_mut(name) {
--- a/crates/placement/src/server_state.rs
+++ b/crates/placement/src/server_state.rs
@@ -142,13 +142,22 @@
         if part == 0 {
             return Err(COLD_WINDOW);
         }
-        let lately = self.cold_sent.iter().filter(|at| now.since(**at) < COLD_WINDOW);
-        let Some(oldest) = lately.rev().nth(part as usize - 1) else { return Ok(()) };
+        let lately = self
+            .cold_sent
+            .iter()
+            .filter(|at| now.since(**at) < COLD_WINDOW);
+        let Some(oldest) = lately.rev().nth(part as usize - 1) else {
+            return Ok(());
+        };
         Err(now.until(*oldest + COLD_WINDOW))
     }
     /// It was sent one. Also noted of warm ones: they may turn cold at any moment.
     pub fn note_sent(&mut self, now: Moment) {
-        while self.cold_sent.front().is_some_and(|at| now.since(*at) >= COLD_WINDOW) {
+        while self
+            .cold_sent
+            .front()
+            .is_some_and(|at| now.since(*at) >= COLD_WINDOW)
+        {
             self.cold_sent.pop_front();
         }
         self.cold_sent.push_back(now);
@@ -195,7 +204,11 @@
     /// far too slow: a server that answers, but slowly, is as bad as one that doesn't.
     pub fn note_lag(&mut self, lag: u64, usual: u64) -> bool {
         self.lag = (self.lag * 3 + lag) / 4;
-        self.late = if lag > self.lag_slack.0 + usual * 4 { self.late + 1 } else { 0 };
+        self.late = if lag > self.lag_slack.0 + usual * 4 {
+            self.late + 1
+        } else {
+            0
+        };
         self.late >= LATE_MOST
     }
     /// A request went well there.
@@ -229,19 +242,30 @@
     #[test]
     fn one_that_is_slow_while_its_kin_are_not_is_found_and_common_slowness_is_not() {
         let mut server = state();
-        let found: Vec<bool> = [900, 900, 20, 900, 900, 900].map(|lag| server.note_lag(lag, 10)).to_vec();
+        let found: Vec<bool> = [900, 900, 20, 900, 900, 900]
+            .map(|lag| server.note_lag(lag, 10))
+            .to_vec();
         assert_eq!(found, [false, true, false, false, true, true]);
         let mut server = state();
-        assert!(!(0..20).any(|_| server.note_lag(900, 300)), "all are as slow: that's load");
+        assert!(
+            !(0..20).any(|_| server.note_lag(900, 300)),
+            "all are as slow: that's load"
+        );
     }
 
     #[test]
     fn a_fresh_server_ramps_and_a_faulty_one_starts_over() {
         let rules = SchedulerRules::default();
         let mut server = state();
-        let caps: Vec<u32> = [0, 2000, 4000, 8000].map(|at| server.cap(8, Moment(at), &rules)).to_vec();
+        let caps: Vec<u32> = [0, 2000, 4000, 8000]
+            .map(|at| server.cap(8, Moment(at), &rules))
+            .to_vec();
         assert_eq!(caps, [2, 2, 4, 8]);
-        assert_eq!(server.fault(Moment(9000), false), None, "one doubtful fault is no proof");
+        assert_eq!(
+            server.fault(Moment(9000), false),
+            None,
+            "one doubtful fault is no proof"
+        );
         let span = server.fault(Moment(9000), false).expect("two are");
         assert!(server.is_suspect(Moment(9000)));
         assert!(!server.is_suspect(Moment(9000) + span));
--- a/crates/placement/src/share.rs
+++ b/crates/placement/src/share.rs
@@ -26,7 +26,10 @@
 /// same for all who know the same members.
 pub fn rank(key: u64, own: &Address, members: &[Address]) -> usize {
     let mine = weigh(key, own);
-    members.iter().filter(|member| *member != own && weigh(key, member) > mine).count()
+    members
+        .iter()
+        .filter(|member| *member != own && weigh(key, member) > mine)
+        .count()
 }
 
 /// This member's part of a cap. The parts of all members together are the cap exactly.
@@ -53,7 +56,10 @@
     fn shares_add_up_to_the_cap(cap: u32) {
         let members: Vec<Address> = (1..=12).map(Address::loopback).collect();
         for key in 0..50 {
-            let total: u32 = members.iter().map(|own| share(cap, key, own, &members)).sum();
+            let total: u32 = members
+                .iter()
+                .map(|own| share(cap, key, own, &members))
+                .sum();
             assert_eq!(total, cap);
         }
     }
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/sketch.rs
@@ -20,7 +20,10 @@
 pub struct PrefixHash(pub u64);
 
 /// The origin under which a scheduler is told the sum of all other nodes; no node has this address.
-pub const FLEET: Address = Address(std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0));
+pub const FLEET: Address = Address(std::net::SocketAddr::new(
+    std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED),
+    0,
+));
 
 messages! {
     /// How often one node saw a prefix within the window.
--- a/crates/placement/src/window.rs
+++ b/crates/placement/src/window.rs
@@ -23,7 +23,9 @@
     /// How many came within the window.
     pub fn count(&self, prefix: PrefixHash, now: Moment, span: Span) -> u32 {
         let queue = self.arrivals.get(&prefix);
-        queue.map_or(0, |queue| queue.iter().filter(|at| now.since(**at) < span).count() as u32)
+        queue.map_or(0, |queue| {
+            queue.iter().filter(|at| now.since(**at) < span).count() as u32
+        })
     }
     /// The hottest ones, most first.
     pub fn hottest(&mut self, now: Moment, span: Span, most: usize) -> Vec<Hot> {
@@ -31,8 +33,14 @@
             expire(queue, now, span);
             !queue.is_empty()
         });
-        let mut hot: Vec<Hot> =
-            self.arrivals.iter().map(|(prefix, queue)| Hot { prefix: *prefix, count: queue.len() as u32 }).collect();
+        let mut hot: Vec<Hot> = self
+            .arrivals
+            .iter()
+            .map(|(prefix, queue)| Hot {
+                prefix: *prefix,
+                count: queue.len() as u32,
+            })
+            .collect();
         hot.sort_by(|a, b| b.count.cmp(&a.count).then(a.prefix.cmp(&b.prefix)));
         hot.truncate(most);
         hot
--- a/crates/placement/tests/by_time.rs
+++ b/crates/placement/tests/by_time.rs
@@ -21,7 +21,11 @@
 }
 
 fn scheduler_rules() -> SchedulerRules {
-    SchedulerRules { block_micros: 143, does_order_copies: false, ..SchedulerRules::default() }
+    SchedulerRules {
+        block_micros: 143,
+        does_order_copies: false,
+        ..SchedulerRules::default()
+    }
 }
 
 fn entry(name: &str, zone: &str) -> ServerEntry {
@@ -41,19 +45,35 @@
 }
 
 impl Played {
-    fn with(service: ServiceRules, scheduler_rules: SchedulerRules, servers: Vec<ServerEntry>) -> Self {
-        let mut played = Played { scheduler: Scheduler::new(Address::loopback(1), 1, scheduler_rules), next: 0 };
-        let rules = Rules { epoch: Epoch(1), services: [("drafts".into(), service)].into(), withdrawn: vec![] };
+    fn with(
+        service: ServiceRules,
+        scheduler_rules: SchedulerRules,
+        servers: Vec<ServerEntry>,
+    ) -> Self {
+        let mut played = Played {
+            scheduler: Scheduler::new(Address::loopback(1), 1, scheduler_rules),
+            next: 0,
+        };
+        let rules = Rules {
+            epoch: Epoch(1),
+            services: [("drafts".into(), service)].into(),
+            withdrawn: vec![],
+        };
         played.take(0, Event::Rules { rules });
         played.take(0, Event::ServerList { servers });
         played
     }
     fn new() -> Self {
-        let servers = ["a", "b", "c", "d", "e", "f"].map(|name| entry(name, "north")).to_vec();
+        let servers = ["a", "b", "c", "d", "e", "f"]
+            .map(|name| entry(name, "north"))
+            .to_vec();
         Played::with(service(), scheduler_rules(), servers)
     }
     fn take(&mut self, at: u64, event: Event) -> Vec<Decision> {
-        self.scheduler.take(Dated { at: Moment(START + at), event })
+        self.scheduler.take(Dated {
+            at: Moment(START + at),
+            event,
+        })
     }
     /// A prompt of these parts and tokens; gives its request and the decision on it.
     fn ask(&mut self, at: u64, parts: &[(u64, u32)], round: u32) -> (RequestId, Decision) {
@@ -75,8 +95,15 @@
             demand,
         };
         let decisions = self.take(at, event);
-        let is_answer = |d: &Decision| matches!(d, Decision::Placed { .. } | Decision::Refused { .. });
-        (request, decisions.into_iter().find(is_answer).expect("each request is placed or refused"))
+        let is_answer =
+            |d: &Decision| matches!(d, Decision::Placed { .. } | Decision::Refused { .. });
+        (
+            request,
+            decisions
+                .into_iter()
+                .find(is_answer)
+                .expect("each request is placed or refused"),
+        )
     }
     fn draft(&mut self, at: u64, prefix: u64) -> (RequestId, Decision) {
         let own = 1_000_000 + self.next;
@@ -88,7 +115,9 @@
 }
 
 fn server_of(decision: &Decision) -> ServerName {
-    let Decision::Placed { server, .. } = decision else { panic!("not placed: {decision:?}") };
+    let Decision::Placed { server, .. } = decision else {
+        panic!("not placed: {decision:?}")
+    };
     server.clone()
 }
 
@@ -103,7 +132,10 @@
     for n in 0..6 {
         played.ask(n * 10, parts, 0);
     }
-    assert_eq!(!played.scheduler.active(Moment(START + 60)).is_empty(), is_counted);
+    assert_eq!(
+        !played.scheduler.active(Moment(START + 60)).is_empty(),
+        is_counted
+    );
 }
 
 #[test]
@@ -111,15 +143,37 @@
     let mut played = Played::new();
     let (first, decision) = played.draft(0, 7);
     let holder = server_of(&decision);
-    played.take(140, Event::FirstToken { request: first.clone() });
+    played.take(
+        140,
+        Event::FirstToken {
+            request: first.clone(),
+        },
+    );
     played.end(1500, first, Outcome::Complete);
     let (second, decision) = played.draft(10_000, 7);
     assert_eq!(server_of(&decision), holder, "it holds 5382 tokens");
     played.end(10_500, second, Outcome::Complete);
     // Others' prompts: that server has a million tokens to read before.
-    let in_flight = vec![InFlight { server: holder.clone(), count: 80, unread: 1_000_000, tokens: 0, read: 0 }];
-    let sketch = Sketch { incarnation: 1, number: 1, in_flight, ..Sketch::default() };
-    played.take(20_000, Event::PeerSketch { from: Address::loopback(2), sketch });
+    let in_flight = vec![InFlight {
+        server: holder.clone(),
+        count: 80,
+        unread: 1_000_000,
+        tokens: 0,
+        read: 0,
+    }];
+    let sketch = Sketch {
+        incarnation: 1,
+        number: 1,
+        in_flight,
+        ..Sketch::default()
+    };
+    played.take(
+        20_000,
+        Event::PeerSketch {
+            from: Address::loopback(2),
+            sketch,
+        },
+    );
     let (_, decision) = played.draft(20_000, 7);
     assert_ne!(server_of(&decision), holder);
 }
@@ -128,12 +182,39 @@
 fn a_server_whose_memory_is_full_is_expected_late() {
     let servers = vec![entry("a", "north"), entry("b", "north")];
     let mut played = Played::with(service(), scheduler_rules(), servers);
-    let in_flight = vec![InFlight { server: "a".into(), count: 40, unread: 0, tokens: 649_000, read: 0 }];
-    let sketch = Sketch { incarnation: 1, number: 1, in_flight, ..Sketch::default() };
-    played.take(0, Event::PeerSketch { from: Address::loopback(2), sketch });
-    let Decision::Placed { candidates, server, .. } = played.draft(1, 7).1 else { panic!("placed") };
+    let in_flight = vec![InFlight {
+        server: "a".into(),
+        count: 40,
+        unread: 0,
+        tokens: 649_000,
+        read: 0,
+    }];
+    let sketch = Sketch {
+        incarnation: 1,
+        number: 1,
+        in_flight,
+        ..Sketch::default()
+    };
+    played.take(
+        0,
+        Event::PeerSketch {
+            from: Address::loopback(2),
+            sketch,
+        },
+    );
+    let Decision::Placed {
+        candidates, server, ..
+    } = played.draft(1, 7).1
+    else {
+        panic!("placed")
+    };
     assert_eq!(server.as_str(), "b");
-    let expected = |name: &str| candidates.iter().find(|c| c.server.as_str() == name).map_or(0, |c| c.expected.0);
+    let expected = |name: &str| {
+        candidates
+            .iter()
+            .find(|c| c.server.as_str() == name)
+            .map_or(0, |c| c.expected.0)
+    };
     assert!(expected("a") > expected("b"), "{candidates:?}");
 }
 
@@ -144,24 +225,44 @@
     let mut reasons = vec![];
     for n in 0..12 {
         let (request, decision) = played.draft(n * 5, 7);
-        let Decision::Placed { reason, server, .. } = decision else { panic!("placed") };
+        let Decision::Placed { reason, server, .. } = decision else {
+            panic!("placed")
+        };
         reasons.push((reason, server));
         requests.push(request);
     }
     // The third went where nothing of it was held, for it would have waited longer than its reading takes.
-    let warming: Vec<&ServerName> =
-        reasons.iter().filter(|(reason, _)| *reason == PlaceReason::Warming).map(|(_, server)| server).collect();
+    let warming: Vec<&ServerName> = reasons
+        .iter()
+        .filter(|(reason, _)| *reason == PlaceReason::Warming)
+        .map(|(_, server)| server)
+        .collect();
     let distinct: std::collections::BTreeSet<&ServerName> = warming.iter().copied().collect();
-    assert!(!warming.is_empty() && distinct.len() == warming.len(), "a target reads it once: {reasons:?}");
-    let used: std::collections::BTreeSet<&ServerName> = reasons.iter().map(|(_, server)| server).collect();
-    assert_eq!(used.len(), 3, "M = 3, the first holder among them: {reasons:?}");
+    assert!(
+        !warming.is_empty() && distinct.len() == warming.len(),
+        "a target reads it once: {reasons:?}"
+    );
+    let used: std::collections::BTreeSet<&ServerName> =
+        reasons.iter().map(|(_, server)| server).collect();
+    assert_eq!(
+        used.len(),
+        3,
+        "M = 3, the first holder among them: {reasons:?}"
+    );
     for request in requests {
-        played.take(350, Event::FirstToken { request: request.clone() });
+        played.take(
+            350,
+            Event::FirstToken {
+                request: request.clone(),
+            },
+        );
         played.end(900, request, Outcome::Complete);
     }
     let used: std::collections::BTreeSet<ServerName> = (0..30)
         .map(|n| {
-            let Decision::Placed { reason, server, .. } = played.draft(1000 + n, 7).1 else { panic!("placed") };
+            let Decision::Placed { reason, server, .. } = played.draft(1000 + n, 7).1 else {
+                panic!("placed")
+            };
             assert_eq!(reason, PlaceReason::Warm);
             server
         })
@@ -172,12 +273,20 @@
 #[test]
 fn the_own_zone_is_preferred_lightly() {
     let servers = vec![entry("a", "north"), entry("b", "south")];
-    let rules = SchedulerRules { zone_bias: Span(60), ..scheduler_rules() };
+    let rules = SchedulerRules {
+        zone_bias: Span(60),
+        ..scheduler_rules()
+    };
     let mut played = Played::with(service(), rules, servers);
     played.scheduler.set_zone("south".into());
-    let placed: Vec<ServerName> = (0..20).map(|n| server_of(&played.draft(n, 100 + n).1)).collect();
+    let placed: Vec<ServerName> = (0..20)
+        .map(|n| server_of(&played.draft(n, 100 + n).1))
+        .collect();
     assert_eq!(placed[0].as_str(), "b");
-    assert!(placed.iter().any(|server| server.as_str() == "a"), "but not whatever it costs");
+    assert!(
+        placed.iter().any(|server| server.as_str() == "a"),
+        "but not whatever it costs"
+    );
 }
 
 #[test]
@@ -186,44 +295,122 @@
     let mut played = Played::with(service(), scheduler_rules(), servers);
     let tell = |played: &mut Played, number, unread| {
         let in_flight = ["a", "b"]
-            .map(|server| InFlight { server: server.into(), count: 100, unread, tokens: 0, read: 0 })
+            .map(|server| InFlight {
+                server: server.into(),
+                count: 100,
+                unread,
+                tokens: 0,
+                read: 0,
+            })
             .to_vec();
-        let sketch = Sketch { incarnation: 1, number, in_flight, ..Sketch::default() };
-        played.take(number, Event::PeerSketch { from: Address::loopback(2), sketch });
+        let sketch = Sketch {
+            incarnation: 1,
+            number,
+            in_flight,
+            ..Sketch::default()
+        };
+        played.take(
+            number,
+            Event::PeerSketch {
+                from: Address::loopback(2),
+                sketch,
+            },
+        );
     };
     tell(&mut played, 1, 500_000);
-    assert!(matches!(played.draft(1, 7).1, Decision::Placed { .. }), "after 4.5 s of 15 s: late, but worth it");
+    assert!(
+        matches!(played.draft(1, 7).1, Decision::Placed { .. }),
+        "after 4.5 s of 15 s: late, but worth it"
+    );
     tell(&mut played, 2, 1_500_000);
-    let Decision::Refused { code, retry_after, .. } = played.draft(2, 7).1 else { panic!("13 s are too late") };
+    let Decision::Refused {
+        code, retry_after, ..
+    } = played.draft(2, 7).1
+    else {
+        panic!("13 s are too late")
+    };
     assert_eq!(code, ResultCode::Crowded.number());
     assert!(retry_after >= Span(50));
 }
 
 #[test]
 fn nobody_is_refused_while_servers_stand_half_empty_however_uneven_the_traffic() {
-    let app = ServiceRules { slots: 6, first_token: Span(300), memory_tokens: 0, ..service() };
-    let servers = ["a", "b", "c"].map(|name| ServerEntry { slots: Some(6), ..entry(name, "north") }).to_vec();
+    let app = ServiceRules {
+        slots: 6,
+        first_token: Span(300),
+        memory_tokens: 0,
+        ..service()
+    };
+    let servers = ["a", "b", "c"]
+        .map(|name| ServerEntry {
+            slots: Some(6),
+            ..entry(name, "north")
+        })
+        .to_vec();
     let mut played = Played::with(app, scheduler_rules(), servers);
     // Eleven members, all heard, none of them busy: this one takes all of the traffic.
     let members: Vec<Address> = (1..=11).map(Address::loopback).collect();
-    played.take(0, Event::Members { members: members.clone(), since: Epoch(1) });
+    played.take(
+        0,
+        Event::Members {
+            members: members.clone(),
+            since: Epoch(1),
+        },
+    );
     for from in members.into_iter().skip(1) {
-        played.take(0, Event::PeerSketch { from, sketch: Sketch { incarnation: 1, number: 1, ..Sketch::default() } });
+        played.take(
+            0,
+            Event::PeerSketch {
+                from,
+                sketch: Sketch {
+                    incarnation: 1,
+                    number: 1,
+                    ..Sketch::default()
+                },
+            },
+        );
     }
     let decisions: Vec<Decision> = (0..40).map(|n| played.ask(n, &[], 0).1).collect();
-    let placed = decisions.iter().filter(|d| matches!(d, Decision::Placed { .. })).count();
-    assert!((18..=27).contains(&placed), "{placed} at 18 slots and their queues");
-    let Some(Decision::Refused { retry_after, .. }) = decisions.last() else { panic!("the last has no place") };
-    assert!((50..500).contains(&retry_after.0), "a place is free soon: {retry_after:?}");
+    let placed = decisions
+        .iter()
+        .filter(|d| matches!(d, Decision::Placed { .. }))
+        .count();
+    assert!(
+        (18..=27).contains(&placed),
+        "{placed} at 18 slots and their queues"
+    );
+    let Some(Decision::Refused { retry_after, .. }) = decisions.last() else {
+        panic!("the last has no place")
+    };
+    assert!(
+        (50..500).contains(&retry_after.0),
+        "a place is free soon: {retry_after:?}"
+    );
 }
 
 #[test]
 fn a_cold_server_gets_its_rate_and_the_rest_go_elsewhere() {
-    let rules = ServiceRules { cold_per_second: 20, cold_span: Span(3000), ..service() };
-    let servers = vec![entry("warm", "north"), ServerEntry { cold_left: None, ..entry("new", "north") }];
+    let rules = ServiceRules {
+        cold_per_second: 20,
+        cold_span: Span(3000),
+        ..service()
+    };
+    let servers = vec![
+        entry("warm", "north"),
+        ServerEntry {
+            cold_left: None,
+            ..entry("new", "north")
+        },
+    ];
     let mut played = Played::with(rules, scheduler_rules(), servers);
     let members = (1..=4).map(Address::loopback).collect();
-    played.take(0, Event::Members { members, since: Epoch(1) });
+    played.take(
+        0,
+        Event::Members {
+            members,
+            since: Epoch(1),
+        },
+    );
     let mut sent = vec![];
     for at in (0..2900).step_by(10) {
         let (request, decision) = played.ask(at, &[(at + 5, 10)], 0);
@@ -232,28 +419,45 @@
         }
         played.end(at + 1, request, Outcome::Complete);
     }
-    assert!(sent.first().is_some_and(|at| *at >= 1000), "a life begins without any: {sent:?}");
+    assert!(
+        sent.first().is_some_and(|at| *at >= 1000),
+        "a life begins without any: {sent:?}"
+    );
     for end in 0..2900u64 {
-        let within = sent.iter().filter(|at| **at <= end && end - **at < 1000).count();
+        let within = sent
+            .iter()
+            .filter(|at| **at <= end && end - **at < 1000)
+            .count();
         assert!(within <= 5, "{within} in a second, of 20 among 4 members");
     }
     // Cold again at any moment.
     played.take(
         10_000,
-        Event::ServerList { servers: vec![ServerEntry { cold_left: Some(Span(2000)), ..entry("warm", "north") }] },
+        Event::ServerList {
+            servers: vec![ServerEntry {
+                cold_left: Some(Span(2000)),
+                ..entry("warm", "north")
+            }],
+        },
     );
-    let placed = (0..40).filter(|n| matches!(played.ask(10_000 + n, &[], 0).1, Decision::Placed { .. })).count();
+    let placed = (0..40)
+        .filter(|n| matches!(played.ask(10_000 + n, &[], 0).1, Decision::Placed { .. }))
+        .count();
     assert!(placed <= 5, "{placed}");
 }
 
 #[test]
 fn slow_servers_are_avoided_but_never_more_than_half() {
-    let servers = ["a", "b", "c", "d"].map(|name| entry(name, "north")).to_vec();
+    let servers = ["a", "b", "c", "d"]
+        .map(|name| entry(name, "north"))
+        .to_vec();
     let mut played = Played::with(service(), scheduler_rules(), servers);
     let mut suspected = std::collections::BTreeSet::new();
     for round in 0..10u64 {
         let at = round * 5000;
-        let requests: Vec<RequestId> = (0..40).map(|n| played.draft(at + n, 1000 * round + n).0).collect();
+        let requests: Vec<RequestId> = (0..40)
+            .map(|n| played.draft(at + n, 1000 * round + n).0)
+            .collect();
         for tick in 1..40 {
             for decision in played.take(at + tick * 100, Event::Tick) {
                 if let Decision::Suspected { server, .. } = decision {
@@ -262,7 +466,12 @@
             }
         }
         let now = Moment(START + at + 4000);
-        let lost = played.scheduler.servers().values().filter(|server| server.is_suspect(now)).count();
+        let lost = played
+            .scheduler
+            .servers()
+            .values()
+            .filter(|server| server.is_suspect(now))
+            .count();
         assert!(lost <= 2, "{lost} of 4 kept from work on mere doubt");
         for request in requests {
             played.end(at + 4500, request, Outcome::Cancelled);
@@ -281,12 +490,31 @@
 
 #[test]
 fn before_the_members_are_told_a_cold_server_gets_nothing() {
-    let rules = ServiceRules { cold_per_second: 20, cold_span: Span(3000), ..service() };
-    let servers = vec![ServerEntry { cold_left: Some(Span(60_000)), ..entry("new", "north") }];
+    let rules = ServiceRules {
+        cold_per_second: 20,
+        cold_span: Span(3000),
+        ..service()
+    };
+    let servers = vec![ServerEntry {
+        cold_left: Some(Span(60_000)),
+        ..entry("new", "north")
+    }];
     let mut played = Played::with(rules, scheduler_rules(), servers);
     assert!((0..50).all(|n| matches!(played.ask(n * 100, &[], 0).1, Decision::Refused { .. })));
-    played.take(5000, Event::Members { members: vec![Address::loopback(1)], since: Epoch(1) });
+    played.take(
+        5000,
+        Event::Members {
+            members: vec![Address::loopback(1)],
+            since: Epoch(1),
+        },
+    );
     // Nor for a second and a half after: what others placed before has left by then, and its second is over.
-    assert!((0..30).all(|n| matches!(played.ask(5000 + n * 50, &[], 0).1, Decision::Refused { .. })));
-    assert!(matches!(played.ask(6500, &[], 0).1, Decision::Placed { .. }));
+    assert!((0..30).all(|n| matches!(
+        played.ask(5000 + n * 50, &[], 0).1,
+        Decision::Refused { .. }
+    )));
+    assert!(matches!(
+        played.ask(6500, &[], 0).1,
+        Decision::Placed { .. }
+    ));
 }
--- a/crates/placement/tests/cold_shares.rs
+++ b/crates/placement/tests/cold_shares.rs
@@ -39,8 +39,15 @@
 
 impl Fleet {
     fn new(seed: u64) -> Self {
-        let mut fleet =
-            Fleet { now: START, seed, nodes: vec![], membership: vec![], since: Epoch(0), next: 0, placed: vec![] };
+        let mut fleet = Fleet {
+            now: START,
+            seed,
+            nodes: vec![],
+            membership: vec![],
+            since: Epoch(0),
+            next: 0,
+            placed: vec![],
+        };
         for place in 0..NODES {
             let node = Node {
                 scheduler: Scheduler::new(own(place), 0, SchedulerRules::default()),
@@ -61,7 +68,10 @@
         self.seed % below
     }
     fn tell(&mut self, place: usize, event: Event) -> Vec<Decision> {
-        self.nodes[place].scheduler.take(Dated { at: Moment(self.now), event })
+        self.nodes[place].scheduler.take(Dated {
+            at: Moment(self.now),
+            event,
+        })
     }
     /// A node's process ends and another starts a little later, at the same address.
     fn restart(&mut self, place: usize) {
@@ -86,7 +96,16 @@
             memory_tokens: 0,
         };
         let services = [("drafts".into(), service)].into();
-        self.tell(place, Event::Rules { rules: Rules { epoch: Epoch(1), services, withdrawn: vec![] } });
+        self.tell(
+            place,
+            Event::Rules {
+                rules: Rules {
+                    epoch: Epoch(1),
+                    services,
+                    withdrawn: vec![],
+                },
+            },
+        );
         let entry = ServerEntry {
             server: "new".into(),
             slots: Some(128),
@@ -95,7 +114,12 @@
             pool: "model".into(),
             ..ServerEntry::default()
         };
-        self.tell(place, Event::ServerList { servers: vec![entry] });
+        self.tell(
+            place,
+            Event::ServerList {
+                servers: vec![entry],
+            },
+        );
     }
     /// The core's membership becomes this.
     fn change_membership(&mut self, members: BTreeSet<Address>) {
@@ -112,17 +136,30 @@
             if self.now < self.nodes[place].up_from {
                 continue;
             }
-            while let Some((_, asked, since, membership)) =
-                self.nodes[place].answers.pop_front_if(|(deadline, ..)| *deadline <= self.now)
+            while let Some((_, asked, since, membership)) = self.nodes[place]
+                .answers
+                .pop_front_if(|(deadline, ..)| *deadline <= self.now)
             {
                 if since < self.nodes[place].knows {
                     continue;
                 }
                 if since > self.nodes[place].knows {
                     self.nodes[place].knows = since;
-                    self.tell(place, Event::Members { members: membership, since });
+                    self.tell(
+                        place,
+                        Event::Members {
+                            members: membership,
+                            since,
+                        },
+                    );
                 }
-                self.tell(place, Event::Lease { until: Moment(asked + LEASE), span: Span(LEASE) });
+                self.tell(
+                    place,
+                    Event::Lease {
+                        until: Moment(asked + LEASE),
+                        span: Span(LEASE),
+                    },
+                );
             }
             if self.now >= self.nodes[place].next_poll {
                 self.nodes[place].next_poll = self.now + 1000;
@@ -142,13 +179,36 @@
         }
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
-        let demand = Demand { prompt_tokens: 100, output_tokens: 10, deadline: Span(15_000), ..Demand::default() };
+        let demand = Demand {
+            prompt_tokens: 100,
+            output_tokens: 10,
+            deadline: Span(15_000),
+            ..Demand::default()
+        };
         let (service, hashes, tried) = ("drafts".into(), vec![], vec![]);
-        let decisions =
-            self.tell(place, Event::Prompt { request: request.clone(), service, hashes, round: 0, tried, demand });
-        if decisions.iter().any(|decision| matches!(decision, Decision::Placed { .. })) {
+        let decisions = self.tell(
+            place,
+            Event::Prompt {
+                request: request.clone(),
+                service,
+                hashes,
+                round: 0,
+                tried,
+                demand,
+            },
+        );
+        if decisions
+            .iter()
+            .any(|decision| matches!(decision, Decision::Placed { .. }))
+        {
             self.placed.push(self.now);
-            self.tell(place, Event::Ended { request, outcome: Outcome::Complete });
+            self.tell(
+                place,
+                Event::Ended {
+                    request,
+                    outcome: Outcome::Complete,
+                },
+            );
         }
     }
     /// For so long, requests come to each node as fast as a cold server could be flooded by it alone.
@@ -163,8 +223,18 @@
     }
     /// The most in any second, of those placed from a moment on.
     fn most_a_second(&self, from: u64) -> usize {
-        let placed: Vec<u64> = self.placed.iter().copied().filter(|at| *at >= from).collect();
-        let within = |place: usize| placed[place..].iter().take_while(|at| **at < placed[place] + 1000).count();
+        let placed: Vec<u64> = self
+            .placed
+            .iter()
+            .copied()
+            .filter(|at| *at >= from)
+            .collect();
+        let within = |place: usize| {
+            placed[place..]
+                .iter()
+                .take_while(|at| **at < placed[place] + 1000)
+                .count()
+        };
         (0..placed.len()).map(within).max().unwrap_or(0)
     }
 }
@@ -183,7 +253,11 @@
     fleet.change_membership(all());
     fleet.press(12_000);
     assert_eq!(fleet.most_a_second(START), BEARS);
-    let late = fleet.placed.iter().filter(|at| **at >= START + 6000).count();
+    let late = fleet
+        .placed
+        .iter()
+        .filter(|at| **at >= START + 6000)
+        .count();
     assert!(late >= BEARS * 6 * 9 / 10, "{late} in six seconds");
 }
 
@@ -198,9 +272,16 @@
     fleet.change_membership(all());
     let from = fleet.now;
     fleet.press(12_000);
-    assert!(fleet.most_a_second(START) <= BEARS, "{} in a second", fleet.most_a_second(from));
+    assert!(
+        fleet.most_a_second(START) <= BEARS,
+        "{} in a second",
+        fleet.most_a_second(from)
+    );
     let late = fleet.placed.iter().filter(|at| **at >= from + 6000).count();
-    assert!(late >= BEARS * 6 * 8 / 10, "{late} in six seconds from the ten that are left");
+    assert!(
+        late >= BEARS * 6 * 8 / 10,
+        "{late} in six seconds from the ten that are left"
+    );
 }
 
 #[test]
@@ -215,7 +296,11 @@
     fleet.change_membership(all());
     fleet.nodes[0].cut_until = fleet.now;
     fleet.press(8000);
-    assert!(fleet.most_a_second(START) <= BEARS, "{} in a second", fleet.most_a_second(START));
+    assert!(
+        fleet.most_a_second(START) <= BEARS,
+        "{} in a second",
+        fleet.most_a_second(START)
+    );
 }
 
 #[parameterized(
@@ -230,11 +315,18 @@
     let mut fleet = Fleet::new(seed);
     for _ in 0..40 {
         // Now and then nothing changes for long enough that claims hold.
-        let span = if fleet.random(3) == 0 { 4000 + fleet.random(3000) } else { 100 + fleet.random(1500) };
+        let span = if fleet.random(3) == 0 {
+            4000 + fleet.random(3000)
+        } else {
+            100 + fleet.random(1500)
+        };
         fleet.press(span);
         match fleet.random(4) {
             0 => {
-                let members = (0..NODES).map(own).filter(|_| fleet.random(3) > 0).collect();
+                let members = (0..NODES)
+                    .map(own)
+                    .filter(|_| fleet.random(3) > 0)
+                    .collect();
                 fleet.change_membership(members);
             }
             1 => fleet.change_membership(all()),
@@ -249,7 +341,11 @@
         }
     }
     assert!(fleet.placed.len() > 100, "{} placed", fleet.placed.len());
-    assert!(fleet.most_a_second(START) <= BEARS, "{} in a second", fleet.most_a_second(START));
+    assert!(
+        fleet.most_a_second(START) <= BEARS,
+        "{} in a second",
+        fleet.most_a_second(START)
+    );
     // And once all is calm, it's given nearly all that it bears.
     fleet.nodes.iter_mut().for_each(|node| node.cut_until = 0);
     fleet.change_membership(all());
