--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -44,7 +44,12 @@
 }
 
 impl Fleet {
-    fn new(schedulers: usize, engines: usize, service: ServiceRules, scheduler_rules: SchedulerRules) -> Self {
+    fn new(
+        schedulers: usize,
+        engines: usize,
+        service: ServiceRules,
+        scheduler_rules: SchedulerRules,
+    ) -> Self {
         let engine = |n: usize| Engine {
             name: ServerName::from(format!("e{n}").as_str()),
             speed: [1.0, 1.0, 1.3][n % 3],
@@ -72,8 +77,9 @@
             firsts: vec![],
             sent: BTreeMap::new(),
         };
-        fleet.schedulers =
-            (0..schedulers).map(|place| Scheduler::new(own(place), 0, fleet.scheduler_rules.clone())).collect();
+        fleet.schedulers = (0..schedulers)
+            .map(|place| Scheduler::new(own(place), 0, fleet.scheduler_rules.clone()))
+            .collect();
         (0..schedulers).for_each(|place| fleet.restart(place));
         fleet
     }
@@ -93,22 +99,48 @@
         self.engines.iter().map(entry).collect()
     }
     fn tell(&mut self, place: usize, event: Event) -> Vec<Decision> {
-        self.schedulers[place].take(Dated { at: Moment(self.now), event })
+        self.schedulers[place].take(Dated {
+            at: Moment(self.now),
+            event,
+        })
     }
     /// A node is killed and starts anew; what it had in hand is lost.
     fn restart(&mut self, place: usize) {
         self.lives[place] += 1;
-        self.schedulers[place] = Scheduler::new(own(place), self.lives[place], self.scheduler_rules.clone());
+        self.schedulers[place] =
+            Scheduler::new(own(place), self.lives[place], self.scheduler_rules.clone());
         let services = [("drafts".into(), self.service.clone())].into();
-        self.tell(place, Event::Rules { rules: Rules { epoch: Epoch(1), services, withdrawn: vec![] } });
-        let (members, servers) = ((0..self.schedulers.len()).map(own).collect(), self.server_list());
-        self.tell(place, Event::Members { members, since: Epoch(1) });
+        self.tell(
+            place,
+            Event::Rules {
+                rules: Rules {
+                    epoch: Epoch(1),
+                    services,
+                    withdrawn: vec![],
+                },
+            },
+        );
+        let (members, servers) = (
+            (0..self.schedulers.len()).map(own).collect(),
+            self.server_list(),
+        );
+        self.tell(
+            place,
+            Event::Members {
+                members,
+                since: Epoch(1),
+            },
+        );
         self.tell(place, Event::ServerList { servers });
     }
     /// A millisecond goes by.
     fn step(&mut self) {
         self.now += 1;
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= self.now) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= self.now)
+        {
             match entry.remove() {
                 Timer::First(request, place) => {
                     if let Some((at, _)) = self.sent.get(&request) {
@@ -117,7 +149,13 @@
                     self.tell(place, Event::FirstToken { request });
                 }
                 Timer::End(request, place, outcome) => {
-                    self.tell(place, Event::Ended { request: request.clone(), outcome });
+                    self.tell(
+                        place,
+                        Event::Ended {
+                            request: request.clone(),
+                            outcome,
+                        },
+                    );
                     if outcome == Outcome::Refused {
                         self.ask(place, self.sent[&request].1, 1);
                     }
@@ -128,15 +166,30 @@
             let servers = self.server_list();
             for place in 0..self.schedulers.len() {
                 self.tell(place, Event::Tick);
-                self.tell(place, Event::ServerList { servers: servers.clone() });
+                self.tell(
+                    place,
+                    Event::ServerList {
+                        servers: servers.clone(),
+                    },
+                );
             }
         }
         if self.now.is_multiple_of(250) {
             let at = Moment(self.now);
-            let sketches: Vec<Sketch> = self.schedulers.iter_mut().map(|scheduler| scheduler.sketch(at)).collect();
+            let sketches: Vec<Sketch> = self
+                .schedulers
+                .iter_mut()
+                .map(|scheduler| scheduler.sketch(at))
+                .collect();
             for (from, sketch) in sketches.into_iter().enumerate() {
                 for place in 0..self.schedulers.len() {
-                    self.tell(place, Event::PeerSketch { from: own(from), sketch: sketch.clone() });
+                    self.tell(
+                        place,
+                        Event::PeerSketch {
+                            from: own(from),
+                            sketch: sketch.clone(),
+                        },
+                    );
                 }
             }
         }
@@ -145,7 +198,11 @@
     fn ask(&mut self, place: usize, prefix: u64, round: u32) {
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
-        let parts = [(PrefixHash(1), 512u32), (PrefixHash(prefix), 4870), (PrefixHash(mix(self.next)), 3000)];
+        let parts = [
+            (PrefixHash(1), 512u32),
+            (PrefixHash(prefix), 4870),
+            (PrefixHash(mix(self.next)), 3000),
+        ];
         let demand = Demand {
             hash_tokens: parts.map(|(_, tokens)| tokens).to_vec(),
             prompt_tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
@@ -154,8 +211,14 @@
             ..Demand::default()
         };
         let hashes = parts.map(|(hash, _)| hash).to_vec();
-        let event =
-            Event::Prompt { request: request.clone(), service: "drafts".into(), hashes, round, tried: vec![], demand };
+        let event = Event::Prompt {
+            request: request.clone(),
+            service: "drafts".into(),
+            hashes,
+            round,
+            tried: vec![],
+            demand,
+        };
         if round == 0 {
             self.asked.push(self.now);
         }
@@ -174,12 +237,25 @@
             }
         }
     }
-    fn run(&mut self, server: &ServerName, request: RequestId, place: usize, parts: &[(PrefixHash, u32)]) {
+    fn run(
+        &mut self,
+        server: &ServerName,
+        request: RequestId,
+        place: usize,
+        parts: &[(PrefixHash, u32)],
+    ) {
         let (now, next) = (self.now, self.next);
-        let engine = self.engines.iter_mut().find(|engine| engine.name == *server).expect("listed");
+        let engine = self
+            .engines
+            .iter_mut()
+            .find(|engine| engine.name == *server)
+            .expect("listed");
         engine.arrivals.push(now);
         if engine.does_refuse {
-            self.timers.insert((now + 2, next * 2), Timer::End(request, place, Outcome::Refused));
+            self.timers.insert(
+                (now + 2, next * 2),
+                Timer::End(request, place, Outcome::Refused),
+            );
             return;
         }
         let mut uncached = 0;
@@ -189,13 +265,23 @@
                 *engine.reads.entry(*hash).or_default() += 1;
             }
         }
-        engine.read_until = engine.read_until.max(now as f64) + f64::from(uncached) / READ_PER_MS * engine.speed;
+        engine.read_until =
+            engine.read_until.max(now as f64) + f64::from(uncached) / READ_PER_MS * engine.speed;
         let first = engine.read_until as u64 + 35;
-        self.timers.insert((first, next * 2), Timer::First(request.clone(), place));
-        self.timers.insert((first + 1200, next * 2 + 1), Timer::End(request, place, Outcome::Complete));
+        self.timers
+            .insert((first, next * 2), Timer::First(request.clone(), place));
+        self.timers.insert(
+            (first + 1200, next * 2 + 1),
+            Timer::End(request, place, Outcome::Complete),
+        );
     }
     fn most_within(moments: &[u64], span: u64) -> usize {
-        let within = |end: &u64| moments.iter().filter(|at| *at <= end && end - **at < span).count();
+        let within = |end: &u64| {
+            moments
+                .iter()
+                .filter(|at| *at <= end && end - **at < span)
+                .count()
+        };
         moments.iter().map(within).max().unwrap_or(0)
     }
 }
@@ -247,7 +333,11 @@
     let hot = |p: &&(u64, ServerName, PlaceReason, u64)| p.3 == 777 && p.0 >= late;
     let used: BTreeSet<&ServerName> = fleet.placed.iter().filter(hot).map(|p| &p.1).collect();
     assert!((3..=6).contains(&used.len()), "the burst went to {used:?}");
-    let reads: u32 = fleet.engines.iter().filter_map(|engine| engine.reads.get(&PrefixHash(777))).sum();
+    let reads: u32 = fleet
+        .engines
+        .iter()
+        .filter_map(|engine| engine.reads.get(&PrefixHash(777)))
+        .sum();
     assert!(reads <= 6, "the hot prefix was read {reads} times");
     assert_eq!(fleet.refused, 0);
     fleet.firsts.sort_unstable();
@@ -274,7 +364,11 @@
             let before = fleet.placed.len();
             fleet.ask(place, prefix, 0);
             for (now, server, ..) in fleet.placed[before..].iter().cloned() {
-                let engine = fleet.engines.iter().find(|engine| engine.name == server).expect("listed");
+                let engine = fleet
+                    .engines
+                    .iter()
+                    .find(|engine| engine.name == server)
+                    .expect("listed");
                 // What the list had not yet told nobody could know: it comes every 100 ms here.
                 if engine.cold_until > now && engine.cold_until - now < 2900 {
                     arrivals_while_cold.entry(server).or_default().push(now);
@@ -282,8 +376,14 @@
             }
         }
     }
-    let most = arrivals_while_cold.values().map(|moments| Fleet::most_within(moments, 1000)).max();
-    assert!(most.is_some_and(|most| (1..=20).contains(&most)), "{most:?} in a second");
+    let most = arrivals_while_cold
+        .values()
+        .map(|moments| Fleet::most_within(moments, 1000))
+        .max();
+    assert!(
+        most.is_some_and(|most| (1..=20).contains(&most)),
+        "{most:?} in a second"
+    );
     assert_eq!(fleet.refused, 0, "others take what a cold server can't");
 }
 
@@ -294,7 +394,10 @@
         fleet.step();
         if at % 4000 == 0 {
             let is_bad = at % 8000 == 4000;
-            fleet.engines.iter_mut().for_each(|engine| engine.does_refuse = is_bad);
+            fleet
+                .engines
+                .iter_mut()
+                .for_each(|engine| engine.does_refuse = is_bad);
         }
         if at % 1500 == 700 {
             let place = fleet.random(11) as usize;
@@ -306,11 +409,24 @@
             fleet.ask(place, 100 + at % 7, 0);
         }
     }
-    assert!(fleet.repeated.len() > 200, "{} repeats", fleet.repeated.len());
+    assert!(
+        fleet.repeated.len() > 200,
+        "{} repeats",
+        fleet.repeated.len()
+    );
     for end in (0..42_000).map(|at| START + at).step_by(50) {
-        let within = |moments: &[u64]| moments.iter().filter(|at| **at <= end && end - **at < 10_000).count();
+        let within = |moments: &[u64]| {
+            moments
+                .iter()
+                .filter(|at| **at <= end && end - **at < 10_000)
+                .count()
+        };
         let (repeats, asked) = (within(&fleet.repeated), within(&fleet.asked));
-        assert!(repeats as f64 <= asked as f64 * 0.2 + 62.0, "{repeats} repeats of {asked} up to {}", end - START);
+        assert!(
+            repeats as f64 <= asked as f64 * 0.2 + 62.0,
+            "{repeats} repeats of {asked} up to {}",
+            end - START
+        );
     }
 }
 
--- a/crates/placement/tests/urgency.rs
+++ b/crates/placement/tests/urgency.rs
@@ -11,6 +11,10 @@
     beyond_all_classes = { u32::MAX, 1, 9 },
 )]
 fn the_shorter_against_its_target_goes_first(prompt_tokens: u32, target: u64, class: u8) {
-    let demand = Demand { prompt_tokens, target: Span(target), ..Demand::default() };
+    let demand = Demand {
+        prompt_tokens,
+        target: Span(target),
+        ..Demand::default()
+    };
     assert_eq!(demand.urgency(), class);
 }
--- a/crates/quota/src/authority.rs
+++ b/crates/quota/src/authority.rs
@@ -98,7 +98,13 @@
     }
 
     /// A node asks. `members` are all nodes that may hold credit.
-    pub fn on_ask(&mut self, now: Moment, from: Address, ask: &CreditAsk, members: &[Address]) -> Option<CreditGrant> {
+    pub fn on_ask(
+        &mut self,
+        now: Moment,
+        from: Address,
+        ask: &CreditAsk,
+        members: &[Address],
+    ) -> Option<CreditGrant> {
         let (life, number) = self.newest.get(&from).copied().unwrap_or_default();
         if life == ask.life && ask.number <= number {
             // An older one, late: what it lists is not so any more.
@@ -106,13 +112,22 @@
         }
         self.newest.insert(from, (ask.life, ask.number));
         if ask.is_whole {
-            self.heard.insert(from, now - ask.fresh_for.unwrap_or(Span(0)));
+            self.heard
+                .insert(from, now - ask.fresh_for.unwrap_or(Span(0)));
         }
         self.settle(now, members);
-        let entries = ask.entries.iter().map(|entry| self.grant(now, (from, ask.life), ask.plan_epoch, entry));
+        let entries = ask
+            .entries
+            .iter()
+            .map(|entry| self.grant(now, (from, ask.life), ask.plan_epoch, entry));
         let entries = entries.collect();
         let wants_whole = self.settled.is_none() && !self.heard.contains_key(&from);
-        Some(CreditGrant { number: ask.number, life: self.bounds.credit_life(), wants_whole, entries })
+        Some(CreditGrant {
+            number: ask.number,
+            life: self.bounds.credit_life(),
+            wants_whole,
+            entries,
+        })
     }
 
     /// Once it is known what the former authority's grants left out, or that has expired, grants are made.
@@ -125,33 +140,56 @@
         let is_over = is_over || self.is_mutant(crate::Mutant::ForgetOutstanding);
         let are_all_heard = members.iter().all(|member| self.heard.contains_key(member));
         if is_over || are_all_heard {
-            let last_spent = self.heard.values().max().copied().filter(|_| are_all_heard).unwrap_or(now);
+            let last_spent = self
+                .heard
+                .values()
+                .max()
+                .copied()
+                .filter(|_| are_all_heard)
+                .unwrap_or(now);
             self.settled = Some(Settled { last_spent });
             #[cfg(test)]
             if self.is_mutant(crate::Mutant::ForgetOutstanding) {
                 return;
             }
             let bounds = self.bounds;
-            self.accounts.values_mut().for_each(|account| account.assume_spent(last_spent, &bounds));
+            self.accounts
+                .values_mut()
+                .for_each(|account| account.assume_spent(last_spent, &bounds));
         }
     }
 
-    fn grant(&mut self, now: Moment, node: (Address, u64), epoch: Epoch, entry: &CreditRequest) -> TenantGrant {
+    fn grant(
+        &mut self,
+        now: Moment,
+        node: (Address, u64),
+        epoch: Epoch,
+        entry: &CreditRequest,
+    ) -> TenantGrant {
         let bounds = self.bounds;
         let settled = self.settled;
         #[cfg(test)]
-        let (forgets, ignores) =
-            (self.is_mutant(crate::Mutant::ForgetOutstanding), self.is_mutant(crate::Mutant::IgnoreOutstanding));
+        let (forgets, ignores) = (
+            self.is_mutant(crate::Mutant::ForgetOutstanding),
+            self.is_mutant(crate::Mutant::IgnoreOutstanding),
+        );
         #[cfg(not(test))]
         let forgets = false;
         let fresh = || {
             let mut account = Account::new(entry.limit, epoch, &bounds);
             // What was spent of it under the former authority isn't known.
-            let since = settled.filter(|_| !forgets).map(|settled| settled.last_spent);
-            since.into_iter().for_each(|since| account.assume_spent(since, &bounds));
+            let since = settled
+                .filter(|_| !forgets)
+                .map(|settled| settled.last_spent);
+            since
+                .into_iter()
+                .for_each(|since| account.assume_spent(since, &bounds));
             account
         };
-        let account = self.accounts.entry(entry.tenant.clone()).or_insert_with(fresh);
+        let account = self
+            .accounts
+            .entry(entry.tenant.clone())
+            .or_insert_with(fresh);
         if epoch > account.epoch {
             (account.limit, account.epoch) = (entry.limit, epoch);
         }
@@ -161,14 +199,38 @@
         if ignores {
             account.outstanding = Amount::NONE;
         }
-        let nothing = |wait: Span| TenantGrant { tenant: entry.tenant.clone(), granted: Amount::NONE, wait };
+        let nothing = |wait: Span| TenantGrant {
+            tenant: entry.tenant.clone(),
+            granted: Amount::NONE,
+            wait,
+        };
         let (granted, wait) = match settled {
             Some(_) => account.take(now, &bounds, entry.need, entry.want),
-            None => (Amount::NONE, if entry.need.is_none() { Span(0) } else { UNSETTLED_WAIT }),
+            None => (
+                Amount::NONE,
+                if entry.need.is_none() {
+                    Span(0)
+                } else {
+                    UNSETTLED_WAIT
+                },
+            ),
         };
         let amount = entry.held.plus(granted);
-        account.hold(node, Credit { amount, expires: now + bounds.credit_life() });
-        if granted.is_none() { nothing(wait) } else { TenantGrant { granted, ..nothing(Span(0)) } }
+        account.hold(
+            node,
+            Credit {
+                amount,
+                expires: now + bounds.credit_life(),
+            },
+        );
+        if granted.is_none() {
+            nothing(wait)
+        } else {
+            TenantGrant {
+                granted,
+                ..nothing(Span(0))
+            }
+        }
     }
 
     /// What operators are shown.
@@ -198,7 +260,10 @@
 
 impl SpentWindow {
     fn new(window: Span) -> Self {
-        SpentWindow { slot: Span((window.0 / SLOTS).max(1)), slots: VecDeque::new() }
+        SpentWindow {
+            slot: Span((window.0 / SLOTS).max(1)),
+            slots: VecDeque::new(),
+        }
     }
 
     fn number(&self, at: Moment) -> u64 {
@@ -217,7 +282,11 @@
     /// A slot is forgotten once all of it is older than a window.
     fn forget(&mut self, now: Moment) {
         let newest = self.number(now);
-        while self.slots.front().is_some_and(|(number, _)| number + SLOTS < newest) {
+        while self
+            .slots
+            .front()
+            .is_some_and(|(number, _)| number + SLOTS < newest)
+        {
             self.slots.pop_front();
         }
     }
@@ -257,7 +326,10 @@
 
     /// Burst and slack: what may be spent at once. Never so little that nothing at all could be let in.
     fn at_once(&self, bounds: &QuotaBounds) -> Amount {
-        self.limit.burst.plus(bounds.slack(&self.limit)).max(Amount { thousandths: 1 })
+        self.limit
+            .burst
+            .plus(bounds.slack(&self.limit))
+            .max(Amount { thousandths: 1 })
     }
 
     /// What the headroom may run into, so that large requests get as much as small ones.
@@ -286,12 +358,17 @@
     }
 
     fn sum_up(&mut self) {
-        self.outstanding = self.credits.values().fold(Amount::NONE, |sum, credit| sum.plus(credit.amount));
+        self.outstanding = self
+            .credits
+            .values()
+            .fold(Amount::NONE, |sum, credit| sum.plus(credit.amount));
     }
 
     /// A node holds this of what it was granted: the rest is spent.
     fn note_held(&mut self, now: Moment, node: (Address, u64), held: Amount) {
-        let Some(credit) = self.credits.get_mut(&node) else { return };
+        let Some(credit) = self.credits.get_mut(&node) else {
+            return;
+        };
         let spent = credit.amount.less(held);
         credit.amount = held;
         if !spent.is_none() {
@@ -311,25 +388,47 @@
 
     /// Takes what is needed, if there is headroom for it, and some of what is wanted besides. Gives what was taken,
     /// and where nothing was although it is needed, when it's worth asking again.
-    fn take(&mut self, now: Moment, bounds: &QuotaBounds, need: Amount, want: Amount) -> (Amount, Span) {
+    fn take(
+        &mut self,
+        now: Moment,
+        bounds: &QuotaBounds,
+        need: Amount,
+        want: Amount,
+    ) -> (Amount, Span) {
         let (at_once, debt) = (self.at_once(bounds), self.debt(bounds));
-        let free = self.spent.headroom(now, at_once.less(debt), self.limit.rate);
+        let free = self
+            .spent
+            .headroom(now, at_once.less(debt), self.limit.rate);
         let headroom = free - i128::from(self.outstanding.thousandths);
         let needed = i128::from(need.thousandths);
         // One that is larger than all that may be spent at once could never be let in otherwise.
         let is_unused = headroom >= i128::from(at_once.less(debt).thousandths);
-        let may_need = headroom > 0 && (is_unused || needed <= headroom + i128::from(debt.thousandths));
+        let may_need =
+            headroom > 0 && (is_unused || needed <= headroom + i128::from(debt.thousandths));
         if !need.is_none() && !may_need {
             self.denied += 1;
             let missing = (1 - headroom).max(needed - headroom - i128::from(debt.thousandths));
-            let missing = Amount { thousandths: u64::try_from(missing).unwrap_or(0) };
-            return (Amount::NONE, missing.time_at(self.limit.rate).max(SHORTEST_WAIT).min(LONGEST_WAIT));
+            let missing = Amount {
+                thousandths: u64::try_from(missing).unwrap_or(0),
+            };
+            return (
+                Amount::NONE,
+                missing
+                    .time_at(self.limit.rate)
+                    .max(SHORTEST_WAIT)
+                    .min(LONGEST_WAIT),
+            );
         }
         // For needs of other nodes, some is always left.
         let reserve = at_once.part(1, 4);
         let spare = u64::try_from(headroom - needed - i128::from(reserve.thousandths)).unwrap_or(0);
         let room = at_once.part(1, 2).less(self.outstanding);
-        let extra = want.less(need).min(Amount { thousandths: spare / SPARE_PART }).min(room);
+        let extra = want
+            .less(need)
+            .min(Amount {
+                thousandths: spare / SPARE_PART,
+            })
+            .min(room);
         (need.plus(extra), Span(0))
     }
 }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -171,21 +171,44 @@
 
     /// Another plan is in force, with these tenants whose requests are limited. What waits for one that is limited
     /// no more is admitted.
-    pub fn set_limits(&mut self, epoch: Epoch, limits: &[(TenantName, QuotaLimit)]) -> Vec<Settlement> {
+    pub fn set_limits(
+        &mut self,
+        epoch: Epoch,
+        limits: &[(TenantName, QuotaLimit)],
+    ) -> Vec<Settlement> {
         self.plan_epoch = epoch;
         let mut former = std::mem::take(&mut self.tenants);
         for (tenant, limit) in limits {
             let credit = former.remove(tenant).unwrap_or_default();
-            self.tenants.insert(tenant.clone(), TenantCredit { limit: *limit, ..credit });
+            self.tenants.insert(
+                tenant.clone(),
+                TenantCredit {
+                    limit: *limit,
+                    ..credit
+                },
+            );
         }
         let released = former.into_values().flat_map(|credit| credit.waiting);
-        released.map(|waiting| Settlement { number: waiting.number, outcome: Ok(()) }).collect()
+        released
+            .map(|waiting| Settlement {
+                number: waiting.number,
+                outcome: Ok(()),
+            })
+            .collect()
     }
 
     /// A request of a tenant wants to be admitted.
-    pub fn admit(&mut self, now: Moment, number: u64, tenant: &TenantName, amount: Amount) -> Admission {
+    pub fn admit(
+        &mut self,
+        now: Moment,
+        number: u64,
+        tenant: &TenantName,
+        amount: Amount,
+    ) -> Admission {
         let spends_expired = self.spends_expired();
-        let Some(credit) = self.tenants.get_mut(tenant) else { return Admission::Admitted };
+        let Some(credit) = self.tenants.get_mut(tenant) else {
+            return Admission::Admitted;
+        };
         credit.expire(now, spends_expired);
         if credit.waiting.is_empty() && credit.spend(amount) {
             return Admission::Admitted;
@@ -195,13 +218,19 @@
             let retry_after = now.until(credit.denied_until);
             return Admission::Denied(QuotaDenial::OverQuota { retry_after });
         }
-        credit.waiting.push_back(Waiting { number, amount, deadline: now + PATIENCE });
+        credit.waiting.push_back(Waiting {
+            number,
+            amount,
+            deadline: now + PATIENCE,
+        });
         Admission::Waits
     }
 
     /// A request that was admitted before goes to one more server, and the first may have run it.
     pub fn spend_again(&mut self, now: Moment, tenant: &TenantName, amount: Amount) {
-        let Some(credit) = self.tenants.get_mut(tenant) else { return };
+        let Some(credit) = self.tenants.get_mut(tenant) else {
+            return;
+        };
         credit.expire(now, false);
         let missing = amount.less(credit.held);
         credit.held = credit.held.less(amount);
@@ -210,7 +239,9 @@
 
     /// A request that was admitted was sent to no server.
     pub fn give_back(&mut self, now: Moment, tenant: &TenantName, amount: Amount) {
-        let Some(credit) = self.tenants.get_mut(tenant) else { return };
+        let Some(credit) = self.tenants.get_mut(tenant) else {
+            return;
+        };
         if now < credit.expires {
             credit.held = credit.held.plus(amount);
         }
@@ -229,16 +260,30 @@
             self.next_reckoning = now + RECKONING_PERIOD;
             self.tenants.values_mut().for_each(TenantCredit::reckon);
         }
-        if self.under_way.is_some_and(|ask| now.since(ask.sent) >= ASK_DEADLINE) {
+        if self
+            .under_way
+            .is_some_and(|ask| now.since(ask.sent) >= ASK_DEADLINE)
+        {
             self.under_way = None;
         }
         let mut settled = vec![];
         for credit in self.tenants.values_mut() {
-            while credit.waiting.front().is_some_and(|waiting| now >= waiting.deadline) {
-                let Some(waiting) = credit.waiting.pop_front() else { break };
+            while credit
+                .waiting
+                .front()
+                .is_some_and(|waiting| now >= waiting.deadline)
+            {
+                let Some(waiting) = credit.waiting.pop_front() else {
+                    break;
+                };
                 credit.unknown_count += 1;
-                let outcome = Err(QuotaDenial::Unknown { retry_after: UNKNOWN_RETRY });
-                settled.push(Settlement { number: waiting.number, outcome });
+                let outcome = Err(QuotaDenial::Unknown {
+                    retry_after: UNKNOWN_RETRY,
+                });
+                settled.push(Settlement {
+                    number: waiting.number,
+                    outcome,
+                });
             }
         }
         settled
@@ -251,7 +296,10 @@
             return None;
         }
         let is_whole = self.is_whole_wanted || self.told != Some(to);
-        let has_waiting = self.tenants.values().any(|credit| !credit.waiting.is_empty());
+        let has_waiting = self
+            .tenants
+            .values()
+            .any(|credit| !credit.waiting.is_empty());
         let restocks = now >= self.next_restock;
         if !is_whole && !has_waiting && !restocks {
             return None;
@@ -275,7 +323,17 @@
         self.under_way = Some(UnderWay { to, sent: now });
         let (life, number, plan_epoch) = (self.life, self.number, self.plan_epoch);
         let fresh_for = (!self.was_granted).then(|| now.since(self.began));
-        Some((to, CreditAsk { life, number, plan_epoch, fresh_for, is_whole, entries }))
+        Some((
+            to,
+            CreditAsk {
+                life,
+                number,
+                plan_epoch,
+                fresh_for,
+                is_whole,
+                entries,
+            },
+        ))
     }
 
     /// The authority answers.
@@ -285,10 +343,15 @@
         let is_newest = is_newest || self.is_mutant(crate::Mutant::TakeTwice);
         // One that slept may find the answer to what it asked long ago.
         let is_alive = |ask: &UnderWay| now.since(ask.sent) < grant.life;
-        let awaited = self.under_way.filter(|ask| ask.to == from && is_newest && is_alive(ask));
+        let awaited = self
+            .under_way
+            .filter(|ask| ask.to == from && is_newest && is_alive(ask));
         #[cfg(test)]
         let awaited = match self.is_mutant(crate::Mutant::TakeTwice) {
-            true => awaited.or(Some(UnderWay { to: from, sent: now })),
+            true => awaited.or(Some(UnderWay {
+                to: from,
+                sent: now,
+            })),
             false => awaited,
         };
         let Some(ask) = awaited else { return vec![] };
@@ -308,7 +371,12 @@
     /// When something may have to be done next; `None`: with the next request.
     pub fn next_timer(&self) -> Option<Moment> {
         let under_way = self.under_way.map(|ask| ask.sent + ASK_DEADLINE);
-        let waiting = self.tenants.values().filter_map(|credit| credit.waiting.front()).map(|one| one.deadline).min();
+        let waiting = self
+            .tenants
+            .values()
+            .filter_map(|credit| credit.waiting.front())
+            .map(|one| one.deadline)
+            .min();
         under_way.into_iter().chain(waiting).min()
     }
 
@@ -374,7 +442,11 @@
     /// What is to be held for requests to come. Less than one request is of no use.
     fn stock(&self) -> Amount {
         let stock = self.demand.over(STOCK);
-        if stock < self.newest { Amount::NONE } else { stock }
+        if stock < self.newest {
+            Amount::NONE
+        } else {
+            stock
+        }
     }
 
     fn wants_ask(&self, restocks: bool) -> bool {
@@ -383,8 +455,14 @@
     }
 
     fn request(&self, tenant: &TenantName) -> CreditRequest {
-        let first = self.waiting.front().map_or(Amount::NONE, |waiting| waiting.amount);
-        let all = self.waiting.iter().fold(Amount::NONE, |sum, waiting| sum.plus(waiting.amount));
+        let first = self
+            .waiting
+            .front()
+            .map_or(Amount::NONE, |waiting| waiting.amount);
+        let all = self
+            .waiting
+            .iter()
+            .fold(Amount::NONE, |sum, waiting| sum.plus(waiting.amount));
         CreditRequest {
             tenant: tenant.clone(),
             limit: self.limit,
@@ -395,7 +473,13 @@
     }
 
     /// What the authority answers; credit lasts until then.
-    fn take(&mut self, now: Moment, expires: Moment, entry: &TenantGrant, settled: &mut Vec<Settlement>) {
+    fn take(
+        &mut self,
+        now: Moment,
+        expires: Moment,
+        entry: &TenantGrant,
+        settled: &mut Vec<Settlement>,
+    ) {
         self.expires = expires;
         let funds = self.held.plus(entry.granted);
         let repaid = funds.min(self.debt);
@@ -406,7 +490,10 @@
                 break;
             }
             self.waiting.pop_front();
-            settled.push(Settlement { number: first.number, outcome: Ok(()) });
+            settled.push(Settlement {
+                number: first.number,
+                outcome: Ok(()),
+            });
         }
         if entry.wait.0 == 0 {
             return;
@@ -414,8 +501,13 @@
         self.denied_until = now + entry.wait;
         for waiting in std::mem::take(&mut self.waiting) {
             self.refused_count += 1;
-            let outcome = Err(QuotaDenial::OverQuota { retry_after: entry.wait });
-            settled.push(Settlement { number: waiting.number, outcome });
+            let outcome = Err(QuotaDenial::OverQuota {
+                retry_after: entry.wait,
+            });
+            settled.push(Settlement {
+                number: waiting.number,
+                outcome,
+            });
         }
     }
 }
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -24,11 +24,15 @@
 
     /// So many whole units.
     pub fn units(units: u64) -> Amount {
-        Amount { thousandths: units.saturating_mul(1000) }
+        Amount {
+            thousandths: units.saturating_mul(1000),
+        }
     }
     /// So many units, rounded to thousandths; what is below nothing is nothing.
     pub fn fraction(units: f64) -> Amount {
-        Amount { thousandths: (units.max(0.0) * 1000.0) as u64 }
+        Amount {
+            thousandths: (units.max(0.0) * 1000.0) as u64,
+        }
     }
     /// Whether it is nothing.
     pub fn is_none(self) -> bool {
@@ -36,16 +40,23 @@
     }
     /// Both.
     pub fn plus(self, other: Amount) -> Amount {
-        Amount { thousandths: self.thousandths.saturating_add(other.thousandths) }
+        Amount {
+            thousandths: self.thousandths.saturating_add(other.thousandths),
+        }
     }
     /// What is left of it.
     pub fn less(self, other: Amount) -> Amount {
-        Amount { thousandths: self.thousandths.saturating_sub(other.thousandths) }
+        Amount {
+            thousandths: self.thousandths.saturating_sub(other.thousandths),
+        }
     }
     /// A part of it.
     pub fn part(self, numerator: u64, denominator: u64) -> Amount {
-        let part = u128::from(self.thousandths) * u128::from(numerator) / u128::from(denominator.max(1));
-        Amount { thousandths: u64::try_from(part).unwrap_or(u64::MAX) }
+        let part =
+            u128::from(self.thousandths) * u128::from(numerator) / u128::from(denominator.max(1));
+        Amount {
+            thousandths: u64::try_from(part).unwrap_or(u64::MAX),
+        }
     }
     /// What comes in so long, if this comes in a second.
     pub fn over(self, span: Span) -> Amount {
@@ -53,7 +64,8 @@
     }
     /// How long this takes at so much a second.
     pub fn time_at(self, rate: Amount) -> Span {
-        let milliseconds = u128::from(self.thousandths) * 1000 / u128::from(rate.thousandths.max(1));
+        let milliseconds =
+            u128::from(self.thousandths) * 1000 / u128::from(rate.thousandths.max(1));
         Span(u64::try_from(milliseconds).unwrap_or(u64::MAX))
     }
 }
@@ -71,7 +83,11 @@
 
 impl Default for QuotaBounds {
     fn default() -> Self {
-        QuotaBounds { window: Span::seconds(8), excess_percent: 10, tolerance: 1 }
+        QuotaBounds {
+            window: Span::seconds(8),
+            excess_percent: 10,
+            tolerance: 1,
+        }
     }
 }
 
@@ -82,7 +98,9 @@
     }
     /// What it may hold beyond that.
     pub fn slack(&self, limit: &QuotaLimit) -> Amount {
-        self.allowed(limit).part(self.excess_percent, 100).plus(Amount::units(self.tolerance))
+        self.allowed(limit)
+            .part(self.excess_percent, 100)
+            .plus(Amount::units(self.tolerance))
     }
     /// Credit is spent within this after it was asked for, or never. Shorter than a window, so that credit under
     /// a former limit is gone before a lower one binds.
--- a/crates/quota/src/tests.rs
+++ b/crates/quota/src/tests.rs
@@ -26,7 +26,11 @@
 }
 
 const NODES: usize = 12;
-const BOUNDS: QuotaBounds = QuotaBounds { window: Span(8000), excess_percent: 10, tolerance: 400 };
+const BOUNDS: QuotaBounds = QuotaBounds {
+    window: Span(8000),
+    excess_percent: 10,
+    tolerance: 400,
+};
 const START: u64 = 1_000_000;
 /// Percent of the rate that is sent in ordinary times.
 const ORDINARY_LOAD: u64 = 75;
@@ -127,16 +131,28 @@
     fn core(play: &Play, number: u16, now: u64, away_until: u64) -> Core {
         let mut authority = Authority::new(BOUNDS, Moment(now));
         authority.mutant = play.mutant;
-        Core { authority, address: Address::loopback(1000 + number), away_until }
+        Core {
+            authority,
+            address: Address::loopback(1000 + number),
+            away_until,
+        }
     }
 
     fn fresh_node(&mut self) -> Node {
         self.lives += 1;
         let mut holder = CreditHolder::new(self.lives, Moment(self.now));
         holder.mutant = self.play.mutant;
-        let limit = QuotaLimit { rate: Amount::units(self.play.rate), burst: Amount::units(self.play.burst) };
+        let limit = QuotaLimit {
+            rate: Amount::units(self.play.rate),
+            burst: Amount::units(self.play.burst),
+        };
         holder.set_limits(Epoch(1), &[(tenant(), limit)]);
-        Node { holder, frozen_until: 0, cut_until: 0, waiting: BTreeMap::new() }
+        Node {
+            holder,
+            frozen_until: 0,
+            cut_until: 0,
+            waiting: BTreeMap::new(),
+        }
     }
 
     fn run(mut self) -> World {
@@ -174,8 +190,16 @@
         if self.play.has_faults && (is_cut || self.random.chance(4)) {
             return;
         }
-        let late = if self.play.has_faults && self.random.chance(5) { self.random.below(5000) } else { 0 };
-        let copies = if self.play.has_faults && self.random.chance(25) { 2 } else { 1 };
+        let late = if self.play.has_faults && self.random.chance(5) {
+            self.random.below(5000)
+        } else {
+            0
+        };
+        let copies = if self.play.has_faults && self.random.chance(25) {
+            2
+        } else {
+            1
+        };
         for copy in 0..copies {
             let at = self.now + 1 + self.random.below(20) + late * (copy + 1);
             let packet = match &packet {
@@ -188,7 +212,11 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let frozen: Vec<bool> = self.nodes.iter().map(|node| now < node.frozen_until).collect();
+        let frozen: Vec<bool> = self
+            .nodes
+            .iter()
+            .map(|node| now < node.frozen_until)
+            .collect();
         let is_ripe = |(at, packet): &(u64, Packet)| {
             *at <= now
                 && match packet {
@@ -196,7 +224,9 @@
                     Packet::Grant(node, ..) => !frozen[*node],
                 }
         };
-        let (ripe, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.packets).into_iter().partition(is_ripe);
+        let (ripe, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.packets)
+            .into_iter()
+            .partition(is_ripe);
         self.packets = rest;
         let members: Vec<Address> = (0..NODES).map(address).collect();
         for (_, packet) in ripe {
@@ -205,9 +235,14 @@
                     if now < self.core.away_until {
                         continue;
                     }
-                    let grant = self.core.authority.on_ask(Moment(now), address(node), &ask, &members);
+                    let grant =
+                        self.core
+                            .authority
+                            .on_ask(Moment(now), address(node), &ask, &members);
                     let from = self.core.address;
-                    grant.into_iter().for_each(|grant| self.post(node, Packet::Grant(node, from, grant)));
+                    grant
+                        .into_iter()
+                        .for_each(|grant| self.post(node, Packet::Grant(node, from, grant)));
                 }
                 Packet::Grant(node, from, grant) => {
                     let settled = self.nodes[node].holder.on_grant(Moment(now), from, &grant);
@@ -219,7 +254,9 @@
 
     fn settle(&mut self, node: usize, settled: Vec<Settlement>) {
         for one in settled {
-            let Some(amount) = self.nodes[node].waiting.remove(&one.number) else { continue };
+            let Some(amount) = self.nodes[node].waiting.remove(&one.number) else {
+                continue;
+            };
             match one.outcome {
                 Ok(()) => self.admitted.push((self.now, amount)),
                 Err(_) => self.refused += 1,
@@ -247,7 +284,11 @@
 
     /// Units of a request on average. Nodes hold credit only where it is worth more than one request.
     fn mean_request(&self) -> u64 {
-        if self.play.shape == Shape::Pauses { 10 } else { 100 }
+        if self.play.shape == Shape::Pauses {
+            10
+        } else {
+            100
+        }
     }
 
     fn request(&mut self) {
@@ -259,7 +300,12 @@
         self.number += 1;
         self.sent += 1;
         let holder = &mut self.nodes[node].holder;
-        match holder.admit(Moment(self.now), self.number, &tenant(), Amount::units(amount)) {
+        match holder.admit(
+            Moment(self.now),
+            self.number,
+            &tenant(),
+            Amount::units(amount),
+        ) {
             Admission::Admitted => self.admitted.push((self.now, amount)),
             Admission::Waits => drop(self.nodes[node].waiting.insert(self.number, amount)),
             Admission::Denied(_) => self.refused += 1,
@@ -273,7 +319,10 @@
             }
             let settled = self.nodes[node].holder.on_clock(Moment(self.now));
             self.settle(node, settled);
-            if let Some((_, ask)) = self.nodes[node].holder.ask(Moment(self.now), Some(self.core.address)) {
+            if let Some((_, ask)) = self.nodes[node]
+                .holder
+                .ask(Moment(self.now), Some(self.core.address))
+            {
                 self.post(node, Packet::Ask(node, ask));
             }
         }
@@ -294,15 +343,31 @@
     }
 
     fn bound(&self) -> u64 {
-        let limit = QuotaLimit { rate: Amount::units(self.play.rate), burst: Amount::units(self.play.burst) };
-        BOUNDS.allowed(&limit).plus(BOUNDS.slack(&limit)).thousandths / 1000
+        let limit = QuotaLimit {
+            rate: Amount::units(self.play.rate),
+            burst: Amount::units(self.play.burst),
+        };
+        BOUNDS
+            .allowed(&limit)
+            .plus(BOUNDS.slack(&limit))
+            .thousandths
+            / 1000
     }
 }
 
 fn hot(seed: u64) -> Play {
     let load = 700;
     let shape = [Shape::Steady, Shape::Waves, Shape::Pauses][seed as usize % 3];
-    Play { seed, seconds: 90, rate: 1000, burst: 1000, load, shape, has_faults: true, mutant: None }
+    Play {
+        seed,
+        seconds: 90,
+        rate: 1000,
+        burst: 1000,
+        load,
+        shape,
+        has_faults: true,
+        mutant: None,
+    }
 }
 
 #[test]
@@ -317,24 +382,46 @@
 #[test]
 fn beyond_the_limit_each_window_is_used_whole() {
     for seed in 0..10 {
-        let world = World::new(Play { has_faults: false, shape: Shape::Steady, ..hot(seed) }).run();
+        let world = World::new(Play {
+            has_faults: false,
+            shape: Shape::Steady,
+            ..hot(seed)
+        })
+        .run();
         let limit = world.play.rate * BOUNDS.window.0 / 1000 + world.play.burst;
         let (mut sum, mut windows) = (0, 0);
         let begin = START + LEAD + BOUNDS.window.0;
         for from in (begin..START + (world.play.seconds - 9) * 1000).step_by(1000) {
             let within = from..=from + BOUNDS.window.0;
-            let used: u64 = world.admitted.iter().filter(|(at, _)| within.contains(at)).map(|(_, amount)| amount).sum();
-            assert!(used * 10 >= limit * 9, "seed {seed}: {used} of {limit} in the window from {from}");
+            let used: u64 = world
+                .admitted
+                .iter()
+                .filter(|(at, _)| within.contains(at))
+                .map(|(_, amount)| amount)
+                .sum();
+            assert!(
+                used * 10 >= limit * 9,
+                "seed {seed}: {used} of {limit} in the window from {from}"
+            );
             (sum, windows) = (sum + used, windows + 1);
         }
-        assert!(sum >= limit * windows, "seed {seed}: {} of {limit} in a window on average", sum / windows);
+        assert!(
+            sum >= limit * windows,
+            "seed {seed}: {} of {limit} in a window on average",
+            sum / windows
+        );
     }
 }
 
 #[test]
 fn within_the_limit_nothing_is_turned_away() {
     for seed in 0..10 {
-        let play = Play { load: ORDINARY_LOAD, has_faults: false, shape: Shape::Steady, ..hot(seed) };
+        let play = Play {
+            load: ORDINARY_LOAD,
+            has_faults: false,
+            shape: Shape::Steady,
+            ..hot(seed)
+        };
         let world = World::new(play).run();
         assert!(world.sent > 100, "{}", world.sent);
         assert_eq!(world.refused, 0, "seed {seed}: of {}", world.sent);
@@ -346,11 +433,28 @@
 fn large_requests_get_as_much_as_small_ones() {
     let (mut large, mut small) = (0, 0);
     for seed in 0..10 {
-        let world = World::new(Play { has_faults: false, shape: Shape::Steady, load: 300, ..hot(seed) }).run();
-        large += world.admitted.iter().filter(|(_, amount)| *amount > 150).count();
-        small += world.admitted.iter().filter(|(_, amount)| *amount <= 50).count();
+        let world = World::new(Play {
+            has_faults: false,
+            shape: Shape::Steady,
+            load: 300,
+            ..hot(seed)
+        })
+        .run();
+        large += world
+            .admitted
+            .iter()
+            .filter(|(_, amount)| *amount > 150)
+            .count();
+        small += world
+            .admitted
+            .iter()
+            .filter(|(_, amount)| *amount <= 50)
+            .count();
     }
-    assert!(large * 3 >= small * 2, "{large} large and {small} small ones");
+    assert!(
+        large * 3 >= small * 2,
+        "{large} large and {small} small ones"
+    );
 }
 
 #[parameterized(
@@ -362,7 +466,12 @@
 fn each_mutant_breaks_the_bound(mutant: Mutant) {
     let breaks = |seed: u64| {
         let has_faults = seed % 4 < 2;
-        let world = World::new(Play { mutant: Some(mutant), has_faults, ..hot(seed) }).run();
+        let world = World::new(Play {
+            mutant: Some(mutant),
+            has_faults,
+            ..hot(seed)
+        })
+        .run();
         world.fullest_window() > world.bound()
     };
     assert!((0..150).any(breaks), "{mutant:?} was not seen");
@@ -370,9 +479,16 @@
 
 #[test]
 fn a_quota_without_burst_or_slack_lets_something_in() {
-    let bounds = QuotaBounds { window: Span(1000), excess_percent: 0, tolerance: 1 };
+    let bounds = QuotaBounds {
+        window: Span(1000),
+        excess_percent: 0,
+        tolerance: 1,
+    };
     let mut authority = Authority::new(bounds, Moment(START));
-    let limit = QuotaLimit { rate: Amount::units(2), burst: Amount::NONE };
+    let limit = QuotaLimit {
+        rate: Amount::units(2),
+        burst: Amount::NONE,
+    };
     let mut granted = 0;
     for number in 1..=200 {
         let entry = CreditRequest {
@@ -382,19 +498,31 @@
             need: Amount::units(1),
             want: Amount::units(1),
         };
-        let ask =
-            CreditAsk { life: 1, number, plan_epoch: Epoch(1), fresh_for: None, is_whole: true, entries: vec![entry] };
+        let ask = CreditAsk {
+            life: 1,
+            number,
+            plan_epoch: Epoch(1),
+            fresh_for: None,
+            is_whole: true,
+            entries: vec![entry],
+        };
         let grant = authority.on_ask(Moment(START + number * 100), address(0), &ask, &[]);
         granted += grant.expect("an answer").entries[0].granted.thousandths / 1000;
     }
-    assert!((25..=42).contains(&granted), "{granted} in 20 s at 2 a second");
+    assert!(
+        (25..=42).contains(&granted),
+        "{granted} in 20 s at 2 a second"
+    );
 }
 
 #[test]
 fn a_new_authority_waits_until_all_have_told_what_they_hold() {
     let mut authority = Authority::new(BOUNDS, Moment(START));
     let members = [address(0), address(1)];
-    let limit = QuotaLimit { rate: Amount::units(1000), burst: Amount::units(1000) };
+    let limit = QuotaLimit {
+        rate: Amount::units(1000),
+        burst: Amount::units(1000),
+    };
     let entry = |need: u64| CreditRequest {
         tenant: tenant(),
         limit,
@@ -403,9 +531,17 @@
         want: Amount::units(need),
     };
     let mut ask = |node: usize, number: u64, at: u64, is_whole: bool| {
-        let ask =
-            CreditAsk { life: 7, number, plan_epoch: Epoch(1), fresh_for: None, is_whole, entries: vec![entry(10)] };
-        authority.on_ask(Moment(START + at), address(node), &ask, &members).expect("an answer")
+        let ask = CreditAsk {
+            life: 7,
+            number,
+            plan_epoch: Epoch(1),
+            fresh_for: None,
+            is_whole,
+            entries: vec![entry(10)],
+        };
+        authority
+            .on_ask(Moment(START + at), address(node), &ask, &members)
+            .expect("an answer")
     };
     let first = ask(0, 1, 100, false);
     assert!(first.wants_whole && first.entries[0].granted.is_none() && first.entries[0].wait.0 > 0);
--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -38,7 +38,10 @@
     fn restore(snapshot: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(snapshot).ok()?;
         let (word, holder) = text.split_once('\n')?;
-        Some(Register { word: word.into(), holder: holder.into() })
+        Some(Register {
+            word: word.into(),
+            holder: holder.into(),
+        })
     }
 }
 
@@ -53,7 +56,10 @@
 }
 
 fn voter(place: usize) -> Voter {
-    Voter { address: Address::loopback(7001 + place as u16), disk: DiskId(place as u128 + 1) }
+    Voter {
+        address: Address::loopback(7001 + place as u16),
+        disk: DiskId(place as u128 + 1),
+    }
 }
 
 impl Zone {
@@ -71,13 +77,24 @@
     }
     fn open(&self, place: usize) -> Replica<Register> {
         let founders = (0..3).map(|n| voter(n).address).collect();
-        let kept = Kept { records: self.disks[place].clone() };
-        let made = Replica::new(voter(place), founders, Timing::default(), kept, Register::default(), self.now);
+        let kept = Kept {
+            records: self.disks[place].clone(),
+        };
+        let made = Replica::new(
+            voter(place),
+            founders,
+            Timing::default(),
+            kept,
+            Register::default(),
+            self.now,
+        );
         made.expect("what the disk holds can be used")
     }
     /// Gives one replica an input and does what it wants.
     fn step(&mut self, place: usize, input: Input) {
-        let Some(replica) = &mut self.replicas[place] else { return };
+        let Some(replica) = &mut self.replicas[place] else {
+            return;
+        };
         for output in replica.step(self.now, input) {
             self.act(place, output);
         }
@@ -85,25 +102,47 @@
     fn act(&mut self, place: usize, output: Output) {
         match output {
             Output::Send { to, note } => self.letters.push_back((voter(place).address, to, note)),
-            Output::Write { id, records, is_whole } => {
+            Output::Write {
+                id,
+                records,
+                is_whole,
+            } => {
                 if is_whole {
                     self.disks[place].clear();
                 }
                 self.disks[place].extend(records);
                 self.step(place, Input::Written { id });
             }
-            Output::Response { is_replied, body, .. } => {
+            Output::Response {
+                is_replied, body, ..
+            } => {
                 let text = String::from_utf8_lossy(&body).into_owned();
-                self.responses.push(if is_replied { text } else { "the core could not take it".into() });
+                self.responses.push(if is_replied {
+                    text
+                } else {
+                    "the core could not take it".into()
+                });
             }
             Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
-                let response =
-                    self.replicas[place].as_mut().and_then(|replica| replica.respond(self.now, ticket, body));
-                response.into_iter().for_each(|output| self.act(place, output));
+                let response = self.replicas[place]
+                    .as_mut()
+                    .and_then(|replica| replica.respond(self.now, ticket, body));
+                response
+                    .into_iter()
+                    .for_each(|output| self.act(place, output));
             }
             Output::ViewChanged(view) => {
-                let chain: Vec<String> = view.chain.iter().map(|seat| seat.voter.address.to_string()).collect();
-                println!("{}: view {}, chain {}", voter(place).address, view.epoch, chain.join(" > "));
+                let chain: Vec<String> = view
+                    .chain
+                    .iter()
+                    .map(|seat| seat.voter.address.to_string())
+                    .collect();
+                println!(
+                    "{}: view {}, chain {}",
+                    voter(place).address,
+                    view.epoch,
+                    chain.join(" > ")
+                );
             }
         }
     }
@@ -124,7 +163,13 @@
     fn propose(&mut self, place: usize, what: &str) -> String {
         self.responses.clear();
         self.proposals += 1;
-        self.step(place, Input::Propose { number: self.proposals, body: what.as_bytes().to_vec() });
+        self.step(
+            place,
+            Input::Propose {
+                number: self.proposals,
+                body: what.as_bytes().to_vec(),
+            },
+        );
         self.pass(Span(200));
         let response = self.responses.pop().unwrap_or_else(|| "no response".into());
         println!("{what:>12} -> {response}");
@@ -137,18 +182,40 @@
     zone.pass(Span(2_000));
     assert_eq!(zone.propose(0, "set hello"), "word hello, duty held by ");
     assert_eq!(zone.propose(1, "claim ada"), "word hello, duty held by ada");
-    assert_eq!(zone.propose(2, "claim ben"), "word hello, duty held by ada", "it was won already");
+    assert_eq!(
+        zone.propose(2, "claim ben"),
+        "word hello, duty held by ada",
+        "it was won already"
+    );
     println!("the tail is lost");
-    let tail = (0..3).find(|place| zone.replicas[*place].as_ref().is_some_and(|f| f.may_respond(zone.now)));
+    let tail = (0..3).find(|place| {
+        zone.replicas[*place]
+            .as_ref()
+            .is_some_and(|f| f.may_respond(zone.now))
+    });
     let tail = tail.expect("there is a tail");
     zone.replicas[tail] = None;
     zone.pass(Span(4_000));
     let other = (tail + 1) % 3;
-    assert_eq!(zone.propose(other, "vacate ada"), "word hello, duty held by ");
-    assert_eq!(zone.propose(other, "claim ben"), "word hello, duty held by ben");
+    assert_eq!(
+        zone.propose(other, "vacate ada"),
+        "word hello, duty held by "
+    );
+    assert_eq!(
+        zone.propose(other, "claim ben"),
+        "word hello, duty held by ben"
+    );
     println!("it comes back, and takes what it missed");
     zone.replicas[tail] = Some(zone.open(tail));
     zone.pass(Span(4_000));
-    assert_eq!(zone.replicas[tail].as_ref().map(|f| f.state_machine().holder.clone()), Some("ben".into()));
-    assert_eq!(zone.propose(tail, "set done"), "word done, duty held by ben");
+    assert_eq!(
+        zone.replicas[tail]
+            .as_ref()
+            .map(|f| f.state_machine().holder.clone()),
+        Some("ben".into())
+    );
+    assert_eq!(
+        zone.propose(tail, "set done"),
+        "word done, duty held by ben"
+    );
 }
--- a/crates/replication/src/lease_state.rs
+++ b/crates/replication/src/lease_state.rs
@@ -60,14 +60,25 @@
     /// At the start of a life. Peers count as checked for `peer_check_span` after they were heard.
     pub fn new(own: Address, peer_check_span: Span) -> Self {
         let (peers, told) = (BTreeMap::new(), (Epoch(0), Moment(0)));
-        LeaseState { own, lease_deadline: None, epoch: Epoch(0), members: vec![], peers, peer_check_span, told }
+        LeaseState {
+            own,
+            lease_deadline: None,
+            epoch: Epoch(0),
+            members: vec![],
+            peers,
+            peer_check_span,
+            told,
+        }
     }
     /// The core gave a lease and this news. Older news than ours changes nothing.
     pub fn lease(&mut self, deadline: Moment, epoch: Epoch, members: Vec<Address>) {
         if epoch < self.epoch {
             return;
         }
-        self.lease_deadline = Some(self.lease_deadline.map_or(deadline, |old| old.max(deadline)));
+        self.lease_deadline = Some(
+            self.lease_deadline
+                .map_or(deadline, |old| old.max(deadline)),
+        );
         self.learn(epoch, members);
     }
     /// News came by way of a peer.
@@ -86,7 +97,10 @@
     }
     /// A peer said, unasked, that it knows this epoch: no answer to a check, but it may know more.
     pub fn hear(&mut self, peer: Address, epoch: Epoch) {
-        let slot = self.peers.entry(peer).or_insert(Peer { heard: Moment(0), epoch });
+        let slot = self.peers.entry(peer).or_insert(Peer {
+            heard: Moment(0),
+            epoch,
+        });
         slot.epoch = slot.epoch.max(epoch);
     }
     /// A peer that may act itself, or might with us, answered our check, knowing this epoch. The deadline is
@@ -143,7 +157,8 @@
     /// Whether someone is known to know more: a member, a node that became one since, or the core.
     fn is_behind(&self, now: Moment) -> bool {
         let (told, deadline) = self.told;
-        self.peers.values().any(|peer| peer.epoch > self.epoch) || (told > self.epoch && now < deadline)
+        self.peers.values().any(|peer| peer.epoch > self.epoch)
+            || (told > self.epoch && now < deadline)
     }
 
     /// Until when half of the members, itself among them, answer its checks and know the same.
--- a/crates/replication/src/lease_state/tests.rs
+++ b/crates/replication/src/lease_state/tests.rs
@@ -18,10 +18,18 @@
 fn half_of_the_members_go_on_without_the_core_until_one_knows_more() {
     let mut lease_state = lease_state();
     lease_state.note_peer_check(Address::loopback(2), Epoch(3), Moment(1400));
-    assert_eq!(lease_state.may_act_until(Moment(1450)), Some(Moment(2400)), "the peer check outlasts the lease");
+    assert_eq!(
+        lease_state.may_act_until(Moment(1450)),
+        Some(Moment(2400)),
+        "the peer check outlasts the lease"
+    );
     assert_eq!(lease_state.reason(Moment(1600)), LeaseStatus::Together);
     assert_eq!(lease_state.may_act_until(Moment(1600)), Some(Moment(2400)));
-    assert_eq!(lease_state.reason(Moment(2400)), LeaseStatus::Alone, "the peer check is old");
+    assert_eq!(
+        lease_state.reason(Moment(2400)),
+        LeaseStatus::Alone,
+        "the peer check is old"
+    );
     lease_state.note_peer_check(Address::loopback(3), Epoch(4), Moment(2400));
     assert_eq!(lease_state.reason(Moment(2500)), LeaseStatus::Behind);
 }
@@ -32,7 +40,10 @@
     assert_eq!(fresh.reason(Moment(0)), LeaseStatus::Unheard);
     let mut lease_state = lease_state();
     lease_state.lease(Moment(9000), Epoch(2), vec![]);
-    assert_eq!((lease_state.epoch(), lease_state.is_leased(Moment(1500))), (Epoch(3), false));
+    assert_eq!(
+        (lease_state.epoch(), lease_state.is_leased(Moment(1500))),
+        (Epoch(3), false)
+    );
 }
 
 /// Without a lease, whoever knows more stops it: one that asks, one that became a member since, the core.
@@ -56,7 +67,15 @@
     let mut lease_state = together();
     lease_state.tell(Epoch(6), Moment(3500));
     assert_eq!(lease_state.reason(Moment(3100)), LeaseStatus::Behind);
-    assert_eq!(lease_state.reason(Moment(3500)), LeaseStatus::Together, "the core is not heard again");
+    assert_eq!(
+        lease_state.reason(Moment(3500)),
+        LeaseStatus::Together,
+        "the core is not heard again"
+    );
     lease_state.tell(Epoch(5), Moment(9000));
-    assert_eq!(lease_state.reason(Moment(3500)), LeaseStatus::Together, "it told of nothing newer");
+    assert_eq!(
+        lease_state.reason(Moment(3500)),
+        LeaseStatus::Together,
+        "it told of nothing newer"
+    );
 }
--- a/crates/replication/src/leases.rs
+++ b/crates/replication/src/leases.rs
@@ -53,15 +53,24 @@
     }
     /// Whether each that holds a lease is known to know `epoch`; one that is no member any more still does.
     pub fn is_known_to_holders(&self, epoch: Epoch, now: Moment) -> bool {
-        self.leases.values().all(|lease| lease.deadline <= now || lease.known >= epoch)
+        self.leases
+            .values()
+            .all(|lease| lease.deadline <= now || lease.known >= epoch)
     }
     /// Whether each of the members is known to know `epoch`.
     pub fn is_known_to_all(&self, membership: &Membership, epoch: Epoch) -> bool {
-        membership.members.iter().all(|member| self.leases.get(member).is_some_and(|p| p.known >= epoch))
+        membership
+            .members
+            .iter()
+            .all(|member| self.leases.get(member).is_some_and(|p| p.known >= epoch))
     }
     /// Whether more than half of those before the last change of the membership know the membership now.
     pub fn is_membership_settled(&self, membership: &Membership) -> bool {
-        let is_told = |member: &Address| self.leases.get(member).is_some_and(|p| p.known >= membership.since);
+        let is_told = |member: &Address| {
+            self.leases
+                .get(member)
+                .is_some_and(|p| p.known >= membership.since)
+        };
         is_most(&membership.previous, is_told)
     }
     /// Who holds a lease now, and what they know.
@@ -87,29 +96,58 @@
     #[test]
     fn holders_are_those_whose_leases_run() {
         let mut table = LeaseTable::default();
-        let membership = Membership { members: members(&[1, 2, 3]), previous: members(&[1, 4]), since: Epoch(5) };
+        let membership = Membership {
+            members: members(&[1, 2, 3]),
+            previous: members(&[1, 4]),
+            since: Epoch(5),
+        };
         table.renew(Address::loopback(1), Epoch(6), Moment(300));
         table.renew(Address::loopback(2), Epoch(5), Moment(200));
-        assert!(!table.is_known_to_holders(Epoch(6), Moment(100)), "2 holds a lease and knows only 5");
-        assert!(table.is_known_to_holders(Epoch(6), Moment(200)), "2's lease has run out");
-        assert!(!table.is_known_to_all(&membership, Epoch(5)), "3 was never heard");
+        assert!(
+            !table.is_known_to_holders(Epoch(6), Moment(100)),
+            "2 holds a lease and knows only 5"
+        );
+        assert!(
+            table.is_known_to_holders(Epoch(6), Moment(200)),
+            "2's lease has run out"
+        );
+        assert!(
+            !table.is_known_to_all(&membership, Epoch(5)),
+            "3 was never heard"
+        );
         table.renew(Address::loopback(4), Epoch(2), Moment(400));
-        assert!(!table.is_known_to_holders(Epoch(6), Moment(200)), "4, which is no member now, holds one");
+        assert!(
+            !table.is_known_to_holders(Epoch(6), Moment(200)),
+            "4, which is no member now, holds one"
+        );
     }
 
     #[test]
     fn members_and_previous_members_each_need_more_than_half() {
         let mut table = LeaseTable::default();
-        let membership = Membership { members: members(&[1, 2, 3, 4]), previous: members(&[1, 2]), since: Epoch(5) };
+        let membership = Membership {
+            members: members(&[1, 2, 3, 4]),
+            previous: members(&[1, 2]),
+            since: Epoch(5),
+        };
         let now = Moment(100);
         for port in [2, 3, 4] {
             table.renew(Address::loopback(port), Epoch(5), Moment(200));
         }
-        assert!(!table.has_majority(&membership, now), "one of two previous members is not more than half");
+        assert!(
+            !table.has_majority(&membership, now),
+            "one of two previous members is not more than half"
+        );
         table.renew(Address::loopback(1), Epoch(4), Moment(200));
         assert!(table.has_majority(&membership, now));
-        assert!(!table.is_known_to_most(&membership, Epoch(5)), "the previous member 1 knows only epoch 4");
+        assert!(
+            !table.is_known_to_most(&membership, Epoch(5)),
+            "the previous member 1 knows only epoch 4"
+        );
         assert!(!table.is_membership_settled(&membership));
-        assert!(!table.has_majority(&membership, Moment(200)), "leases have run out");
+        assert!(
+            !table.has_majority(&membership, Moment(200)),
+            "leases have run out"
+        );
     }
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -402,7 +402,11 @@
         for record in kept.records {
             replica.recall(record)?;
         }
-        if replica.log.back().is_some_and(|newest| newest.seq < replica.last.0) {
+        if replica
+            .log
+            .back()
+            .is_some_and(|newest| newest.seq < replica.last.0)
+        {
             // A log older than the snapshot has nothing that follows on it.
             replica.log.clear();
             replica.log_bytes = 0;
@@ -414,8 +418,8 @@
         replica.founders.sort();
         replica.founders.dedup();
         replica.top_count = replica.promised.1.count;
-        replica.has_released =
-            replica.promised.0 == replica.view.epoch.next() && replica.promised.1.proposer == me.disk.0;
+        replica.has_released = replica.promised.0 == replica.view.epoch.next()
+            && replica.promised.1.proposer == me.disk.0;
         replica.synced = replica.last;
         replica.is_level = replica.view.seat(&me).is_some_and(|seat| seat.is_level);
         if replica.is_tail() && replica.is_level {
@@ -434,7 +438,9 @@
             Record::View { view } => self.take_view(view),
             Record::Change { change } => {
                 let newest = self.log.back().map(|newest| newest.seq);
-                if newest.is_some_and(|newest| newest.next() != change.seq) || change.seq > self.last.0.next() {
+                if newest.is_some_and(|newest| newest.next() != change.seq)
+                    || change.seq > self.last.0.next()
+                {
                     return Err(KeptFault::Gap(change.seq));
                 }
                 if newest.is_none() && change.seq <= self.base.0 {
@@ -461,7 +467,11 @@
     }
 
     fn take_view(&mut self, view: View) {
-        if self.accepted.as_ref().is_some_and(|ballot| ballot.view.epoch <= view.epoch) {
+        if self
+            .accepted
+            .as_ref()
+            .is_some_and(|ballot| ballot.view.epoch <= view.epoch)
+        {
             self.accepted = None;
         }
         self.view = view;
@@ -505,9 +515,15 @@
     pub fn hears_majority(&self, now: Moment) -> bool {
         let is_heard = |voter: &Voter| {
             let heard = self.heard.get(&voter.address);
-            *voter == self.me || heard.is_some_and(|heard| now.since(heard.at) < self.timing.suspect)
+            *voter == self.me
+                || heard.is_some_and(|heard| now.since(heard.at) < self.timing.suspect)
         };
-        let count = self.view.voters.iter().filter(|voter| is_heard(voter)).count();
+        let count = self
+            .view
+            .voters
+            .iter()
+            .filter(|voter| is_heard(voter))
+            .count();
         now < self.listens_since + self.timing.suspect || count >= self.view.majority()
     }
     /// Whether it has a seat in the chain, a disk that takes writes, and hears a majority: operators are well served
@@ -518,7 +534,11 @@
     /// Tells it of others that know a newer view: it beats to them until it knows as much, since its own view and
     /// its settings may name nobody who is in the core by now.
     pub fn meet(&mut self, view: ViewEpoch, voters: &[Address]) {
-        self.contacts = if view > self.view.epoch { voters.to_vec() } else { vec![] };
+        self.contacts = if view > self.view.epoch {
+            voters.to_vec()
+        } else {
+            vec![]
+        };
     }
     /// The tail's word on whether more than half of the members hold leases.
     pub fn set_has_members(&mut self, has_members: bool) {
@@ -530,10 +550,21 @@
             return None;
         }
         Some(if ticket.origin == self.me.address {
-            Output::Response { number: ticket.number, is_replied: true, body }
+            Output::Response {
+                number: ticket.number,
+                is_replied: true,
+                body,
+            }
         } else {
-            let note = Note::Response { number: ticket.number, is_replied: true, body };
-            Output::Send { to: ticket.origin, note }
+            let note = Note::Response {
+                number: ticket.number,
+                is_replied: true,
+                body,
+            };
+            Output::Send {
+                to: ticket.origin,
+                note,
+            }
         })
     }
     /// When its next beat is due.
@@ -543,7 +574,8 @@
     /// Whether it bids for a view, repairs, or waits for its disk or its successor, so that clock events
     /// are wanted more often than its beats.
     pub fn is_busy(&self) -> bool {
-        let is_waiting = self.bid.is_some() || self.wanted_since.is_some() || self.fetching.is_some();
+        let is_waiting =
+            self.bid.is_some() || self.wanted_since.is_some() || self.fetching.is_some();
         is_waiting || !self.unsynced.is_empty() || self.replied < self.last.0
     }
     /// What it believes.
@@ -555,13 +587,19 @@
             replied: self.replied,
             may_respond: self.may_respond(self.now),
             is_sound: self.is_sound,
-            heard: self.heard.iter().map(|(address, h)| (*address, self.now.since(h.at))).collect(),
+            heard: self
+                .heard
+                .iter()
+                .map(|(address, h)| (*address, self.now.since(h.at)))
+                .collect(),
         }
     }
 
     /// Whether the disk holds a write up.
     fn is_stalled(&self) -> bool {
-        self.unsynced.front().is_some_and(|(_, at)| self.now.since(*at) >= self.timing.stall)
+        self.unsynced
+            .front()
+            .is_some_and(|(_, at)| self.now.since(*at) >= self.timing.stall)
     }
     fn is_head(&self) -> bool {
         self.view.head() == Some(self.me)
@@ -585,7 +623,11 @@
     fn write_all(&mut self, records: Vec<Record>, is_whole: bool, then: Option<Deferred>) {
         self.next_write += 1;
         let id = self.next_write;
-        self.outputs.push(Output::Write { id, records, is_whole });
+        self.outputs.push(Output::Write {
+            id,
+            records,
+            is_whole,
+        });
         self.unsynced.push_back((id, self.now));
         if let Some(then) = then {
             self.deferred.push_back((id, then));
@@ -593,14 +635,24 @@
     }
 
     fn on_written(&mut self, id: u64) {
-        while self.unsynced.front().is_some_and(|(waiting, _)| *waiting <= id) {
+        while self
+            .unsynced
+            .front()
+            .is_some_and(|(waiting, _)| *waiting <= id)
+        {
             self.unsynced.pop_front();
         }
         self.snapshot_write = self.snapshot_write.filter(|waiting| *waiting > id);
-        while self.deferred.front().is_some_and(|(waiting, _)| *waiting <= id) {
+        while self
+            .deferred
+            .front()
+            .is_some_and(|(waiting, _)| *waiting <= id)
+        {
             match self.deferred.pop_front() {
                 Some((_, Deferred::Send(to, note))) => self.send(to, note),
-                Some((_, Deferred::Apply(life, change))) if life == self.life => self.on_change_synced(change),
+                Some((_, Deferred::Apply(life, change))) if life == self.life => {
+                    self.on_change_synced(change)
+                }
                 _ => {}
             }
         }
@@ -656,18 +708,31 @@
             has_members: self.has_members,
         };
         for address in self.others() {
-            self.outputs.push(Output::Send { to: address, note: note.clone() });
+            self.outputs.push(Output::Send {
+                to: address,
+                note: note.clone(),
+            });
         }
         self.tell_leaving();
     }
 
     /// Everyone that a replica knows of, without itself.
     fn others(&self) -> BTreeSet<Address> {
-        let mut all: BTreeSet<Address> = self.founders.iter().chain(&self.contacts).copied().collect();
+        let mut all: BTreeSet<Address> = self
+            .founders
+            .iter()
+            .chain(&self.contacts)
+            .copied()
+            .collect();
         all.extend(self.view.voters.iter().map(|v| v.address));
         all.extend(self.view.chain.iter().map(|s| s.voter.address));
         let lately = |h: &Heard| self.now.since(h.at) < Span(self.timing.suspect.0 * 4);
-        all.extend(self.heard.iter().filter(|(_, h)| lately(h)).map(|(a, _)| *a));
+        all.extend(
+            self.heard
+                .iter()
+                .filter(|(_, h)| lately(h))
+                .map(|(a, _)| *a),
+        );
         all.remove(&self.me.address);
         all
     }
@@ -677,19 +742,48 @@
             return;
         }
         match note {
-            Note::Beat { disk, view, last, stamp, replied, is_level, is_sound, has_members } => {
-                let heard = Heard { at: self.now, disk, view, last, stamp, is_level, is_sound, has_members };
+            Note::Beat {
+                disk,
+                view,
+                last,
+                stamp,
+                replied,
+                is_level,
+                is_sound,
+                has_members,
+            } => {
+                let heard = Heard {
+                    at: self.now,
+                    disk,
+                    view,
+                    last,
+                    stamp,
+                    is_level,
+                    is_sound,
+                    has_members,
+                };
                 self.heard.insert(from, heard);
                 if view < self.view.epoch {
-                    let note = Note::Decided { view: self.view.clone() };
+                    let note = Note::Decided {
+                        view: self.view.clone(),
+                    };
                     self.send(from, note);
                 }
                 self.on_chain_beat(from, disk, view, last, replied, is_level);
             }
             Note::Prepare { instance, round } => self.on_prepare(from, instance, round),
-            Note::Promise { instance, round, disk, accepted } => self.on_promise(from, instance, round, disk, accepted),
+            Note::Promise {
+                instance,
+                round,
+                disk,
+                accepted,
+            } => self.on_promise(from, instance, round, disk, accepted),
             Note::Accept { ballot } => self.on_accept(from, ballot),
-            Note::Accepted { instance, round, disk } => self.on_accepted(from, instance, round, disk),
+            Note::Accepted {
+                instance,
+                round,
+                disk,
+            } => self.on_accepted(from, instance, round, disk),
             Note::Outdone { instance, promised } => self.on_outdone(instance, promised),
             Note::Decided { view } => self.adopt(view),
             Note::LeaseAsk { view, round } => self.on_lease_ask(from, view, round),
@@ -698,16 +792,39 @@
             Note::Level { view, last } => self.on_level(from, view, last),
             Note::Follow { disk, last, stamp } => self.on_follow(from, disk, last, stamp),
             Note::Feed { changes } => self.on_feed(from, changes),
-            Note::SnapshotOffer { last, stamp, length } => self.on_snapshot_offer(from, last, stamp, length),
+            Note::SnapshotOffer {
+                last,
+                stamp,
+                length,
+            } => self.on_snapshot_offer(from, last, stamp, length),
             Note::SnapshotAsk { last, offset } => self.on_snapshot_ask(from, last, offset),
-            Note::SnapshotPiece { last, stamp, offset, length, bytes } => {
+            Note::SnapshotPiece {
+                last,
+                stamp,
+                offset,
+                length,
+                bytes,
+            } => {
                 self.on_snapshot_piece(from, last, stamp, offset, length, bytes);
             }
             Note::Propose { ticket, body } => self.on_propose(ticket, body),
-            Note::Judge { view, ticket, last, body } => self.on_judge(from, view, ticket, last, body),
+            Note::Judge {
+                view,
+                ticket,
+                last,
+                body,
+            } => self.on_judge(from, view, ticket, last, body),
             Note::Leaving { disk } => self.on_leaving(from, disk),
-            Note::Response { number, is_replied, body } => {
-                self.outputs.push(Output::Response { number, is_replied, body });
+            Note::Response {
+                number,
+                is_replied,
+                body,
+            } => {
+                self.outputs.push(Output::Response {
+                    number,
+                    is_replied,
+                    body,
+                });
             }
         }
     }
@@ -723,9 +840,9 @@
         if *voter == self.me {
             return self.is_sound && !self.is_stalled();
         }
-        self.heard
-            .get(&voter.address)
-            .is_some_and(|h| h.disk == voter.disk && h.is_sound && self.now.since(h.at) < self.timing.suspect)
+        self.heard.get(&voter.address).is_some_and(|h| {
+            h.disk == voter.disk && h.is_sound && self.now.since(h.at) < self.timing.suspect
+        })
     }
 }
 
--- a/crates/replication/src/replica/ballots.rs
+++ b/crates/replication/src/replica/ballots.rs
@@ -20,17 +20,32 @@
         if self.promised.0 == ViewEpoch(0) {
             // After a restart, this tells that it is a founder, whatever it's told then.
             self.promised = (ViewEpoch(1), Round::default());
-            self.write(Record::Promised { instance: ViewEpoch(1), round: Round::default() }, None);
+            self.write(
+                Record::Promised {
+                    instance: ViewEpoch(1),
+                    round: Round::default(),
+                },
+                None,
+            );
         }
         if self.bid.is_some() {
             return self.close_founding();
         }
         let is_heard = |address: &Address| {
-            let lately = |h: &Heard| h.view == ViewEpoch(0) && self.now.since(h.at) < self.timing.suspect;
+            let lately =
+                |h: &Heard| h.view == ViewEpoch(0) && self.now.since(h.at) < self.timing.suspect;
             *address == self.me.address || self.heard.get(address).is_some_and(lately)
         };
-        let heard = self.founders.iter().filter(|address| is_heard(address)).count();
-        let turn = self.founders.iter().take_while(|address| **address != self.me.address).count() as u64;
+        let heard = self
+            .founders
+            .iter()
+            .filter(|address| is_heard(address))
+            .count();
+        let turn = self
+            .founders
+            .iter()
+            .take_while(|address| **address != self.me.address)
+            .count() as u64;
         let is_turn = self.now >= self.not_before + Span(self.timing.retry.0 * 2 * turn);
         let are_all_here = turn == 0 && heard == self.founders.len() && self.top_count == 0;
         if !are_all_here && (!is_turn || heard < self.founders_majority()) {
@@ -38,7 +53,10 @@
         }
         self.top_count += 1;
         self.bid = Some(Bid {
-            round: Round { count: self.top_count, proposer: self.me.disk.0 },
+            round: Round {
+                count: self.top_count,
+                proposer: self.me.disk.0,
+            },
             founders: BTreeMap::new(),
             promises: BTreeMap::new(),
             ballot: None,
@@ -64,14 +82,36 @@
         }
         let voter = |address: &Address| {
             let disk = bid.founders.get(address).copied().unwrap_or(DiskId(0));
-            Voter { address: *address, disk }
+            Voter {
+                address: *address,
+                disk,
+            }
         };
         let voters: Vec<Voter> = self.founders.iter().map(voter).collect();
         let here = voters.iter().filter(|voter| voter.disk != DiskId(0));
-        let chain = here.map(|voter| Seat { voter: *voter, is_level: true }).collect();
-        let newest = bid.promises.values().flatten().max_by_key(|ballot| ballot.round);
-        let view = newest.map_or(View { epoch: ViewEpoch(1), chain, voters }, |ballot| ballot.view.clone());
-        bid.ballot = Some(Ballot { round: bid.round, view });
+        let chain = here
+            .map(|voter| Seat {
+                voter: *voter,
+                is_level: true,
+            })
+            .collect();
+        let newest = bid
+            .promises
+            .values()
+            .flatten()
+            .max_by_key(|ballot| ballot.round);
+        let view = newest.map_or(
+            View {
+                epoch: ViewEpoch(1),
+                chain,
+                voters,
+            },
+            |ballot| ballot.view.clone(),
+        );
+        bid.ballot = Some(Ballot {
+            round: bid.round,
+            view,
+        });
         bid.sent = Moment(0);
         self.push_bid();
     }
@@ -89,7 +129,10 @@
                 let heard = self.heard.get(&seat.voter.address);
                 heard.is_some_and(|h| h.view == self.view.epoch && h.is_level)
             };
-            chain.push(Seat { voter: seat.voter, is_level: seat.is_level || says_level });
+            chain.push(Seat {
+                voter: seat.voter,
+                is_level: seat.is_level || says_level,
+            });
         }
         let mut voters = self.view.voters.clone();
         if self.is_tail() && self.is_level {
@@ -107,12 +150,19 @@
                         None => continue,
                     }
                 }
-                chain.push(Seat { voter: *voter, is_level: false });
+                chain.push(Seat {
+                    voter: *voter,
+                    is_level: false,
+                });
             }
             chain.retain(|seat| voters.contains(&seat.voter));
         }
         self.drop_own_seat(&mut chain);
-        View { epoch: self.view.epoch.next(), chain, voters }
+        View {
+            epoch: self.view.epoch.next(),
+            chain,
+            voters,
+        }
     }
 
     /// Whose vote a follower with another disk may take over: that of its own address, of a voter that is
@@ -121,14 +171,23 @@
         let is_gone = |voter: &Voter| {
             *voter != self.me
                 && self.now >= self.listens_since + self.timing.replace_after
-                && self
-                    .heard
-                    .get(&voter.address)
-                    .is_none_or(|h| h.disk != voter.disk || self.now.since(h.at) >= self.timing.replace_after)
+                && self.heard.get(&voter.address).is_none_or(|h| {
+                    h.disk != voter.disk || self.now.since(h.at) >= self.timing.replace_after
+                })
+        };
+        let same = voters
+            .iter()
+            .position(|v| v.address == follower.address && v.disk != follower.disk);
+        let leaving = || {
+            voters
+                .iter()
+                .position(|v| self.is_leaving(v) && self.can_be_spared(v, chain))
         };
-        let same = voters.iter().position(|v| v.address == follower.address && v.disk != follower.disk);
-        let leaving = || voters.iter().position(|v| self.is_leaving(v) && self.can_be_spared(v, chain));
-        same.or_else(leaving).or_else(|| voters.iter().position(|v| v.address != follower.address && is_gone(v)))
+        same.or_else(leaving).or_else(|| {
+            voters
+                .iter()
+                .position(|v| v.address != follower.address && is_gone(v))
+        })
     }
 
     /// What the view should be, if there is reason for a ballot.
@@ -136,15 +195,24 @@
         let wish = self.wish();
         // A ballot that was accepted here and came to no end keeps the tail from its lease: a new one
         // finishes it or outdoes it.
-        let has_open_ballot = self.accepted.as_ref().is_some_and(|ballot| ballot.view.epoch == self.view.epoch.next());
-        let is_change =
-            self.has_released || has_open_ballot || wish.chain != self.view.chain || wish.voters != self.view.voters;
+        let has_open_ballot = self
+            .accepted
+            .as_ref()
+            .is_some_and(|ballot| ballot.view.epoch == self.view.epoch.next());
+        let is_change = self.has_released
+            || has_open_ballot
+            || wish.chain != self.view.chain
+            || wish.voters != self.view.voters;
         (is_change && self.view.may_be_followed_by(&wish) && self.is_lasting(&wish)).then_some(wish)
     }
 
     /// Starts a ballot where the view should change and it's this replica's turn.
     pub(super) fn consider(&mut self) {
-        if self.bid.is_some() || self.is_stalled() || !self.view.has_voter(&self.me) || self.now < self.not_before {
+        if self.bid.is_some()
+            || self.is_stalled()
+            || !self.view.has_voter(&self.me)
+            || self.now < self.not_before
+        {
             return;
         }
         let Some(wish) = self.wanted_view() else {
@@ -154,11 +222,17 @@
         let since = *self.wanted_since.get_or_insert(self.now);
         let does_admit = wish.chain.iter().any(|seat| !self.view.seats(&seat.voter));
         let turn = self.turn();
-        if !does_admit && self.leaving_since.is_none() && self.now < since + Span(self.timing.retry.0 * 2 * turn) {
+        if !does_admit
+            && self.leaving_since.is_none()
+            && self.now < since + Span(self.timing.retry.0 * 2 * turn)
+        {
             return;
         }
         self.top_count += 1;
-        let round = Round { count: self.top_count, proposer: self.me.disk.0 };
+        let round = Round {
+            count: self.top_count,
+            proposer: self.me.disk.0,
+        };
         self.bid = Some(Bid {
             round,
             founders: BTreeMap::new(),
@@ -166,7 +240,10 @@
             ballot: None,
             accepts: BTreeSet::new(),
             sent: Moment(0),
-            deadline: self.now + self.timing.lease + self.timing.lease + Span(self.timing.retry.0 * 4),
+            deadline: self.now
+                + self.timing.lease
+                + self.timing.lease
+                + Span(self.timing.retry.0 * 4),
         });
         self.push_bid();
     }
@@ -175,7 +252,11 @@
     fn turn(&self) -> u64 {
         let mut request: Vec<Voter> = self.view.chain.iter().map(|s| s.voter).collect();
         request.extend(self.view.voters.iter().filter(|v| !self.view.seats(v)));
-        request.iter().take_while(|v| **v != self.me).filter(|v| self.is_alive(v)).count() as u64
+        request
+            .iter()
+            .take_while(|v| **v != self.me)
+            .filter(|v| self.is_alive(v))
+            .count() as u64
     }
 
     /// Sends a ballot's notes, again if need be, and gives it up at its deadline.
@@ -191,14 +272,22 @@
         }
         bid.sent = self.now;
         let note = match &bid.ballot {
-            Some(ballot) => Note::Accept { ballot: ballot.clone() },
-            None => Note::Prepare { instance: self.view.epoch.next(), round: bid.round },
+            Some(ballot) => Note::Accept {
+                ballot: ballot.clone(),
+            },
+            None => Note::Prepare {
+                instance: self.view.epoch.next(),
+                round: bid.round,
+            },
         };
         let electors = match self.view.epoch {
             ViewEpoch(0) => self.founders.clone(),
             _ => self.view.voters.iter().map(|voter| voter.address).collect(),
         };
-        let releases = bid.ballot.as_ref().is_some_and(|ballot| ballot.view.tail() != Some(self.me));
+        let releases = bid
+            .ballot
+            .as_ref()
+            .is_some_and(|ballot| ballot.view.tail() != Some(self.me));
         if releases && self.view.tail() == Some(self.me) {
             // By proposing another tail this one gives its lease up, for good in this view: voters
             // take such a ballot from it whenever it reaches them. Its own promise, on its disk by
@@ -219,17 +308,33 @@
 
     pub(super) fn on_prepare(&mut self, from: Address, instance: ViewEpoch, round: Round) {
         self.top_count = self.top_count.max(round.count);
-        if instance != self.view.epoch.next() || !(self.view.has_voter(&self.me) || self.is_founder()) {
+        if instance != self.view.epoch.next()
+            || !(self.view.has_voter(&self.me) || self.is_founder())
+        {
             return;
         }
         if self.promised.0 == instance && round < self.promised.1 {
-            let note = Note::Outdone { instance, promised: self.promised.1 };
+            let note = Note::Outdone {
+                instance,
+                promised: self.promised.1,
+            };
             return self.send(from, note);
         }
         self.promised = (instance, round);
-        let accepted = self.accepted.clone().filter(|ballot| ballot.view.epoch == instance);
-        let note = Note::Promise { instance, round, disk: self.me.disk, accepted };
-        self.write(Record::Promised { instance, round }, Some(Deferred::Send(from, note)));
+        let accepted = self
+            .accepted
+            .clone()
+            .filter(|ballot| ballot.view.epoch == instance);
+        let note = Note::Promise {
+            instance,
+            round,
+            disk: self.me.disk,
+            accepted,
+        };
+        self.write(
+            Record::Promised { instance, round },
+            Some(Deferred::Send(from, note)),
+        );
     }
 
     pub(super) fn on_promise(
@@ -241,10 +346,17 @@
         accepted: Option<Ballot>,
     ) {
         let is_founding = self.view.epoch == ViewEpoch(0);
-        let is_elector =
-            if is_founding { self.founders.contains(&from) } else { self.view.voters.iter().any(|v| v.disk == disk) };
+        let is_elector = if is_founding {
+            self.founders.contains(&from)
+        } else {
+            self.view.voters.iter().any(|v| v.disk == disk)
+        };
         let Some(bid) = &mut self.bid else { return };
-        if instance != self.view.epoch.next() || bid.round != round || bid.ballot.is_some() || !is_elector {
+        if instance != self.view.epoch.next()
+            || bid.round != round
+            || bid.ballot.is_some()
+            || !is_elector
+        {
             return;
         }
         bid.promises.insert(disk, accepted);
@@ -260,11 +372,21 @@
     /// and has promised since, is. A view without those would rest on fewer disks than are there.
     pub(super) fn propose_view(&mut self) {
         let is_founding = self.view.epoch == ViewEpoch(0);
-        let Some(bid) = self.bid.as_ref().filter(|bid| bid.ballot.is_none() && !is_founding) else { return };
+        let Some(bid) = self
+            .bid
+            .as_ref()
+            .filter(|bid| bid.ballot.is_none() && !is_founding)
+        else {
+            return;
+        };
         if bid.promises.len() < self.view.majority() || !bid.promises.contains_key(&self.me.disk) {
             return;
         }
-        let newest = bid.promises.values().flatten().max_by_key(|ballot| ballot.round);
+        let newest = bid
+            .promises
+            .values()
+            .flatten()
+            .max_by_key(|ballot| ballot.round);
         let view = match newest {
             Some(ballot) => Some(ballot.view.clone()),
             // Its beat is under way, and tells how far it is.
@@ -289,9 +411,12 @@
     /// Whether one that has a seat and has promised was not heard yet.
     fn awaits_promiser(&self, bid: &Bid) -> bool {
         let seated = self.view.chain.iter().map(|seat| seat.voter);
-        let promisers = seated.filter(|voter| *voter != self.me && bid.promises.contains_key(&voter.disk));
+        let promisers =
+            seated.filter(|voter| *voter != self.me && bid.promises.contains_key(&voter.disk));
         let is_unheard = |voter: Voter| {
-            let lately = |heard: &Heard| heard.disk == voter.disk && self.now.since(heard.at) < self.timing.suspect;
+            let lately = |heard: &Heard| {
+                heard.disk == voter.disk && self.now.since(heard.at) < self.timing.suspect
+            };
             !self.heard.get(&voter.address).is_some_and(lately)
         };
         promisers.into_iter().any(is_unheard)
@@ -304,7 +429,10 @@
             return;
         }
         if self.promised.0 == instance && ballot.round < self.promised.1 {
-            let note = Note::Outdone { instance, promised: self.promised.1 };
+            let note = Note::Outdone {
+                instance,
+                promised: self.promised.1,
+            };
             return self.send(from, note);
         }
         if instance == ViewEpoch(1) {
@@ -317,28 +445,50 @@
             }
             let is_tail_kept = ballot.view.tail() == self.view.tail();
             let is_released = self.view.tail().is_some_and(|tail| tail.address == from);
-            if !is_tail_kept && !is_released && self.now < self.granted_until.max(self.silent_until) {
+            if !is_tail_kept && !is_released && self.now < self.granted_until.max(self.silent_until)
+            {
                 // The word given to the tail is waited out; no new one is given meanwhile.
                 self.paused_until = self.now + self.timing.lease + self.timing.lease;
                 return;
             }
         }
-        let note = Note::Accepted { instance, round: ballot.round, disk: self.me.disk };
+        let note = Note::Accepted {
+            instance,
+            round: ballot.round,
+            disk: self.me.disk,
+        };
         self.promised = (instance, ballot.round);
         self.accepted = Some(ballot.clone());
-        self.write(Record::Accepted { ballot }, Some(Deferred::Send(from, note)));
+        self.write(
+            Record::Accepted { ballot },
+            Some(Deferred::Send(from, note)),
+        );
     }
 
     /// Whether this replica may accept this first view: all founders have a place in it.
     fn may_found(&self, view: &View) -> bool {
-        self.is_founder() && view.voters.iter().map(|v| v.address).eq(self.founders.iter().copied())
+        self.is_founder()
+            && view
+                .voters
+                .iter()
+                .map(|v| v.address)
+                .eq(self.founders.iter().copied())
     }
 
-    pub(super) fn on_accepted(&mut self, from: Address, instance: ViewEpoch, round: Round, disk: DiskId) {
+    pub(super) fn on_accepted(
+        &mut self,
+        from: Address,
+        instance: ViewEpoch,
+        round: Round,
+        disk: DiskId,
+    ) {
         let is_founding = self.view.epoch == ViewEpoch(0);
         let (is_elector, needed) = match is_founding {
             true => (self.founders.contains(&from), self.founders_majority()),
-            false => (self.view.voters.iter().any(|v| v.disk == disk), self.view.majority()),
+            false => (
+                self.view.voters.iter().any(|v| v.disk == disk),
+                self.view.majority(),
+            ),
         };
         let Some(bid) = &mut self.bid else { return };
         let Some(ballot) = &bid.ballot else { return };
@@ -352,7 +502,10 @@
             told.extend(view.voters.iter().map(|v| v.address));
             told.remove(&self.me.address);
             for address in told {
-                self.outputs.push(Output::Send { to: address, note: Note::Decided { view: view.clone() } });
+                self.outputs.push(Output::Send {
+                    to: address,
+                    note: Note::Decided { view: view.clone() },
+                });
             }
             self.adopt(view);
         }
@@ -430,7 +583,10 @@
         self.ask_round += 1;
         self.asked_at = self.now;
         self.grants.clear();
-        let note = Note::LeaseAsk { view: self.view.epoch, round: self.ask_round };
+        let note = Note::LeaseAsk {
+            view: self.view.epoch,
+            round: self.ask_round,
+        };
         for voter in self.view.voters.clone() {
             self.send(voter.address, note.clone());
         }
@@ -439,13 +595,20 @@
     pub(super) fn on_lease_ask(&mut self, from: Address, view: ViewEpoch, round: u64) {
         let is_from_tail = self.view.tail().is_some_and(|tail| tail.address == from);
         let tail = self.view.tail();
-        let backs_other = self.accepted.as_ref().is_some_and(|b| b.view.epoch == view.next() && b.view.tail() != tail);
+        let backs_other = self
+            .accepted
+            .as_ref()
+            .is_some_and(|b| b.view.epoch == view.next() && b.view.tail() != tail);
         let may_grant = view == self.view.epoch && is_from_tail && self.view.has_voter(&self.me);
         if !may_grant || backs_other || self.now < self.paused_until {
             return;
         }
         self.granted_until = self.now + self.timing.lease;
-        let note = Note::LeaseGrant { view, round, disk: self.me.disk };
+        let note = Note::LeaseGrant {
+            view,
+            round,
+            disk: self.me.disk,
+        };
         self.send(from, note);
     }
 
@@ -456,7 +619,9 @@
         }
         self.grants.insert(disk);
         if self.grants.len() >= self.view.majority() {
-            self.lease_deadline = self.lease_deadline.max(self.asked_at + self.timing.lease_counted);
+            self.lease_deadline = self
+                .lease_deadline
+                .max(self.asked_at + self.timing.lease_counted);
         }
     }
 }
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -4,20 +4,26 @@
 
 impl<C: StateMachine> Replica<C> {
     pub(super) fn on_propose_here(&mut self, number: u64, body: Vec<u8>) {
-        let ticket = Ticket { origin: self.me.address, number };
+        let ticket = Ticket {
+            origin: self.me.address,
+            number,
+        };
         match self.view.head() {
             Some(head) if self.is_sound => self.send(head.address, Note::Propose { ticket, body }),
-            _ => self.outputs.push(Output::Response { number, is_replied: false, body: vec![] }),
+            _ => self.outputs.push(Output::Response {
+                number,
+                is_replied: false,
+                body: vec![],
+            }),
         }
     }
 
     pub(super) fn on_propose(&mut self, ticket: Ticket, body: Vec<u8>) {
         let tail_says = match self.view.tail() {
             Some(tail) if tail == self.me => self.has_members,
-            Some(tail) => self
-                .heard
-                .get(&tail.address)
-                .is_some_and(|h| h.disk == tail.disk && h.has_members && self.now.since(h.at) < self.timing.suspect),
+            Some(tail) => self.heard.get(&tail.address).is_some_and(|h| {
+                h.disk == tail.disk && h.has_members && self.now.since(h.at) < self.timing.suspect
+            }),
             None => false,
         };
         let has_room = self.last.0.0 < self.replied.0 + self.timing.ahead;
@@ -28,9 +34,16 @@
         match self.state_machine.preview(&body) {
             Preview::TurnAway(_) => self.ask_for_judgement(ticket, body),
             // Not taken, so that it's tried again.
-            Preview::Enter if !self.pace.take(&self.timing, self.now) => self.turn_away(ticket, false, vec![]),
+            Preview::Enter if !self.pace.take(&self.timing, self.now) => {
+                self.turn_away(ticket, false, vec![])
+            }
             Preview::Enter => {
-                let change = Change { seq: self.last.0.next(), stamp: self.view.epoch, ticket, body };
+                let change = Change {
+                    seq: self.last.0.next(),
+                    stamp: self.view.epoch,
+                    ticket,
+                    body,
+                };
                 self.append(change);
             }
         }
@@ -38,22 +51,44 @@
 
     /// Has the tail say that a proposal can't be taken: the head's own state may never be accepted.
     fn ask_for_judgement(&mut self, ticket: Ticket, body: Vec<u8>) {
-        let Some(tail) = self.view.tail() else { return self.turn_away(ticket, false, vec![]) };
-        let note = Note::Judge { view: self.view.epoch, ticket, last: self.synced.0, body };
+        let Some(tail) = self.view.tail() else {
+            return self.turn_away(ticket, false, vec![]);
+        };
+        let note = Note::Judge {
+            view: self.view.epoch,
+            ticket,
+            last: self.synced.0,
+            body,
+        };
         self.send(tail.address, note);
     }
 
     /// Judges a proposal that the head would not take. The answer is given like that to a change: by the tail
     /// of the view in force, under its lease, once its state is accepted. A tail that is not as far as the head
     /// was, or finds that it can be taken, has it proposed again.
-    pub(super) fn on_judge(&mut self, from: Address, view: ViewEpoch, ticket: Ticket, last: Seq, body: Vec<u8>) {
-        let is_heads = view == self.view.epoch && self.view.head().is_some_and(|head| head.address == from);
-        let may_judge = is_heads && self.is_tail() && self.is_level && self.has_copies() && self.synced.0 >= last;
+    pub(super) fn on_judge(
+        &mut self,
+        from: Address,
+        view: ViewEpoch,
+        ticket: Ticket,
+        last: Seq,
+        body: Vec<u8>,
+    ) {
+        let is_heads =
+            view == self.view.epoch && self.view.head().is_some_and(|head| head.address == from);
+        let may_judge = is_heads
+            && self.is_tail()
+            && self.is_level
+            && self.has_copies()
+            && self.synced.0 >= last;
         if !may_judge {
             return self.turn_away(ticket, false, vec![]);
         }
         match self.state_machine.preview(&body) {
-            Preview::TurnAway(answer) => self.outputs.push(Output::Judged { ticket, body: answer }),
+            Preview::TurnAway(answer) => self.outputs.push(Output::Judged {
+                ticket,
+                body: answer,
+            }),
             Preview::Enter => self.turn_away(ticket, false, vec![]),
         }
     }
@@ -64,7 +99,11 @@
     }
 
     fn turn_away(&mut self, ticket: Ticket, is_replied: bool, body: Vec<u8>) {
-        let note = Note::Response { number: ticket.number, is_replied, body };
+        let note = Note::Response {
+            number: ticket.number,
+            is_replied,
+            body,
+        };
         self.send(ticket.origin, note);
     }
 
@@ -85,16 +124,23 @@
         match self.view.successor(&self.me) {
             Some(successor) => {
                 let size = change.body.len();
-                let deadline = (self.now + self.way(size)).max(self.passed.1 + Span(size as u64 / 4000));
+                let deadline =
+                    (self.now + self.way(size)).max(self.passed.1 + Span(size as u64 / 4000));
                 self.passed = (change.seq, deadline);
-                let note = Note::Pass { view: self.view.epoch, change };
+                let note = Note::Pass {
+                    view: self.view.epoch,
+                    change,
+                };
                 self.send(successor.address, note);
             }
             None if self.is_tail() && self.is_level => {
                 self.replied = self.synced.0;
                 // A chain that has shrunk since it took the change has it on too few disks to say so.
                 if self.has_copies() {
-                    self.outputs.push(Output::Settled { ticket, body: answer });
+                    self.outputs.push(Output::Settled {
+                        ticket,
+                        body: answer,
+                    });
                 }
                 self.next_beat = self.now;
             }
@@ -103,8 +149,12 @@
     }
 
     pub(super) fn on_pass(&mut self, from: Address, view: ViewEpoch, change: Change) {
-        let is_from_predecessor = self.view.predecessor(&self.me).is_some_and(|p| p.address == from);
-        let is_wanted = (self.last.0.next()..=Seq(self.last.0.0 + self.timing.ahead)).contains(&change.seq);
+        let is_from_predecessor = self
+            .view
+            .predecessor(&self.me)
+            .is_some_and(|p| p.address == from);
+        let is_wanted =
+            (self.last.0.next()..=Seq(self.last.0.0 + self.timing.ahead)).contains(&change.seq);
         if view != self.view.epoch || !is_from_predecessor || !is_wanted {
             return;
         }
@@ -126,7 +176,10 @@
         if view != self.view.epoch {
             return;
         }
-        let voter = Voter { address: from, disk };
+        let voter = Voter {
+            address: from,
+            disk,
+        };
         if self.view.tail() == Some(voter) {
             self.replied = self.replied.max(replied.min(self.synced.0));
         }
@@ -135,14 +188,20 @@
                 self.successor_moved = (last, self.now);
             }
             if !is_level && self.is_level && self.is_on_own_history(&voter) {
-                let note = Note::Level { view, last: self.last.0 };
+                let note = Note::Level {
+                    view,
+                    last: self.last.0,
+                };
                 self.send(from, note);
             }
         }
     }
 
     pub(super) fn on_level(&mut self, from: Address, view: ViewEpoch, last: Seq) {
-        let is_from_predecessor = self.view.predecessor(&self.me).is_some_and(|p| p.address == from);
+        let is_from_predecessor = self
+            .view
+            .predecessor(&self.me)
+            .is_some_and(|p| p.address == from);
         let has_all = self.synced.0 >= last && self.snapshot_write.is_none();
         if view == self.view.epoch && is_from_predecessor && has_all && !self.is_level {
             self.is_level = true;
@@ -160,9 +219,15 @@
 
     /// Passes on again what the successor hasn't got, but nothing that is still on its way.
     pub(super) fn pass_again(&mut self) {
-        let Some(successor) = self.view.successor(&self.me) else { return };
-        let Some(heard) = self.heard.get(&successor.address) else { return };
-        let has_all = heard.view != self.view.epoch || heard.disk != successor.disk || heard.last >= self.synced.0;
+        let Some(successor) = self.view.successor(&self.me) else {
+            return;
+        };
+        let Some(heard) = self.heard.get(&successor.address) else {
+            return;
+        };
+        let has_all = heard.view != self.view.epoch
+            || heard.disk != successor.disk
+            || heard.last >= self.synced.0;
         let is_under_way = self.now < self.passed.1;
         if has_all || is_under_way || !self.is_on_own_history(&successor) {
             return;
@@ -181,7 +246,11 @@
     /// Synced changes after this one, up to the bound, at least one.
     pub(super) fn changes_after(&self, seq: Seq, mut room: usize) -> Vec<Change> {
         let mut found: Vec<Change> = vec![];
-        for change in self.log.iter().filter(|c| c.seq > seq && c.seq <= self.synced.0) {
+        for change in self
+            .log
+            .iter()
+            .filter(|c| c.seq > seq && c.seq <= self.synced.0)
+        {
             if !found.is_empty() && change.body.len() > room {
                 break;
             }
@@ -198,7 +267,10 @@
             return true;
         }
 
-        let is_behind = self.heard.get(&voter.address).is_some_and(|h| h.last < self.synced.0);
+        let is_behind = self
+            .heard
+            .get(&voter.address)
+            .is_some_and(|h| h.last < self.synced.0);
         self.view.successor(&self.me) == Some(*voter)
             && is_behind
             && self.now.since(self.successor_moved.1) > Span(self.timing.suspect.0 * 4)
@@ -208,7 +280,11 @@
     /// Whether the last change that the successor says it holds is one of this log. One that was restarted before its
     /// snapshot was on its disk holds what it had before, which may be a change that was never accepted.
     fn is_on_own_history(&self, successor: &Voter) -> bool {
-        let Some(heard) = self.heard.get(&successor.address).filter(|heard| heard.disk == successor.disk) else {
+        let Some(heard) = self
+            .heard
+            .get(&successor.address)
+            .filter(|heard| heard.disk == successor.disk)
+        else {
             return false;
         };
         self.stamp_at(heard.last) == Some(heard.stamp)
@@ -217,8 +293,18 @@
     /// Whether the successor's last change is known to be another one than that of the same number here. It gets a
     /// snapshot once it has no seat any more.
     pub(super) fn has_diverged(&self, voter: &Voter) -> bool {
-        let Some(heard) = self.heard.get(&voter.address).filter(|heard| heard.disk == voter.disk) else { return false };
-        let is_successor = self.view.successor(&self.me) == Some(*voter) && heard.view == self.view.epoch;
-        is_successor && self.stamp_at(heard.last).is_some_and(|stamp| stamp != heard.stamp)
+        let Some(heard) = self
+            .heard
+            .get(&voter.address)
+            .filter(|heard| heard.disk == voter.disk)
+        else {
+            return false;
+        };
+        let is_successor =
+            self.view.successor(&self.me) == Some(*voter) && heard.view == self.view.epoch;
+        is_successor
+            && self
+                .stamp_at(heard.last)
+                .is_some_and(|stamp| stamp != heard.stamp)
     }
 }
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -10,7 +10,10 @@
 impl<C: StateMachine> Replica<C> {
     /// Feeds the digest of the state at this moment.
     pub fn fingerprint(&self, now: Moment, hasher: &mut impl Hasher) {
-        let clock = RelativeClock { now, horizon: self.horizon() };
+        let clock = RelativeClock {
+            now,
+            horizon: self.horizon(),
+        };
         self.fingerprint_disk(hasher);
         self.fingerprint_position(now, hasher);
         self.fingerprint_writes(&clock, hasher);
@@ -51,7 +54,13 @@
 
     fn fingerprint_position(&self, now: Moment, hasher: &mut impl Hasher) {
         (self.last, self.synced, self.replied).hash(hasher);
-        (self.is_level, self.is_sound, self.is_fresh, self.has_members).hash(hasher);
+        (
+            self.is_level,
+            self.is_sound,
+            self.is_fresh,
+            self.has_members,
+        )
+            .hash(hasher);
         self.early.hash(hasher);
         self.pace.level(&self.timing, now).hash(hasher);
     }
@@ -71,14 +80,32 @@
 
     fn fingerprint_peers(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
         for (address, heard) in &self.heard {
-            (address, clock.signed(heard.at), heard.disk, heard.view, heard.last, heard.stamp).hash(hasher);
+            (
+                address,
+                clock.signed(heard.at),
+                heard.disk,
+                heard.view,
+                heard.last,
+                heard.stamp,
+            )
+                .hash(hasher);
             (heard.is_level, heard.is_sound, heard.has_members).hash(hasher);
         }
-        (clock.signed(self.last_event), clock.signed(self.next_beat), clock.signed(self.listens_since)).hash(hasher);
+        (
+            clock.signed(self.last_event),
+            clock.signed(self.next_beat),
+            clock.signed(self.listens_since),
+        )
+            .hash(hasher);
     }
 
     fn fingerprint_lease(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
-        let ends = [self.granted_until, self.silent_until, self.paused_until, self.lease_deadline];
+        let ends = [
+            self.granted_until,
+            self.silent_until,
+            self.paused_until,
+            self.lease_deadline,
+        ];
         ends.map(|end| clock.ahead(end)).hash(hasher);
         (self.has_released, clock.signed(self.asked_at)).hash(hasher);
         self.grants.hash(hasher);
@@ -86,9 +113,18 @@
 
     fn fingerprint_ballots(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
         (self.top_count, clock.signed(self.not_before)).hash(hasher);
-        self.wanted_since.map(|since| clock.signed(since)).hash(hasher);
+        self.wanted_since
+            .map(|since| clock.signed(since))
+            .hash(hasher);
         let Some(bid) = &self.bid else { return };
-        (bid.round, &bid.founders, &bid.promises, &bid.ballot, &bid.accepts).hash(hasher);
+        (
+            bid.round,
+            &bid.founders,
+            &bid.promises,
+            &bid.ballot,
+            &bid.accepts,
+        )
+            .hash(hasher);
         (clock.signed(bid.sent), clock.signed(bid.deadline)).hash(hasher);
     }
 
@@ -97,18 +133,42 @@
         (self.successor_moved.0, clock.signed(self.successor_moved.1)).hash(hasher);
         for (voter, follower) in &self.followers {
             (voter, follower.last, clock.signed(follower.heard)).hash(hasher);
-            (follower.fed, clock.ahead(follower.fed_deadline), follower.patience).hash(hasher);
+            (
+                follower.fed,
+                clock.ahead(follower.fed_deadline),
+                follower.patience,
+            )
+                .hash(hasher);
         }
         if let Some(offered) = &self.snapshot {
-            (offered.last, offered.stamp, &offered.bytes, clock.signed(offered.asked)).hash(hasher);
+            (
+                offered.last,
+                offered.stamp,
+                &offered.bytes,
+                clock.signed(offered.asked),
+            )
+                .hash(hasher);
         }
-        self.snapshot_write.map(|id| self.next_write - id).hash(hasher);
-        self.leaving_since.map(|since| clock.signed(since)).hash(hasher);
+        self.snapshot_write
+            .map(|id| self.next_write - id)
+            .hash(hasher);
+        self.leaving_since
+            .map(|since| clock.signed(since))
+            .hash(hasher);
         for (voter, at) in &self.leaving {
             (voter, clock.signed(*at)).hash(hasher);
         }
-        let Some(fetching) = &self.fetching else { return };
-        (fetching.last, fetching.stamp, &fetching.bytes, fetching.length, clock.signed(fetching.asked)).hash(hasher);
+        let Some(fetching) = &self.fetching else {
+            return;
+        };
+        (
+            fetching.last,
+            fetching.stamp,
+            &fetching.bytes,
+            fetching.length,
+            clock.signed(fetching.asked),
+        )
+            .hash(hasher);
         (fetching.is_silent, fetching.patience).hash(hasher);
     }
 }
--- a/crates/replication/src/replica/leaving.rs
+++ b/crates/replication/src/replica/leaving.rs
@@ -21,8 +21,13 @@
     /// Whether the others go on without it: it may stop and nothing is waited for. A member without others
     /// that could take its place never has; whoever runs it bounds the wait.
     pub fn has_handed_over(&self) -> bool {
-        let are_others_here = self.view.voters.iter().all(|voter| *voter == self.me || self.is_alive(voter));
-        let may_vote_go = !self.view.has_voter(&self.me) || (are_others_here && !self.has_candidate());
+        let are_others_here = self
+            .view
+            .voters
+            .iter()
+            .all(|voter| *voter == self.me || self.is_alive(voter));
+        let may_vote_go =
+            !self.view.has_voter(&self.me) || (are_others_here && !self.has_candidate());
         self.leaving_since.is_some() && !self.view.seats(&self.me) && may_vote_go
     }
 
@@ -33,14 +38,23 @@
         }
         let note = Note::Leaving { disk: self.me.disk };
         for to in self.others() {
-            self.outputs.push(Output::Send { to, note: note.clone() });
+            self.outputs.push(Output::Send {
+                to,
+                note: note.clone(),
+            });
         }
     }
 
     pub(super) fn on_leaving(&mut self, from: Address, disk: DiskId) {
         let (now, suspect) = (self.now, self.timing.suspect);
         self.leaving.retain(|_, at| now.since(*at) < suspect);
-        self.leaving.insert(Voter { address: from, disk }, now);
+        self.leaving.insert(
+            Voter {
+                address: from,
+                disk,
+            },
+            now,
+        );
     }
 
     /// Whether this voter is about to stop.
@@ -48,13 +62,18 @@
         if *voter == self.me {
             return self.leaving_since.is_some();
         }
-        self.leaving.get(voter).is_some_and(|at| self.now.since(*at) < self.timing.suspect)
+        self.leaving
+            .get(voter)
+            .is_some_and(|at| self.now.since(*at) < self.timing.suspect)
     }
 
     /// Whether anybody is there who could take this one's vote over.
     fn has_candidate(&self) -> bool {
         self.heard.iter().any(|(address, heard)| {
-            let voter = Voter { address: *address, disk: heard.disk };
+            let voter = Voter {
+                address: *address,
+                disk: heard.disk,
+            };
             !self.view.has_voter(&voter) && self.is_alive(&voter) && !self.is_leaving(&voter)
         })
     }
@@ -62,21 +81,36 @@
     /// Whether a view drops nobody who holds everything, or still has one such who stays: the last one must
     /// not be a member that is about to stop.
     pub(super) fn is_lasting(&self, next: &View) -> bool {
-        let drops_level = self.view.chain.iter().any(|seat| seat.is_level && !next.seats(&seat.voter));
-        !drops_level || next.chain.iter().any(|seat| seat.is_level && !self.is_leaving(&seat.voter))
+        let drops_level = self
+            .view
+            .chain
+            .iter()
+            .any(|seat| seat.is_level && !next.seats(&seat.voter));
+        !drops_level
+            || next
+                .chain
+                .iter()
+                .any(|seat| seat.is_level && !self.is_leaving(&seat.voter))
     }
 
     /// Whether a chain without this voter still has somebody, who stays, that holds everything.
     pub(super) fn can_be_spared(&self, voter: &Voter, chain: &[Seat]) -> bool {
-        chain.iter().any(|seat| seat.voter != *voter && seat.is_level && !self.is_leaving(&seat.voter))
+        chain
+            .iter()
+            .any(|seat| seat.voter != *voter && seat.is_level && !self.is_leaving(&seat.voter))
     }
 
     /// Leaves its own seat out where the rest holds each change on as many disks as it must be on, and
     /// nobody is there for its vote, or that takes long.
     pub(super) fn drop_own_seat(&self, chain: &mut Vec<Seat>) {
-        let Some(since) = self.leaving_since else { return };
+        let Some(since) = self.leaving_since else {
+            return;
+        };
         let is_other = |seat: &&Seat| seat.voter != self.me;
-        let others = chain.iter().filter(is_other).filter(|seat| seat.is_level && !self.is_leaving(&seat.voter));
+        let others = chain
+            .iter()
+            .filter(is_other)
+            .filter(|seat| seat.is_level && !self.is_leaving(&seat.voter));
         let is_exchanging = self.has_candidate() && self.now.since(since) < EXCHANGE_SPAN;
         if others.count() >= self.timing.copies && !is_exchanging {
             chain.retain(|seat| seat.voter != self.me);
--- a/crates/replication/src/replica/pacing.rs
+++ b/crates/replication/src/replica/pacing.rs
@@ -18,7 +18,10 @@
 
 impl Pace {
     pub(super) fn full(timing: &Timing, now: Moment) -> Pace {
-        Pace { available: timing.burst * CHANGE, at: now }
+        Pace {
+            available: timing.burst * CHANGE,
+            at: now,
+        }
     }
 
     /// Whether one more may enter now; it's counted if so.
--- a/crates/replication/src/replica/repair.rs
+++ b/crates/replication/src/replica/repair.rs
@@ -20,7 +20,10 @@
     /// One without a seat asks the tail for what it lacks.
     pub(super) fn follow(&mut self) {
         let Some(tail) = self.view.tail() else { return };
-        if self.view.seats(&self.me) || self.leaving_since.is_some() || self.snapshot_write.is_some() {
+        if self.view.seats(&self.me)
+            || self.leaving_since.is_some()
+            || self.snapshot_write.is_some()
+        {
             return;
         }
         if let Some(fetching) = &mut self.fetching {
@@ -30,11 +33,19 @@
             // What is here already is kept: the piece that is missing is asked for again, each time later.
             fetching.asked = self.now;
             fetching.is_silent = true;
-            fetching.patience = Span((fetching.patience.0 * 2).min(self.timing.suspect.0 * MOST_PATIENCE));
-            let note = Note::SnapshotAsk { last: fetching.last, offset: fetching.bytes.len() as u64 };
+            fetching.patience =
+                Span((fetching.patience.0 * 2).min(self.timing.suspect.0 * MOST_PATIENCE));
+            let note = Note::SnapshotAsk {
+                last: fetching.last,
+                offset: fetching.bytes.len() as u64,
+            };
             self.send(tail.address, note);
         }
-        let note = Note::Follow { disk: self.me.disk, last: self.last.0, stamp: self.last.1 };
+        let note = Note::Follow {
+            disk: self.me.disk,
+            last: self.last.0,
+            stamp: self.last.1,
+        };
         self.send(tail.address, note);
     }
 
@@ -43,43 +54,84 @@
         if seq == self.base.0 && self.base.1 != UNKNOWN_STAMP {
             return Some(self.base.1);
         }
-        self.log.iter().find(|change| change.seq == seq).map(|change| change.stamp)
+        self.log
+            .iter()
+            .find(|change| change.seq == seq)
+            .map(|change| change.stamp)
     }
 
     pub(super) fn on_follow(&mut self, from: Address, disk: DiskId, last: Seq, stamp: ViewEpoch) {
-        let voter = Voter { address: from, disk };
+        let voter = Voter {
+            address: from,
+            disk,
+        };
         if !self.is_tail() || !self.is_level || self.view.seats(&voter) {
             return;
         }
         let is_known = last <= self.synced.0 && self.stamp_at(last) == Some(stamp);
-        let first_kept = self.log.front().map_or(self.synced.0.next(), |change| change.seq);
+        let first_kept = self
+            .log
+            .front()
+            .map_or(self.synced.0.next(), |change| change.seq);
         if is_known && last.next() >= first_kept {
             return self.feed(voter, last);
         }
-        let is_stale = self.snapshot.as_ref().is_none_or(|offered| offered.last.next() < first_kept);
+        let is_stale = self
+            .snapshot
+            .as_ref()
+            .is_none_or(|offered| offered.last.next() < first_kept);
         if is_stale {
             let (last, stamp) = self.synced;
-            self.snapshot = Some(Offered { last, stamp, bytes: self.state_machine.snapshot(), asked: self.now });
+            self.snapshot = Some(Offered {
+                last,
+                stamp,
+                bytes: self.state_machine.snapshot(),
+                asked: self.now,
+            });
         }
         if let Some(offered) = &mut self.snapshot {
             offered.asked = self.now;
             let (last, stamp, length) = (offered.last, offered.stamp, offered.bytes.len() as u64);
-            self.send(from, Note::SnapshotOffer { last, stamp, length });
+            self.send(
+                from,
+                Note::SnapshotOffer {
+                    last,
+                    stamp,
+                    length,
+                },
+            );
         }
     }
 
     /// Sends a follower what comes after `last`, but nothing again that is still on its way.
     fn feed(&mut self, voter: Voter, last: Seq) {
         let before = self.followers.get(&voter).cloned();
-        let mut follower = Follower { last, heard: self.now, fed: last, fed_deadline: self.now, patience: Span(0) };
+        let mut follower = Follower {
+            last,
+            heard: self.now,
+            fed: last,
+            fed_deadline: self.now,
+            patience: Span(0),
+        };
         if let Some(before) = before.filter(|before| self.now.since(before.heard) < FORGET_FEED) {
             let is_waited_for = last < before.fed;
             if is_waited_for && self.now < before.fed_deadline {
-                self.followers.insert(voter, Follower { last, heard: self.now, ..before });
+                self.followers.insert(
+                    voter,
+                    Follower {
+                        last,
+                        heard: self.now,
+                        ..before
+                    },
+                );
                 return;
             }
             let patience = before.patience.0;
-            follower.patience = Span(if is_waited_for { patience * 2 } else { patience * 3 / 4 });
+            follower.patience = Span(if is_waited_for {
+                patience * 2
+            } else {
+                patience * 3 / 4
+            });
         }
         let changes = self.changes_after(last, self.timing.piece_bytes);
         if let Some(newest) = changes.last() {
@@ -95,7 +147,9 @@
     /// Whether someone fetches the snapshot that is kept for it.
     fn is_fetched(&self) -> bool {
         let rests = Span(self.timing.suspect.0 * FETCH_RESTS);
-        self.snapshot.as_ref().is_some_and(|offered| self.now.since(offered.asked) < rests)
+        self.snapshot
+            .as_ref()
+            .is_some_and(|offered| self.now.since(offered.asked) < rests)
     }
 
     fn is_from_tail(&self, from: Address) -> bool {
@@ -103,7 +157,10 @@
     }
 
     pub(super) fn on_feed(&mut self, from: Address, changes: Vec<Change>) {
-        let is_fetching = self.fetching.as_ref().is_some_and(|fetching| !fetching.is_silent);
+        let is_fetching = self
+            .fetching
+            .as_ref()
+            .is_some_and(|fetching| !fetching.is_silent);
         if self.view.seats(&self.me) || !self.is_from_tail(from) || is_fetching {
             return;
         }
@@ -120,22 +177,44 @@
         }
     }
 
-    pub(super) fn on_snapshot_offer(&mut self, from: Address, last: Seq, stamp: ViewEpoch, length: u64) {
+    pub(super) fn on_snapshot_offer(
+        &mut self,
+        from: Address,
+        last: Seq,
+        stamp: ViewEpoch,
+        length: u64,
+    ) {
         if self.view.seats(&self.me) || !self.is_from_tail(from) {
             return;
         }
         // One that is under way goes on, unless its giver has gone silent and offers another.
-        let is_same = |fetching: &Fetching| (fetching.last, fetching.stamp, fetching.length) == (last, stamp, length);
-        if self.fetching.as_ref().is_some_and(|fetching| !fetching.is_silent || is_same(fetching)) {
+        let is_same = |fetching: &Fetching| {
+            (fetching.last, fetching.stamp, fetching.length) == (last, stamp, length)
+        };
+        if self
+            .fetching
+            .as_ref()
+            .is_some_and(|fetching| !fetching.is_silent || is_same(fetching))
+        {
             return;
         }
         let (asked, patience) = (self.now, self.timing.suspect);
-        self.fetching = Some(Fetching { last, stamp, bytes: vec![], length, asked, is_silent: false, patience });
+        self.fetching = Some(Fetching {
+            last,
+            stamp,
+            bytes: vec![],
+            length,
+            asked,
+            is_silent: false,
+            patience,
+        });
         self.send(from, Note::SnapshotAsk { last, offset: 0 });
     }
 
     pub(super) fn on_snapshot_ask(&mut self, from: Address, last: Seq, offset: u64) {
-        let Some(offered) = &mut self.snapshot else { return };
+        let Some(offered) = &mut self.snapshot else {
+            return;
+        };
         if offered.last != last || offset > offered.bytes.len() as u64 {
             return;
         }
@@ -143,8 +222,13 @@
         let (stamp, bytes) = (offered.stamp, &offered.bytes);
         let start = offset as usize;
         let end = bytes.len().min(start + self.timing.piece_bytes);
-        let note =
-            Note::SnapshotPiece { last, stamp, offset, length: bytes.len() as u64, bytes: bytes[start..end].to_vec() };
+        let note = Note::SnapshotPiece {
+            last,
+            stamp,
+            offset,
+            length: bytes.len() as u64,
+            bytes: bytes[start..end].to_vec(),
+        };
         self.send(from, note);
     }
 
@@ -160,7 +244,9 @@
         if !self.is_from_tail(from) || self.view.seats(&self.me) {
             return;
         }
-        let Some(fetching) = &mut self.fetching else { return };
+        let Some(fetching) = &mut self.fetching else {
+            return;
+        };
         let fits = fetching.last == last && fetching.stamp == stamp && fetching.length == length;
         if !fits || offset != fetching.bytes.len() as u64 {
             return;
@@ -173,7 +259,9 @@
         if have < length && !bytes.is_empty() {
             return self.send(from, Note::SnapshotAsk { last, offset: have });
         }
-        let Some(fetching) = self.fetching.take() else { return };
+        let Some(fetching) = self.fetching.take() else {
+            return;
+        };
         if have != length {
             return;
         }
@@ -196,14 +284,28 @@
     fn write_whole(&mut self, snapshot: Vec<u8>) {
         self.log_bytes = self.log.iter().map(|change| change.body.len()).sum();
         self.snapshot_bytes = snapshot.len();
-        let mut records = vec![Record::View { view: self.view.clone() }];
-        records.push(Record::Promised { instance: self.promised.0, round: self.promised.1 });
+        let mut records = vec![Record::View {
+            view: self.view.clone(),
+        }];
+        records.push(Record::Promised {
+            instance: self.promised.0,
+            round: self.promised.1,
+        });
         if let Some(ballot) = self.accepted.clone() {
             records.push(Record::Accepted { ballot });
-            records.push(Record::Promised { instance: self.promised.0, round: self.promised.1 });
+            records.push(Record::Promised {
+                instance: self.promised.0,
+                round: self.promised.1,
+            });
         }
-        records.push(Record::Snapshot { last: self.synced.0, stamp: self.synced.1, body: snapshot });
-        records.extend(self.log.iter().map(|change| Record::Change { change: change.clone() }));
+        records.push(Record::Snapshot {
+            last: self.synced.0,
+            stamp: self.synced.1,
+            body: snapshot,
+        });
+        records.extend(self.log.iter().map(|change| Record::Change {
+            change: change.clone(),
+        }));
         self.write_all(records, true, None);
     }
 
@@ -220,7 +322,9 @@
         let mut first = self.log.len();
         while first > 0 {
             kept_bytes += self.log[first - 1].body.len();
-            if self.log[first - 1].seq <= self.replied && (kept_bytes > keep_bound || self.log.len() - first > 1000) {
+            if self.log[first - 1].seq <= self.replied
+                && (kept_bytes > keep_bound || self.log.len() - first > 1000)
+            {
                 break;
             }
             first -= 1;
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -16,30 +16,58 @@
         self.0.to_be_bytes().to_vec()
     }
     fn restore(snapshot: &[u8]) -> Option<Self> {
-        snapshot.try_into().ok().map(|bytes| Tally(u64::from_be_bytes(bytes)))
+        snapshot
+            .try_into()
+            .ok()
+            .map(|bytes| Tally(u64::from_be_bytes(bytes)))
     }
 }
 
 fn voter(n: u16) -> Voter {
-    Voter { address: Address::loopback(n), disk: DiskId(u128::from(n)) }
+    Voter {
+        address: Address::loopback(n),
+        disk: DiskId(u128::from(n)),
+    }
 }
 
 fn view(epoch: u64, chain: &[(u16, bool)]) -> View {
     View {
         epoch: ViewEpoch(epoch),
-        chain: chain.iter().map(|(n, is_level)| Seat { voter: voter(*n), is_level: *is_level }).collect(),
+        chain: chain
+            .iter()
+            .map(|(n, is_level)| Seat {
+                voter: voter(*n),
+                is_level: *is_level,
+            })
+            .collect(),
         voters: (1..=3).map(voter).collect(),
     }
 }
 
 fn change(seq: u64, stamp: u64) -> Change {
-    let ticket = Ticket { origin: Address::loopback(1), number: seq };
-    Change { seq: Seq(seq), stamp: ViewEpoch(stamp), ticket, body: vec![1] }
+    let ticket = Ticket {
+        origin: Address::loopback(1),
+        number: seq,
+    };
+    Change {
+        seq: Seq(seq),
+        stamp: ViewEpoch(stamp),
+        ticket,
+        body: vec![1],
+    }
 }
 
 fn replica(n: u16, records: Vec<Record>) -> Replica<Tally> {
     let founders = (1..=3).map(Address::loopback).collect();
-    Replica::new(voter(n), founders, Timing::default(), Kept { records }, Tally(0), Moment(10_000)).unwrap()
+    Replica::new(
+        voter(n),
+        founders,
+        Timing::default(),
+        Kept { records },
+        Tally(0),
+        Moment(10_000),
+    )
+    .unwrap()
 }
 
 /// The beat of a level member of view 1 that holds no change.
@@ -58,7 +86,14 @@
 
 /// Has the replica take a note and all its writes synced; gives what it sends.
 fn tell(replica: &mut Replica<Tally>, at: u64, from: u16, note: Note) -> Vec<(u16, Note)> {
-    settle(replica, at, Input::Note { from: Address::loopback(from), note })
+    settle(
+        replica,
+        at,
+        Input::Note {
+            from: Address::loopback(from),
+            note,
+        },
+    )
 }
 
 /// Has the replica take an input and all its writes synced; gives what it sends.
@@ -69,7 +104,9 @@
         let mut more = vec![];
         for output in outputs {
             match output {
-                Output::Write { id, .. } => more.extend(replica.step(Moment(at), Input::Written { id })),
+                Output::Write { id, .. } => {
+                    more.extend(replica.step(Moment(at), Input::Written { id }))
+                }
                 Output::Send { to, note } => sent.push((to.0.port(), note)),
                 _ => {}
             }
@@ -84,14 +121,28 @@
         .step(Moment(at), Input::ClockEvent)
         .into_iter()
         .filter_map(|output| match output {
-            Output::Send { note: note @ Note::LeaseAsk { .. }, .. } => Some(note),
+            Output::Send {
+                note: note @ Note::LeaseAsk { .. },
+                ..
+            } => Some(note),
             _ => None,
         })
         .collect();
     for ask in asks {
-        let Note::LeaseAsk { view, round } = ask else { continue };
+        let Note::LeaseAsk { view, round } = ask else {
+            continue;
+        };
         for n in 1..=3 {
-            tell(replica, at, n, Note::LeaseGrant { view, round, disk: DiskId(u128::from(n)) });
+            tell(
+                replica,
+                at,
+                n,
+                Note::LeaseGrant {
+                    view,
+                    round,
+                    disk: DiskId(u128::from(n)),
+                },
+            );
         }
     }
     replica.may_respond(Moment(at))
@@ -99,36 +150,123 @@
 
 #[test]
 fn one_that_missed_a_view_without_it_is_not_level_though_it_was_before() {
-    let mut records = vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }];
-    records.push(Record::Change { change: change(1, 1) });
+    let mut records = vec![Record::View {
+        view: view(1, &[(1, true), (2, true), (3, true)]),
+    }];
+    records.push(Record::Change {
+        change: change(1, 1),
+    });
     let mut tail = replica(3, records);
     // View 2 went on without 3; view 3 admits it again at the end.
-    tell(&mut tail, 10_100, 2, Note::Decided { view: view(3, &[(1, true), (2, true), (3, false)]) });
-    assert!(!grant_all(&mut tail, 10_200), "it responds, and lacks what view 2 replied to");
-    tell(&mut tail, 10_300, 2, Note::Level { view: ViewEpoch(3), last: Seq(2) });
+    tell(
+        &mut tail,
+        10_100,
+        2,
+        Note::Decided {
+            view: view(3, &[(1, true), (2, true), (3, false)]),
+        },
+    );
+    assert!(
+        !grant_all(&mut tail, 10_200),
+        "it responds, and lacks what view 2 replied to"
+    );
+    tell(
+        &mut tail,
+        10_300,
+        2,
+        Note::Level {
+            view: ViewEpoch(3),
+            last: Seq(2),
+        },
+    );
     assert!(!grant_all(&mut tail, 10_500));
-    tell(&mut tail, 10_600, 2, Note::Pass { view: ViewEpoch(3), change: change(2, 2) });
-    tell(&mut tail, 10_700, 2, Note::Level { view: ViewEpoch(3), last: Seq(2) });
+    tell(
+        &mut tail,
+        10_600,
+        2,
+        Note::Pass {
+            view: ViewEpoch(3),
+            change: change(2, 2),
+        },
+    );
+    tell(
+        &mut tail,
+        10_700,
+        2,
+        Note::Level {
+            view: ViewEpoch(3),
+            last: Seq(2),
+        },
+    );
     assert!(grant_all(&mut tail, 11_000));
 }
 
 #[test]
 fn a_voter_keeps_its_word_to_the_tail_over_a_restart() {
-    let records = vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }];
+    let records = vec![Record::View {
+        view: view(1, &[(1, true), (2, true), (3, true)]),
+    }];
     let mut voter = replica(1, records);
-    let round = Round { count: 9, proposer: 2 };
-    let without_tail = Ballot { round, view: view(2, &[(1, true), (2, true)]) };
-    let with_tail = Ballot { round, view: view(2, &[(1, true), (3, true)]) };
+    let round = Round {
+        count: 9,
+        proposer: 2,
+    };
+    let without_tail = Ballot {
+        round,
+        view: view(2, &[(1, true), (2, true)]),
+    };
+    let with_tail = Ballot {
+        round,
+        view: view(2, &[(1, true), (3, true)]),
+    };
     let accepts = |replica: &mut Replica<Tally>, at: u64, from: u16, ballot: &Ballot| {
-        let sent = tell(replica, at, from, Note::Accept { ballot: ballot.clone() });
-        sent.iter().any(|(_, note)| matches!(note, Note::Accepted { .. }))
+        let sent = tell(
+            replica,
+            at,
+            from,
+            Note::Accept {
+                ballot: ballot.clone(),
+            },
+        );
+        sent.iter()
+            .any(|(_, note)| matches!(note, Note::Accepted { .. }))
     };
-    assert!(!accepts(&mut voter, 10_500, 2, &without_tail), "it may have given its word before it restarted");
-    assert!(accepts(&mut voter, 10_500, 2, &with_tail), "the tail stays: nothing to wait for");
-    let mut voter = replica(1, vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }]);
-    tell(&mut voter, 12_000, 3, Note::LeaseAsk { view: ViewEpoch(1), round: 1 });
-    assert!(!accepts(&mut voter, 12_900, 2, &without_tail), "its word of 12000 holds until 13000");
-    let sent = tell(&mut voter, 12_950, 3, Note::LeaseAsk { view: ViewEpoch(1), round: 2 });
+    assert!(
+        !accepts(&mut voter, 10_500, 2, &without_tail),
+        "it may have given its word before it restarted"
+    );
+    assert!(
+        accepts(&mut voter, 10_500, 2, &with_tail),
+        "the tail stays: nothing to wait for"
+    );
+    let mut voter = replica(
+        1,
+        vec![Record::View {
+            view: view(1, &[(1, true), (2, true), (3, true)]),
+        }],
+    );
+    tell(
+        &mut voter,
+        12_000,
+        3,
+        Note::LeaseAsk {
+            view: ViewEpoch(1),
+            round: 1,
+        },
+    );
+    assert!(
+        !accepts(&mut voter, 12_900, 2, &without_tail),
+        "its word of 12000 holds until 13000"
+    );
+    let sent = tell(
+        &mut voter,
+        12_950,
+        3,
+        Note::LeaseAsk {
+            view: ViewEpoch(1),
+            round: 2,
+        },
+    );
     assert_eq!(sent, vec![], "while a view waits, no new word is given");
     assert!(accepts(&mut voter, 13_000, 2, &without_tail));
 }
@@ -136,23 +274,77 @@
 #[test]
 fn nothing_leaves_before_it_is_synced() {
     let chain = [(1, true), (2, true), (3, true)];
-    let mut middle = replica(2, vec![Record::View { view: view(1, &chain) }]);
-    let pass = Note::Pass { view: ViewEpoch(1), change: change(1, 1) };
-    let outputs = middle.step(Moment(10_100), Input::Note { from: Address::loopback(1), note: pass });
-    let [Output::Write { id, .. }] = outputs.as_slice() else { panic!("{outputs:?}") };
+    let mut middle = replica(
+        2,
+        vec![Record::View {
+            view: view(1, &chain),
+        }],
+    );
+    let pass = Note::Pass {
+        view: ViewEpoch(1),
+        change: change(1, 1),
+    };
+    let outputs = middle.step(
+        Moment(10_100),
+        Input::Note {
+            from: Address::loopback(1),
+            note: pass,
+        },
+    );
+    let [Output::Write { id, .. }] = outputs.as_slice() else {
+        panic!("{outputs:?}")
+    };
     let outputs = middle.step(Moment(10_200), Input::Written { id: *id });
-    assert!(matches!(outputs.as_slice(), [Output::Send { to, note: Note::Pass { .. } }] if to.0.port() == 3));
-    let prepare = Note::Prepare { instance: ViewEpoch(2), round: Round { count: 1, proposer: 1 } };
-    let outputs = middle.step(Moment(10_300), Input::Note { from: Address::loopback(1), note: prepare });
-    assert!(matches!(outputs.as_slice(), [Output::Write { .. }]), "{outputs:?}");
+    assert!(
+        matches!(outputs.as_slice(), [Output::Send { to, note: Note::Pass { .. } }] if to.0.port() == 3)
+    );
+    let prepare = Note::Prepare {
+        instance: ViewEpoch(2),
+        round: Round {
+            count: 1,
+            proposer: 1,
+        },
+    };
+    let outputs = middle.step(
+        Moment(10_300),
+        Input::Note {
+            from: Address::loopback(1),
+            note: prepare,
+        },
+    );
+    assert!(
+        matches!(outputs.as_slice(), [Output::Write { .. }]),
+        "{outputs:?}"
+    );
 }
 
 #[test]
 fn a_disk_that_gives_back_gaps_or_bent_frames_is_not_served() {
-    let gap = vec![Record::Change { change: change(1, 1) }, Record::Change { change: change(3, 1) }];
-    let bent = vec![Record::Snapshot { last: Seq(5), stamp: ViewEpoch(1), body: vec![1, 2] }];
-    for (records, fault) in [(gap, KeptFault::Gap(Seq(3))), (bent, KeptFault::Snapshot(Seq(5)))] {
-        let made = Replica::new(voter(1), vec![], Timing::default(), Kept { records }, Tally(0), Moment(0));
+    let gap = vec![
+        Record::Change {
+            change: change(1, 1),
+        },
+        Record::Change {
+            change: change(3, 1),
+        },
+    ];
+    let bent = vec![Record::Snapshot {
+        last: Seq(5),
+        stamp: ViewEpoch(1),
+        body: vec![1, 2],
+    }];
+    for (records, fault) in [
+        (gap, KeptFault::Gap(Seq(3))),
+        (bent, KeptFault::Snapshot(Seq(5))),
+    ] {
+        let made = Replica::new(
+            voter(1),
+            vec![],
+            Timing::default(),
+            Kept { records },
+            Tally(0),
+            Moment(0),
+        );
         assert_eq!(made.err(), Some(fault));
     }
 }
@@ -160,11 +352,29 @@
 #[test]
 fn one_far_behind_takes_the_snapshot_by_pieces_and_then_changes() {
     let chain = [(1, true), (2, true)];
-    let mut records = vec![Record::View { view: view(1, &chain) }];
-    records.push(Record::Snapshot { last: Seq(40), stamp: ViewEpoch(1), body: 40u64.to_be_bytes().to_vec() });
-    records.push(Record::Change { change: change(41, 1) });
+    let mut records = vec![Record::View {
+        view: view(1, &chain),
+    }];
+    records.push(Record::Snapshot {
+        last: Seq(40),
+        stamp: ViewEpoch(1),
+        body: 40u64.to_be_bytes().to_vec(),
+    });
+    records.push(Record::Change {
+        change: change(41, 1),
+    });
     let mut tail = replica(2, records);
-    let mut behind = replica(3, vec![Record::View { view: view(1, &chain) }, Record::Change { change: change(1, 1) }]);
+    let mut behind = replica(
+        3,
+        vec![
+            Record::View {
+                view: view(1, &chain),
+            },
+            Record::Change {
+                change: change(1, 1),
+            },
+        ],
+    );
     let (mut at, mut to_tail) = (10_000, vec![]);
     for _ in 0..40 {
         at += 100;
@@ -174,34 +384,68 @@
             _ => None,
         }));
         while let Some(note) = to_tail.pop() {
-            for (_, note) in tell(&mut tail, at, 3, note).into_iter().filter(|(to, _)| *to == 3) {
-                to_tail.extend(tell(&mut behind, at, 2, note).into_iter().filter(|(to, _)| *to == 2).map(|(_, n)| n));
+            for (_, note) in tell(&mut tail, at, 3, note)
+                .into_iter()
+                .filter(|(to, _)| *to == 3)
+            {
+                to_tail.extend(
+                    tell(&mut behind, at, 2, note)
+                        .into_iter()
+                        .filter(|(to, _)| *to == 2)
+                        .map(|(_, n)| n),
+                );
             }
         }
     }
-    assert_eq!((behind.state_machine(), behind.state().last), (&Tally(41), Seq(41)));
+    assert_eq!(
+        (behind.state_machine(), behind.state().last),
+        (&Tally(41), Seq(41))
+    );
 }
 
 #[test]
 fn a_ballot_that_half_of_the_voters_accepted_and_nobody_finished_does_not_stop_the_core() {
     // Two of four back a view with another tail; its proposer is gone, and all four see each other again.
-    let all = View { voters: (1..=4).map(voter).collect(), ..view(1, &[(1, true), (2, true), (3, true), (4, true)]) };
-    let without_the_tail = View { voters: all.voters.clone(), ..view(2, &[(1, true), (2, true), (3, true)]) };
-    let ballot = Ballot { round: Round { count: 7, proposer: 9 }, view: without_the_tail };
+    let all = View {
+        voters: (1..=4).map(voter).collect(),
+        ..view(1, &[(1, true), (2, true), (3, true), (4, true)])
+    };
+    let without_the_tail = View {
+        voters: all.voters.clone(),
+        ..view(2, &[(1, true), (2, true), (3, true)])
+    };
+    let ballot = Ballot {
+        round: Round {
+            count: 7,
+            proposer: 9,
+        },
+        view: without_the_tail,
+    };
     let founders: Vec<Address> = (1..=4).map(Address::loopback).collect();
     let mut replicas: Vec<Replica<Tally>> = (1..=4)
         .map(|n| {
             let mut records = vec![Record::View { view: all.clone() }];
             if n <= 2 {
-                records.push(Record::Accepted { ballot: ballot.clone() });
+                records.push(Record::Accepted {
+                    ballot: ballot.clone(),
+                });
             }
             let start = Moment(10_000);
-            Replica::new(voter(n), founders.clone(), Timing::default(), Kept { records }, Tally(0), start).unwrap()
+            Replica::new(
+                voter(n),
+                founders.clone(),
+                Timing::default(),
+                Kept { records },
+                Tally(0),
+                start,
+            )
+            .unwrap()
         })
         .collect();
     let mut notes: VecDeque<(Address, Address, Note)> = VecDeque::new();
     for at in (10_000..20_000).step_by(25).map(Moment) {
-        let mut inputs: Vec<(usize, Input)> = (0..4).map(|place| (place, Input::ClockEvent)).collect();
+        let mut inputs: Vec<(usize, Input)> =
+            (0..4).map(|place| (place, Input::ClockEvent)).collect();
         while let Some((place, input)) = inputs.pop() {
             let from = founders[place];
             for output in replicas[place].step(at, input) {
@@ -217,33 +461,62 @@
                 inputs.push((usize::from(to.0.port()) - 1, Input::Note { from, note }));
             }
         }
-        if replicas.iter().any(|replica| replica.may_respond(at)) && replicas[0].view().chain.len() == 4 {
+        if replicas.iter().any(|replica| replica.may_respond(at))
+            && replicas[0].view().chain.len() == 4
+        {
             return;
         }
     }
-    panic!("nobody may respond: {:?}", replicas.iter().map(Replica::state).collect::<Vec<_>>());
+    panic!(
+        "nobody may respond: {:?}",
+        replicas.iter().map(Replica::state).collect::<Vec<_>>()
+    );
 }
 
 /// A tail counts its lease from when it asked: a grant to an earlier life of its own is older than that.
 #[test]
 fn a_grant_to_an_earlier_life_of_the_tail_is_not_counted() {
-    let records = vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }];
+    let records = vec![Record::View {
+        view: view(1, &[(1, true), (2, true), (3, true)]),
+    }];
     let asked = |tail: &mut Replica<Tally>, at: u64| {
         let round = |output| match output {
-            Output::Send { note: Note::LeaseAsk { round, .. }, .. } => Some(round),
+            Output::Send {
+                note: Note::LeaseAsk { round, .. },
+                ..
+            } => Some(round),
             _ => None,
         };
-        tail.step(Moment(at), Input::ClockEvent).into_iter().find_map(round).expect("it asks")
+        tail.step(Moment(at), Input::ClockEvent)
+            .into_iter()
+            .find_map(round)
+            .expect("it asks")
     };
     let mut tail = replica(3, records.clone());
     let earlier = asked(&mut tail, 10_500);
     let founders = (1..=3).map(Address::loopback).collect();
-    let mut tail =
-        Replica::new(voter(3), founders, Timing::default(), Kept { records }, Tally(0), Moment(13_000)).unwrap();
+    let mut tail = Replica::new(
+        voter(3),
+        founders,
+        Timing::default(),
+        Kept { records },
+        Tally(0),
+        Moment(13_000),
+    )
+    .unwrap();
     let round = asked(&mut tail, 13_500);
     let grant_all = |tail: &mut Replica<Tally>, round: u64| {
         for n in 1..=3 {
-            tell(tail, 13_510, n, Note::LeaseGrant { view: ViewEpoch(1), round, disk: DiskId(u128::from(n)) });
+            tell(
+                tail,
+                13_510,
+                n,
+                Note::LeaseGrant {
+                    view: ViewEpoch(1),
+                    round,
+                    disk: DiskId(u128::from(n)),
+                },
+            );
         }
         tail.may_respond(Moment(13_510))
     };
@@ -268,7 +541,11 @@
         let mut core = Core {
             at: 10_000,
             founders: (1..=founders).map(Address::loopback).collect(),
-            timing: Timing { copies: 3, voters, ..Timing::default() },
+            timing: Timing {
+                copies: 3,
+                voters,
+                ..Timing::default()
+            },
             replicas: vec![],
             disks: (1..=all).map(|n| DiskId(u128::from(n))).collect(),
             records: vec![vec![]; usize::from(all)],
@@ -280,9 +557,21 @@
     }
     fn start(&mut self, n: u16) {
         let place = usize::from(n) - 1;
-        let me = Voter { address: Address::loopback(n), disk: self.disks[place] };
-        let kept = Kept { records: self.records[place].clone() };
-        let replica = Replica::new(me, self.founders.clone(), self.timing, kept, Tally(0), Moment(self.at));
+        let me = Voter {
+            address: Address::loopback(n),
+            disk: self.disks[place],
+        };
+        let kept = Kept {
+            records: self.records[place].clone(),
+        };
+        let replica = Replica::new(
+            me,
+            self.founders.clone(),
+            self.timing,
+            kept,
+            Tally(0),
+            Moment(self.at),
+        );
         self.replicas[place] = Some(replica.unwrap());
     }
     fn stop(&mut self, n: u16) {
@@ -298,7 +587,13 @@
     fn play(&mut self, span: u64, proposer: Option<(u16, u64)>) -> Option<bool> {
         let mut inputs: VecDeque<(usize, Input)> = VecDeque::new();
         if let Some((n, number)) = proposer {
-            inputs.push_back((usize::from(n) - 1, Input::Propose { number, body: vec![1] }));
+            inputs.push_back((
+                usize::from(n) - 1,
+                Input::Propose {
+                    number,
+                    body: vec![1],
+                },
+            ));
         }
         let mut told = None;
         let deadline = self.at + span;
@@ -307,7 +602,9 @@
             let at = Moment(self.at);
             inputs.extend((0..self.replicas.len()).map(|place| (place, Input::ClockEvent)));
             while let Some((place, input)) = inputs.pop_front() {
-                let Some(replica) = &mut self.replicas[place] else { continue };
+                let Some(replica) = &mut self.replicas[place] else {
+                    continue;
+                };
                 let mut outputs = replica.step(at, input);
                 outputs.reverse();
                 while let Some(output) = outputs.pop() {
@@ -317,9 +614,16 @@
                             if self.deaf == Some(to.0.port()) {
                                 continue;
                             }
-                            inputs.push_back((usize::from(to.0.port()) - 1, Input::Note { from, note }));
+                            inputs.push_back((
+                                usize::from(to.0.port()) - 1,
+                                Input::Note { from, note },
+                            ));
                         }
-                        Output::Write { id, records, is_whole } => {
+                        Output::Write {
+                            id,
+                            records,
+                            is_whole,
+                        } => {
                             if is_whole {
                                 self.records[place].clear();
                             }
@@ -359,7 +663,11 @@
     let (voters, chain, _) = core.core().expect("it responds");
     assert_eq!((voters.len(), &voters), (5, &chain), "{voters:?}");
     assert_eq!(voters[..3], [1, 2, 3]);
-    assert_eq!(core.play(1000, Some((6, 1))), Some(true), "whoever is no voter proposes all the same");
+    assert_eq!(
+        core.play(1000, Some((6, 1))),
+        Some(true),
+        "whoever is no voter proposes all the same"
+    );
     let mut core = Core::new(3, 3, 5);
     core.play(4000, None);
     assert_eq!(core.core().map(|(voters, ..)| voters), Some(vec![1, 2, 3]));
@@ -379,7 +687,11 @@
         core.start(pair.1);
         core.play(8000, None);
         let (voters, chain, held) = core.core().expect("it responds");
-        assert_eq!((voters.len(), chain.len(), held), (5, 5, 1), "{pair:?}: {voters:?} {chain:?}");
+        assert_eq!(
+            (voters.len(), chain.len(), held),
+            (5, 5, 1),
+            "{pair:?}: {voters:?} {chain:?}"
+        );
         assert_eq!(core.play(1000, Some((2, 2))), Some(true), "{pair:?}");
     }
 }
@@ -393,12 +705,18 @@
     core.stop(1);
     core.stop(4);
     core.play(3000, None);
-    assert_eq!(core.core().map(|(voters, chain, _)| (voters.len(), chain)), Some((5, vec![2, 3, 5])));
+    assert_eq!(
+        core.core().map(|(voters, chain, _)| (voters.len(), chain)),
+        Some((5, vec![2, 3, 5]))
+    );
     assert_eq!(core.play(1000, Some((2, 1))), Some(true));
     core.start(6);
     core.start(7);
     core.play(8000, None);
-    assert_eq!(core.core().map(|(voters, ..)| voters), Some(vec![2, 3, 5, 6, 7]));
+    assert_eq!(
+        core.core().map(|(voters, ..)| voters),
+        Some(vec![2, 3, 5, 6, 7])
+    );
 }
 
 /// Power lost by all, with two disks, while the newest voters held the newest change.
@@ -414,7 +732,11 @@
     (1..=6).for_each(|n| core.start(n));
     core.play(8000, None);
     let (voters, chain, held) = core.core().expect("it responds");
-    assert_eq!((voters.len(), chain.len(), held), (5, 5, 1), "{voters:?} {chain:?}");
+    assert_eq!(
+        (voters.len(), chain.len(), held),
+        (5, 5, 1),
+        "{voters:?} {chain:?}"
+    );
 }
 
 mod founding;
@@ -426,14 +748,22 @@
 /// Who hears only itself can neither read nor propose, and says so to whoever asks it.
 #[test]
 fn one_that_hears_no_majority_does_not_serve() {
-    let records = vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }];
+    let records = vec![Record::View {
+        view: view(1, &[(1, true), (2, true), (3, true)]),
+    }];
     let mut alone = replica(1, records);
     assert!(alone.is_serving(Moment(10_700)), "it has just begun");
     assert!(!alone.is_serving(Moment(10_800)));
     tell(&mut alone, 11_000, 3, beat(3));
-    assert!(alone.is_serving(Moment(11_700)), "it and another are two of three");
+    assert!(
+        alone.is_serving(Moment(11_700)),
+        "it and another are two of three"
+    );
     assert!(!alone.is_serving(Moment(11_800)));
     alone.step(Moment(20_000), Input::ClockEvent);
-    assert!(alone.hears_majority(Moment(20_700)), "it slept, and nobody could be heard meanwhile");
+    assert!(
+        alone.hears_majority(Moment(20_700)),
+        "it slept, and nobody could be heard meanwhile"
+    );
     assert!(!alone.hears_majority(Moment(20_800)));
 }
--- a/crates/replication/src/replica/tests/founding.rs
+++ b/crates/replication/src/replica/tests/founding.rs
@@ -8,15 +8,31 @@
 
 impl Played {
     fn new(founders: &[u16]) -> Self {
-        let mut played = Played { replicas: BTreeMap::new(), at: 10_000 };
-        founders.iter().for_each(|n| played.start(*n, u128::from(*n), founders, vec![]));
+        let mut played = Played {
+            replicas: BTreeMap::new(),
+            at: 10_000,
+        };
+        founders
+            .iter()
+            .for_each(|n| played.start(*n, u128::from(*n), founders, vec![]));
         played
     }
     fn start(&mut self, n: u16, disk: u128, known: &[u16], records: Vec<Record>) {
-        let me = Voter { address: Address::loopback(n), disk: DiskId(disk) };
+        let me = Voter {
+            address: Address::loopback(n),
+            disk: DiskId(disk),
+        };
         let known = known.iter().map(|n| Address::loopback(*n)).collect();
         let now = Moment(self.at);
-        let replica = Replica::new(me, known, Timing::default(), Kept { records }, Tally(0), now).unwrap();
+        let replica = Replica::new(
+            me,
+            known,
+            Timing::default(),
+            Kept { records },
+            Tally(0),
+            now,
+        )
+        .unwrap();
         self.replicas.insert(n, replica);
     }
     /// Plays this long; gives the records that each wrote.
@@ -24,13 +40,25 @@
         let mut written: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
         for _ in 0..span / 25 {
             self.at += 25;
-            let mut inputs: VecDeque<(u16, Input)> = self.replicas.keys().map(|n| (*n, Input::ClockEvent)).collect();
+            let mut inputs: VecDeque<(u16, Input)> = self
+                .replicas
+                .keys()
+                .map(|n| (*n, Input::ClockEvent))
+                .collect();
             while let Some((n, input)) = inputs.pop_front() {
-                let Some(replica) = self.replicas.get_mut(&n) else { continue };
+                let Some(replica) = self.replicas.get_mut(&n) else {
+                    continue;
+                };
                 for output in replica.step(Moment(self.at), input) {
                     match output {
                         Output::Send { to, note } => {
-                            inputs.push_back((to.0.port(), Input::Note { from: Address::loopback(n), note }));
+                            inputs.push_back((
+                                to.0.port(),
+                                Input::Note {
+                                    from: Address::loopback(n),
+                                    note,
+                                },
+                            ));
                         }
                         Output::Write { id, records, .. } => {
                             written.entry(n).or_default().extend(records);
@@ -44,8 +72,17 @@
         written
     }
     fn chain(&self) -> Vec<(u16, u128)> {
-        let newest = self.replicas.values().map(Replica::view).max_by_key(|view| view.epoch).unwrap();
-        newest.chain.iter().map(|seat| (seat.voter.address.0.port(), seat.voter.disk.0)).collect()
+        let newest = self
+            .replicas
+            .values()
+            .map(Replica::view)
+            .max_by_key(|view| view.epoch)
+            .unwrap();
+        newest
+            .chain
+            .iter()
+            .map(|seat| (seat.voter.address.0.port(), seat.voter.disk.0))
+            .collect()
     }
 }
 
@@ -61,7 +98,9 @@
         played.run(6000);
         let mut chain = played.chain();
         chain.sort_unstable();
-        let wanted = (1..=3u16).map(|n| (n, if n == lost { 77 } else { u128::from(n) })).collect::<Vec<_>>();
+        let wanted = (1..=3u16)
+            .map(|n| (n, if n == lost { 77 } else { u128::from(n) }))
+            .collect::<Vec<_>>();
         assert_eq!(chain, wanted, "without {lost}");
     }
 }
@@ -90,17 +129,62 @@
 
 #[test]
 fn what_a_shrunk_chain_has_on_too_few_disks_is_not_settled() {
-    let mut head = replica(1, vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }]);
-    let ticket = Ticket { origin: Address::loopback(1), number: 1 };
-    let propose = Note::Propose { ticket, body: vec![1] };
-    let outputs = head.step(Moment(10_100), Input::Note { from: Address::loopback(1), note: propose.clone() });
+    let mut head = replica(
+        1,
+        vec![Record::View {
+            view: view(1, &[(1, true), (2, true), (3, true)]),
+        }],
+    );
+    let ticket = Ticket {
+        origin: Address::loopback(1),
+        number: 1,
+    };
+    let propose = Note::Propose {
+        ticket,
+        body: vec![1],
+    };
+    let outputs = head.step(
+        Moment(10_100),
+        Input::Note {
+            from: Address::loopback(1),
+            note: propose.clone(),
+        },
+    );
     let id = outputs.iter().find_map(|output| match output {
         Output::Write { id, .. } => Some(*id),
         _ => None,
     });
-    tell(&mut head, 10_150, 2, Note::Decided { view: view(2, &[(1, true)]) });
-    let outputs = head.step(Moment(10_200), Input::Written { id: id.expect("a write") });
-    assert!(!outputs.iter().any(|output| matches!(output, Output::Settled { .. })), "{outputs:?}");
-    let outputs = head.step(Moment(10_300), Input::Note { from: Address::loopback(1), note: propose });
-    assert!(!outputs.iter().any(|output| matches!(output, Output::Write { .. })), "{outputs:?}");
+    tell(
+        &mut head,
+        10_150,
+        2,
+        Note::Decided {
+            view: view(2, &[(1, true)]),
+        },
+    );
+    let outputs = head.step(
+        Moment(10_200),
+        Input::Written {
+            id: id.expect("a write"),
+        },
+    );
+    assert!(
+        !outputs
+            .iter()
+            .any(|output| matches!(output, Output::Settled { .. })),
+        "{outputs:?}"
+    );
+    let outputs = head.step(
+        Moment(10_300),
+        Input::Note {
+            from: Address::loopback(1),
+            note: propose,
+        },
+    );
+    assert!(
+        !outputs
+            .iter()
+            .any(|output| matches!(output, Output::Write { .. })),
+        "{outputs:?}"
+    );
 }
--- a/crates/replication/src/replica/tests/leaving.rs
+++ b/crates/replication/src/replica/tests/leaving.rs
@@ -5,7 +5,12 @@
 /// The next view is decided by its own voters: most of them may never have given the tail their word.
 #[test]
 fn a_lease_given_by_other_voters_is_not_counted() {
-    let mut tail = replica(3, vec![Record::View { view: view(1, &[(1, true), (2, true), (3, true)]) }]);
+    let mut tail = replica(
+        3,
+        vec![Record::View {
+            view: view(1, &[(1, true), (2, true), (3, true)]),
+        }],
+    );
     assert!(grant_all(&mut tail, 11_000));
     let mut next = view(2, &[(2, true), (3, true)]);
     tell(&mut tail, 11_050, 2, Note::Decided { view: next.clone() });
@@ -13,7 +18,10 @@
     next.epoch = ViewEpoch(3);
     next.voters = vec![voter(4), voter(2), voter(3)];
     tell(&mut tail, 11_070, 2, Note::Decided { view: next });
-    assert!(!tail.may_respond(Moment(11_080)), "of the voters 2, 3 and 4, only 3 is known to keep its word");
+    assert!(
+        !tail.may_respond(Moment(11_080)),
+        "of the voters 2, 3 and 4, only 3 is known to keep its word"
+    );
     assert!(grant_all(&mut tail, 11_100));
 }
 
@@ -23,7 +31,9 @@
         replica.step(Moment(self.at), Input::Leave);
     }
     fn has_handed_over(&self, n: u16) -> bool {
-        self.replicas[usize::from(n) - 1].as_ref().is_some_and(Replica::has_handed_over)
+        self.replicas[usize::from(n) - 1]
+            .as_ref()
+            .is_some_and(Replica::has_handed_over)
     }
 }
 
@@ -67,7 +77,11 @@
         assert_eq!(core.play(200, Some((rest[0], 2))), Some(true), "{leaver}");
         core.start(leaver);
         core.play(2000, None);
-        assert_eq!(core.core().map(|(_, chain, _)| chain), Some(vec![1, 2, 3]), "{leaver} is back");
+        assert_eq!(
+            core.core().map(|(_, chain, _)| chain),
+            Some(vec![1, 2, 3]),
+            "{leaver} is back"
+        );
     }
 }
 
--- a/crates/replication/src/replica/tests/restart.rs
+++ b/crates/replication/src/replica/tests/restart.rs
@@ -2,11 +2,19 @@
 use yare::parameterized;
 
 fn snapshot(last: u64) -> Record {
-    Record::Snapshot { last: Seq(last), stamp: ViewEpoch(1), body: last.to_be_bytes().to_vec() }
+    Record::Snapshot {
+        last: Seq(last),
+        stamp: ViewEpoch(1),
+        body: last.to_be_bytes().to_vec(),
+    }
 }
 
 fn changes(from: u64, to: u64) -> Vec<Record> {
-    (from..=to).map(|seq| Record::Change { change: change(seq, 1) }).collect()
+    (from..=to)
+        .map(|seq| Record::Change {
+            change: change(seq, 1),
+        })
+        .collect()
 }
 
 /// What a disk may hold after a fold: a snapshot with changes from before it, after it, or both. The state is
@@ -19,10 +27,18 @@
     snapshot_alone = { 40, 41, 40 },
 )]
 fn each_change_is_applied_once_whatever_is_older(at: u64, from: u64, to: u64) {
-    let mut records = vec![Record::View { view: view(1, &[(1, true), (2, true)]) }, snapshot(at)];
+    let mut records = vec![
+        Record::View {
+            view: view(1, &[(1, true), (2, true)]),
+        },
+        snapshot(at),
+    ];
     records.extend(changes(from, to));
     let replica = replica(2, records);
-    assert_eq!((replica.state_machine(), replica.state().last), (&Tally(40), Seq(40)));
+    assert_eq!(
+        (replica.state_machine(), replica.state().last),
+        (&Tally(40), Seq(40))
+    );
 }
 
 /// A log that doesn't reach the snapshot lacks changes: nothing of it is served.
@@ -30,18 +46,40 @@
 fn a_log_that_lacks_changes_after_the_snapshot_is_a_fault(at: u64, from: u64, to: u64) {
     let mut records = if at == 0 { vec![] } else { vec![snapshot(at)] };
     records.extend(changes(from, to));
-    let made = Replica::new(voter(1), vec![], Timing::default(), Kept { records }, Tally(0), Moment(0));
+    let made = Replica::new(
+        voter(1),
+        vec![],
+        Timing::default(),
+        Kept { records },
+        Tally(0),
+        Moment(0),
+    );
     assert_eq!(made.err(), Some(KeptFault::Gap(Seq(from))));
 }
 
 /// A log older than its snapshot ends before it: what comes next follows the snapshot, not the log.
 #[test]
 fn a_log_that_ends_before_its_snapshot_does_not_take_the_state_back() {
-    let mut records = vec![Record::View { view: view(1, &[(1, true), (2, true)]) }, snapshot(40)];
+    let mut records = vec![
+        Record::View {
+            view: view(1, &[(1, true), (2, true)]),
+        },
+        snapshot(40),
+    ];
     records.extend(changes(11, 20));
     let replica = replica(2, records);
-    assert_eq!((replica.state_machine(), replica.state().last), (&Tally(40), Seq(40)));
-    assert!(replica.log.back().is_none_or(|newest| newest.seq == Seq(40)), "its log ends at {:?}", replica.log.back());
+    assert_eq!(
+        (replica.state_machine(), replica.state().last),
+        (&Tally(40), Seq(40))
+    );
+    assert!(
+        replica
+            .log
+            .back()
+            .is_none_or(|newest| newest.seq == Seq(40)),
+        "its log ends at {:?}",
+        replica.log.back()
+    );
 }
 
 /// Seed 76001237 of `pahana`: a replica was restarted before a fetched snapshot had reached its disk, had a seat by what it
@@ -49,31 +87,80 @@
 #[test]
 fn one_that_fetched_a_snapshot_asks_for_a_seat_only_once_it_is_on_disk() {
     let chain = [(1, true), (2, true)];
-    let mut behind = replica(3, vec![Record::View { view: view(1, &chain) }]);
+    let mut behind = replica(
+        3,
+        vec![Record::View {
+            view: view(1, &chain),
+        }],
+    );
     let from_tail = |behind: &mut Replica<Tally>, note: Note| {
-        behind.step(Moment(10_000), Input::Note { from: Address::loopback(2), note })
+        behind.step(
+            Moment(10_000),
+            Input::Note {
+                from: Address::loopback(2),
+                note,
+            },
+        )
     };
     let (last, stamp) = (Seq(40), ViewEpoch(1));
-    from_tail(&mut behind, Note::SnapshotOffer { last, stamp, length: 8 });
+    from_tail(
+        &mut behind,
+        Note::SnapshotOffer {
+            last,
+            stamp,
+            length: 8,
+        },
+    );
     let bytes = 40u64.to_be_bytes().to_vec();
-    let outputs = from_tail(&mut behind, Note::SnapshotPiece { last, stamp, offset: 0, length: 8, bytes });
+    let outputs = from_tail(
+        &mut behind,
+        Note::SnapshotPiece {
+            last,
+            stamp,
+            offset: 0,
+            length: 8,
+            bytes,
+        },
+    );
     let written = outputs.iter().find_map(|output| match output {
-        Output::Write { id, is_whole: true, .. } => Some(*id),
+        Output::Write {
+            id, is_whole: true, ..
+        } => Some(*id),
         _ => None,
     });
     let asks = |outputs: Vec<Output>| {
-        outputs.iter().any(|output| matches!(output, Output::Send { note: Note::Follow { .. }, .. }))
+        outputs.iter().any(|output| {
+            matches!(
+                output,
+                Output::Send {
+                    note: Note::Follow { .. },
+                    ..
+                }
+            )
+        })
     };
-    assert!(!asks(behind.step(Moment(10_100), Input::ClockEvent)), "the snapshot isn't synced");
-    behind.step(Moment(10_150), Input::Written { id: written.expect("it writes the snapshot") });
+    assert!(
+        !asks(behind.step(Moment(10_100), Input::ClockEvent)),
+        "the snapshot isn't synced"
+    );
+    behind.step(
+        Moment(10_150),
+        Input::Written {
+            id: written.expect("it writes the snapshot"),
+        },
+    );
     assert!(asks(behind.step(Moment(10_300), Input::ClockEvent)));
 }
 
 /// The same: its predecessor took the number of its last change for the change.
 #[parameterized(same_change = { 2, true }, another_change_of_that_number = { 1, false })]
 fn a_successor_is_level_only_on_the_same_history(stamp: u64, is_level: bool) {
-    let mut records = vec![Record::View { view: view(2, &[(1, true), (2, false)]) }];
-    records.extend((1..=3).map(|seq| Record::Change { change: change(seq, 2) }));
+    let mut records = vec![Record::View {
+        view: view(2, &[(1, true), (2, false)]),
+    }];
+    records.extend((1..=3).map(|seq| Record::Change {
+        change: change(seq, 2),
+    }));
     let mut head = replica(1, records);
     let beat = Note::Beat {
         disk: voter(2).disk,
@@ -86,6 +173,10 @@
         has_members: true,
     };
     let sent = tell(&mut head, 10_050, 2, beat);
-    assert_eq!(sent.iter().any(|(_, note)| matches!(note, Note::Level { .. })), is_level);
+    assert_eq!(
+        sent.iter()
+            .any(|(_, note)| matches!(note, Note::Level { .. })),
+        is_level
+    );
     assert_eq!(head.has_diverged(&voter(2)), !is_level);
 }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -39,7 +39,11 @@
 impl View {
     /// Before the founding: nobody.
     pub fn none() -> View {
-        View { epoch: ViewEpoch(0), chain: vec![], voters: vec![] }
+        View {
+            epoch: ViewEpoch(0),
+            chain: vec![],
+            voters: vec![],
+        }
     }
     /// Where changes enter.
     pub fn head(&self) -> Option<Voter> {
@@ -77,13 +81,36 @@
     }
     /// Whether `next` may follow this view. Each voter checks it before it accepts.
     pub fn may_be_followed_by(&self, next: &View) -> bool {
-        let kept: Vec<Voter> = next.chain.iter().map(|s| s.voter).filter(|v| self.seats(v)).collect();
-        let in_old_order: Vec<Voter> = self.chain.iter().map(|s| s.voter).filter(|v| next.seats(v)).collect();
-        let has_level = next.chain.iter().any(|s| self.seat(&s.voter).is_some_and(|old| old.is_level));
-        let are_newcomers_last = next.chain.iter().skip(kept.len()).all(|s| !self.seats(&s.voter) && !s.is_level);
-        let is_each_once =
-            next.chain.iter().enumerate().all(|(i, s)| next.chain[..i].iter().all(|t| t.voter != s.voter));
-        let are_admitted_seated = next.voters.iter().all(|v| self.has_voter(v) || next.seats(v));
+        let kept: Vec<Voter> = next
+            .chain
+            .iter()
+            .map(|s| s.voter)
+            .filter(|v| self.seats(v))
+            .collect();
+        let in_old_order: Vec<Voter> = self
+            .chain
+            .iter()
+            .map(|s| s.voter)
+            .filter(|v| next.seats(v))
+            .collect();
+        let has_level = next
+            .chain
+            .iter()
+            .any(|s| self.seat(&s.voter).is_some_and(|old| old.is_level));
+        let are_newcomers_last = next
+            .chain
+            .iter()
+            .skip(kept.len())
+            .all(|s| !self.seats(&s.voter) && !s.is_level);
+        let is_each_once = next
+            .chain
+            .iter()
+            .enumerate()
+            .all(|(i, s)| next.chain[..i].iter().all(|t| t.voter != s.voter));
+        let are_admitted_seated = next
+            .voters
+            .iter()
+            .all(|v| self.has_voter(v) || next.seats(v));
         let do_seated_vote = next.chain.iter().all(|s| next.has_voter(&s.voter));
         next.epoch == self.epoch.next()
             && !next.voters.is_empty()
@@ -102,12 +129,21 @@
     use yare::parameterized;
 
     fn voter(n: u16) -> Voter {
-        Voter { address: Address::loopback(n), disk: DiskId(u128::from(n)) }
+        Voter {
+            address: Address::loopback(n),
+            disk: DiskId(u128::from(n)),
+        }
     }
     fn view(epoch: u64, chain: &[(u16, bool)], voters: &[u16]) -> View {
         View {
             epoch: ViewEpoch(epoch),
-            chain: chain.iter().map(|(n, is_level)| Seat { voter: voter(*n), is_level: *is_level }).collect(),
+            chain: chain
+                .iter()
+                .map(|(n, is_level)| Seat {
+                    voter: voter(*n),
+                    is_level: *is_level,
+                })
+                .collect(),
             voters: voters.iter().map(|n| voter(*n)).collect(),
         }
     }
--- a/crates/router/src/authorization.rs
+++ b/crates/router/src/authorization.rs
@@ -21,19 +21,31 @@
         return Ok(None);
     }
     let key = key.map(|key| tenants.digest(key));
-    let known = key.and_then(|key| Some(Credentials { key, priority: tenants.tenant(&key)?.priority }));
+    let known = key.and_then(|key| {
+        Some(Credentials {
+            key,
+            priority: tenants.tenant(&key)?.priority,
+        })
+    });
     known.map(Some).ok_or_else(unauthorized)
 }
 
 /// The final answer to a request whose key the plan in force doesn't know.
 pub(crate) fn unauthorized() -> Denial {
     let why = "no tenant of the plan in force has this API key".to_owned();
-    Denial { code: ResultCode::Unauthorized, why, retry_after: Span(0) }
+    Denial {
+        code: ResultCode::Unauthorized,
+        why,
+        retry_after: Span(0),
+    }
 }
 
 /// A tenant's quota; `None`: it has no limit.
 pub(crate) fn quota_limit(tenant: &TenantPlan) -> Option<QuotaLimit> {
-    let (rate, burst) = (Amount::fraction(tenant.rate_per_s), Amount::fraction(tenant.burst));
+    let (rate, burst) = (
+        Amount::fraction(tenant.rate_per_s),
+        Amount::fraction(tenant.burst),
+    );
     tenant.is_limited().then_some(QuotaLimit { rate, burst })
 }
 
--- a/crates/router/src/call_limits.rs
+++ b/crates/router/src/call_limits.rs
@@ -84,7 +84,9 @@
             head_span: Span(bounds.header_read_ms),
             idle_span: Span(bounds.idle_timeout_ms),
         });
-        let accepted = |(name, service): (&String, &ServicePlan)| (name.as_str().into(), service.connections as usize);
+        let accepted = |(name, service): (&String, &ServicePlan)| {
+            (name.as_str().into(), service.connections as usize)
+        };
         let mut held = self.held();
         held.accepted = plan.services.iter().map(accepted).collect();
         self.hold_to_shares(&mut held);
@@ -100,7 +102,8 @@
     /// A connection to this address is wanted for a service: it's held to the share of that.
     pub fn hold(&self, address: SocketAddr, service: &ServiceName) {
         let mut held = self.held();
-        self.lines.set_per_address(address, self.share(&held, service));
+        self.lines
+            .set_per_address(address, self.share(&held, service));
         if held.services.get(&address) != Some(service) {
             held.services.insert(address, service.clone());
         }
--- a/crates/router/src/call_limits/tests.rs
+++ b/crates/router/src/call_limits/tests.rs
@@ -16,14 +16,27 @@
 fn shares_never_add_up_to_more_than_a_server_accepts(accepted: usize, members: usize) {
     let share = connection_share(accepted, members);
     let joining = members.max(1).div_ceil(JOINING_PART);
-    assert!(share >= 1 && share * (members + joining) <= accepted, "{share} each of {members} and {joining}");
+    assert!(
+        share >= 1 && share * (members + joining) <= accepted,
+        "{share} each of {members} and {joining}"
+    );
 }
 
 #[test]
 fn a_share_is_one_at_least_and_no_more_than_a_node_holds() {
     assert_eq!([connection_share(5, 88), connection_share(1, 1)], [1, 1]);
-    assert_eq!([connection_share(100_000, 2), connection_share(0, 88)], [MOST_TO_ONE_SERVER; 2]);
-    assert_eq!([connection_share(690, 88), connection_share(590, 88), connection_share(650, 12)], [6, 5, 46]);
+    assert_eq!(
+        [connection_share(100_000, 2), connection_share(0, 88)],
+        [MOST_TO_ONE_SERVER; 2]
+    );
+    assert_eq!(
+        [
+            connection_share(690, 88),
+            connection_share(590, 88),
+            connection_share(650, 12)
+        ],
+        [6, 5, 46]
+    );
 }
 
 /// A server that keeps its connections, and answers once released.
@@ -34,7 +47,10 @@
 
 impl Server {
     fn start() -> Server {
-        let bounds = GateBounds { keep_alive: true, ..GateBounds::default() };
+        let bounds = GateBounds {
+            keep_alive: true,
+            ..GateBounds::default()
+        };
         let gate = Gate::open("127.0.0.1:0".parse().expect("an address"), bounds).expect("a port");
         let address = gate.address().0;
         let (work, at_work) = flume::unbounded();
@@ -51,8 +67,17 @@
 }
 
 fn ask(lines: &Lines, address: SocketAddr) -> Result<Line, LineError> {
-    let request = http::Request::builder().uri("/").header("host", "a").body(Bytes::new()).expect("a request");
-    let waits = Waits { connect: GUARD, head_deadline: Clock::now() + GUARD, may_leave: &|| true, client: None };
+    let request = http::Request::builder()
+        .uri("/")
+        .header("host", "a")
+        .body(Bytes::new())
+        .expect("a request");
+    let waits = Waits {
+        connect: GUARD,
+        head_deadline: Clock::now() + GUARD,
+        may_leave: &|| true,
+        client: None,
+    };
     lines.ask(address, request, &waits)
 }
 
@@ -62,9 +87,23 @@
 }
 
 fn limits(mutant: Option<LimitsMutant>) -> (CallLimits, Lines) {
-    let gate = Gate::open("127.0.0.1:0".parse().expect("an address"), GateBounds::default()).expect("a port");
-    let lines = Lines::new(LinesBounds { per_address: 64, idle_per_address: 32, idle_span: GUARD });
-    (CallLimits { mutant, ..CallLimits::new(gate.limiter(), lines.clone()) }, lines)
+    let gate = Gate::open(
+        "127.0.0.1:0".parse().expect("an address"),
+        GateBounds::default(),
+    )
+    .expect("a port");
+    let lines = Lines::new(LinesBounds {
+        per_address: 64,
+        idle_per_address: 32,
+        idle_span: GUARD,
+    });
+    (
+        CallLimits {
+            mutant,
+            ..CallLimits::new(gate.limiter(), lines.clone())
+        },
+        lines,
+    )
 }
 
 /// Asks so often at the same time; the requests are answered once all that could be sent have come.
@@ -75,13 +114,22 @@
             std::thread::spawn(move || ask(&lines, address))
         })
         .collect();
-    let full = |asking: &[std::thread::JoinHandle<_>]| asking.iter().filter(|one| one.is_finished()).count();
+    let full = |asking: &[std::thread::JoinHandle<_>]| {
+        asking.iter().filter(|one| one.is_finished()).count()
+    };
     let mut at_work = vec![];
     while at_work.len() + full(&asking) < count {
-        at_work.extend(server.at_work.recv_timeout(std::time::Duration::from_millis(5)));
+        at_work.extend(
+            server
+                .at_work
+                .recv_timeout(std::time::Duration::from_millis(5)),
+        );
     }
     at_work.clear();
-    asking.into_iter().map(|one| one.join().expect("no panic")).collect()
+    asking
+        .into_iter()
+        .map(|one| one.join().expect("no panic"))
+        .collect()
 }
 
 fn opens_its_share_alone(mutant: Option<LimitsMutant>) -> bool {
@@ -101,9 +149,18 @@
     let server = Server::start();
     limits.take_plan(&plan(15));
     limits.hold(server.address, &"s".into());
-    let opened: Vec<Line> = ask_at_once(&lines, &server, 6).into_iter().flatten().collect();
+    let opened: Vec<Line> = ask_at_once(&lines, &server, 6)
+        .into_iter()
+        .flatten()
+        .collect();
     opened.into_iter().for_each(Line::keep);
-    assert_eq!((lines.open_count(server.address), lines.idle_count(server.address)), (6, 6));
+    assert_eq!(
+        (
+            lines.open_count(server.address),
+            lines.idle_count(server.address)
+        ),
+        (6, 6)
+    );
     limits.take_members(4);
     lines.open_count(server.address) <= 3
 }
@@ -116,7 +173,9 @@
 #[test]
 fn each_mutant_is_caught() {
     assert!(!opens_its_share_alone(Some(LimitsMutant::TakeAll)));
-    assert!(!closes_what_rests_beyond_its_share(Some(LimitsMutant::ForgetIdle)));
+    assert!(!closes_what_rests_beyond_its_share(Some(
+        LimitsMutant::ForgetIdle
+    )));
 }
 
 #[test]
@@ -125,11 +184,20 @@
     let server = Server::start();
     limits.take_plan(&plan(15));
     limits.hold(server.address, &"s".into());
-    let opened: Vec<Line> = ask_at_once(&lines, &server, 6).into_iter().flatten().collect();
+    let opened: Vec<Line> = ask_at_once(&lines, &server, 6)
+        .into_iter()
+        .flatten()
+        .collect();
     limits.take_plan(&plan(4));
     assert_eq!(lines.open_count(server.address), 6, "in use");
     opened.into_iter().for_each(Line::keep);
-    assert_eq!((lines.open_count(server.address), lines.idle_count(server.address)), (2, 2));
+    assert_eq!(
+        (
+            lines.open_count(server.address),
+            lines.idle_count(server.address)
+        ),
+        (2, 2)
+    );
 }
 
 #[test]
@@ -139,9 +207,21 @@
     let both = serde_json::json!({"services": {"s": {"connections": 2}, "t": {"connections": 8}}});
     limits.take_plan(&parse_plan(both.to_string().as_bytes()).expect("a good plan"));
     limits.hold(server.address, &"s".into());
-    assert_eq!(ask_at_once(&lines, &server, 6).into_iter().flatten().count(), 1);
+    assert_eq!(
+        ask_at_once(&lines, &server, 6)
+            .into_iter()
+            .flatten()
+            .count(),
+        1
+    );
     limits.hold(server.address, &"t".into());
-    assert_eq!(ask_at_once(&lines, &server, 6).into_iter().flatten().count(), 4);
+    assert_eq!(
+        ask_at_once(&lines, &server, 6)
+            .into_iter()
+            .flatten()
+            .count(),
+        4
+    );
 }
 
 #[test]
--- a/crates/router/src/carrier.rs
+++ b/crates/router/src/carrier.rs
@@ -40,10 +40,18 @@
 }
 
 /// Finds a server that takes the request, going on to others as far as the errand allows.
-fn ask_servers<T>(trip: &mut Trip, first: ErrandOutput, ask: impl Fn(&Placing) -> Result<T, NotTaken>) -> Asked<T> {
+fn ask_servers<T>(
+    trip: &mut Trip,
+    first: ErrandOutput,
+    ask: impl Fn(&Placing) -> Result<T, NotTaken>,
+) -> Asked<T> {
     match trip.go(first, |placing, _| ask(placing)) {
         Gone::Opened(placing, heard) => Asked::Opened(placing, heard),
-        Gone::Told(denial) => Asked::Told(trip.shared.refusal(denial.code, denial.why, denial.retry_after)),
+        Gone::Told(denial) => Asked::Told(trip.shared.refusal(
+            denial.code,
+            denial.why,
+            denial.retry_after,
+        )),
         // Only a stream that was carried is ever cut.
         Gone::Cut(why) => Asked::Told(trip.shared.refusal(ResultCode::Unknown, why, Span(0))),
     }
@@ -70,14 +78,19 @@
 }
 
 /// Takes a prompt request.
-pub(crate) fn take_request(shared: &Arc<Shared>, body: &[u8], api_key: Option<&ApiKey>) -> Response {
+pub(crate) fn take_request(
+    shared: &Arc<Shared>,
+    body: &[u8],
+    api_key: Option<&ApiKey>,
+) -> Response {
     Tallies::more(&shared.tallies.received);
     let request: ClientRequest = match serde_json::from_slice(body) {
         Ok(request) => request,
         Err(fault) => return shared.refusal(ResultCode::BadRequest, fault.to_string(), Span(0)),
     };
     if !request.id.is_sound() || !request.service.is_sound() || request.max_pieces == 0 {
-        let why = "id and service are 1 to 64 letters, digits or any of -_.:, max_pieces is at least 1";
+        let why =
+            "id and service are 1 to 64 letters, digits or any of -_.:, max_pieces is at least 1";
         return shared.refusal(ResultCode::BadRequest, why.into(), Span(0));
     }
     let key = match shared.authorize(api_key) {
@@ -85,7 +98,11 @@
         Err(denial) => return shared.refusal(denial.code, denial.why, denial.retry_after),
     };
     let Some(place) = shared.take_place(request.id.clone(), shared.next_number()) else {
-        return shared.refusal(ResultCode::Busy, "this node is at its bound of requests".into(), Span(1000));
+        return shared.refusal(
+            ResultCode::Busy,
+            "this node is at its bound of requests".into(),
+            Span(1000),
+        );
     };
     let hashes = block_hashes(request.prompt.as_bytes(), shared.block_bytes, 256);
     let wanted = Wanted::of_service(request.service.clone(), ServiceKind::Stream, key, hashes);
@@ -103,8 +120,14 @@
         let body = serde_json::to_vec(&run).expect("a run request is JSON");
         let patience = Span(stall.0.min(placing.first_token.0 * 2 + 1000));
         let (sharing, epoch) = (shared.clone(), placing.epoch);
-        let asked = Ask::post(body).connect(CONNECT).read(patience).only_if(move || sharing.may_leave(epoch));
-        opened(placing, asked.send(&format!("http://{}/runs", placing.server)))
+        let asked = Ask::post(body)
+            .connect(CONNECT)
+            .read(patience)
+            .only_if(move || sharing.may_leave(epoch));
+        opened(
+            placing,
+            asked.send(&format!("http://{}/runs", placing.server)),
+        )
     };
     match ask_servers(&mut trip, first, ask) {
         Asked::Told(answer) => answer,
@@ -115,7 +138,14 @@
                 head["token"] = token.into();
             }
             let (server, run) = (placing.server, placing.run);
-            let reading = Reading { request: request.id, server, run, from: 0, is_resumable, is_first_read: true };
+            let reading = Reading {
+                request: request.id,
+                server,
+                run,
+                from: 0,
+                is_resumable,
+                is_first_read: true,
+            };
             stream(shared, trip.place, reading, head, response)
         }
     }
@@ -132,20 +162,36 @@
     }
     let number = shared.next_number();
     let Some(place) = shared.take_place(resume_id(number), number) else {
-        return shared.refusal(ResultCode::Busy, "this node is at its bound of requests".into(), Span(1000));
+        return shared.refusal(
+            ResultCode::Busy,
+            "this node is at its bound of requests".into(),
+            Span(1000),
+        );
     };
-    let input = NodeInput::Resume { number, token: request.token.clone() };
-    let token = match shared.ask_control(input, ControlEvent::Resume).unwrap_or_else(|| Err(silence())) {
+    let input = NodeInput::Resume {
+        number,
+        token: request.token.clone(),
+    };
+    let token = match shared
+        .ask_control(input, ControlEvent::Resume)
+        .unwrap_or_else(|| Err(silence()))
+    {
         Ok(token) => token,
         Err(denial) => return shared.refusal(denial.code, denial.why, denial.retry_after),
     };
-    let url = format!("http://{}/runs/{}?from={}", token.server, token.run, request.from);
+    let url = format!(
+        "http://{}/runs/{}?from={}",
+        token.server, token.run, request.from
+    );
     let out_of_reach = |why: String| shared.refusal(ResultCode::OutOfReach, why, Span(0));
     // A server that has the run begins at once; only its pieces may be long in coming.
     let (heard, inbox) = flume::bounded(1);
     let stall = shared.stall;
     let asking = move || drop(heard.send(Ask::get().connect(CONNECT).read(stall).send(&url)));
-    if let Err(fault) = std::thread::Builder::new().name("resume".into()).spawn(asking) {
+    if let Err(fault) = std::thread::Builder::new()
+        .name("resume".into())
+        .spawn(asking)
+    {
         return out_of_reach(format!("no thread to ask server {}: {fault}", token.server));
     }
     let Ok(asked) = inbox.recv_timeout(RESUME_HEAD.duration()) else {
@@ -155,16 +201,36 @@
         Ok(response) if response.status() == 200 => {
             Tallies::more(&shared.tallies.resumed);
             let head = serde_json::json!({"request": token.request, "run": token.run, "from": request.from, "token": request.token});
-            let Token { request: id, server, run, .. } = token;
+            let Token {
+                request: id,
+                server,
+                run,
+                ..
+            } = token;
             let from = request.from;
-            let reading = Reading { request: id, server, run, from, is_resumable: true, is_first_read: false };
+            let reading = Reading {
+                request: id,
+                server,
+                run,
+                from,
+                is_resumable: true,
+                is_first_read: false,
+            };
             stream(shared, place, reading, head, response)
         }
         Ok(response) if matches!(response.status(), 404 | 410) => {
-            let why = format!("server {} no longer has that run from there ({})", token.server, response.status());
+            let why = format!(
+                "server {} no longer has that run from there ({})",
+                token.server,
+                response.status()
+            );
             shared.refusal(ResultCode::ResumeFailed, why, Span(0))
         }
-        Ok(response) => out_of_reach(format!("server {} replied {}", token.server, response.status())),
+        Ok(response) => out_of_reach(format!(
+            "server {} replied {}",
+            token.server,
+            response.status()
+        )),
         Err(fault) => out_of_reach(format!("server {}: {fault}", token.server)),
     }
 }
@@ -194,16 +260,33 @@
     // No client's id has a slash.
     let request = request.unwrap_or_else(|| RequestId(format!("page/{number}")));
     let Some(place) = shared.take_place(request.clone(), number) else {
-        return shared.refusal(ResultCode::Busy, "this node is at its bound of requests".into(), Span(1000));
+        return shared.refusal(
+            ResultCode::Busy,
+            "this node is at its bound of requests".into(),
+            Span(1000),
+        );
     };
-    let (mut trip, first) = Trip::new(place, Wanted::of_service(service, ServiceKind::Fetch, key, vec![]), None);
+    let (mut trip, first) = Trip::new(
+        place,
+        Wanted::of_service(service, ServiceKind::Fetch, key, vec![]),
+        None,
+    );
     let ask = |placing: &Placing| {
         let patience = Span(shared.stall.0.min(placing.first_token.0 * 2 + 1000));
         let (sharing, epoch) = (shared.clone(), placing.epoch);
-        let asked = Ask::get().connect(CONNECT).read(patience).only_if(move || sharing.may_leave(epoch));
-        let asked = placing.life.into_iter().fold(asked, |asked, life| asked.header(LIFE_HEADER, life.to_string()));
-        let response = opened(placing, asked.send(&format!("http://{}/pages/{path}", placing.server)))?;
-        read_page(response, 8 << 20).map_err(|fault| NotTaken::Failed(Failure::Unknown, fault.to_string()))
+        let asked = Ask::get()
+            .connect(CONNECT)
+            .read(patience)
+            .only_if(move || sharing.may_leave(epoch));
+        let asked = placing.life.into_iter().fold(asked, |asked, life| {
+            asked.header(LIFE_HEADER, life.to_string())
+        });
+        let response = opened(
+            placing,
+            asked.send(&format!("http://{}/pages/{path}", placing.server)),
+        )?;
+        read_page(response, 8 << 20)
+            .map_err(|fault| NotTaken::Failed(Failure::Unknown, fault.to_string()))
     };
     match ask_servers(&mut trip, first, ask) {
         Asked::Told(answer) => answer,
@@ -288,7 +371,13 @@
 }
 
 /// Starts reading the server's stream and gives the client's side of it.
-fn stream(shared: &Arc<Shared>, place: Place, reading: Reading, head: serde_json::Value, response: Heard) -> Response {
+fn stream(
+    shared: &Arc<Shared>,
+    place: Place,
+    reading: Reading,
+    head: serde_json::Value,
+    response: Heard,
+) -> Response {
     let (outbox, inbox) = flume::bounded(16);
     let request = reading.request.clone();
     let has_gone = Arc::new(AtomicBool::new(false));
@@ -316,7 +405,13 @@
 }
 
 /// Reads the server's stream, piece by piece in order, until its explicit end.
-fn read(shared: &Shared, reading: &Reading, response: Heard, outbox: &flume::Sender<Carried>, has_gone: &AtomicBool) {
+fn read(
+    shared: &Shared,
+    reading: &Reading,
+    response: Heard,
+    outbox: &flume::Sender<Carried>,
+    has_gone: &AtomicBool,
+) {
     let request = &reading.request;
     let mut reader = PieceReader::new(reading.run.clone(), reading.from);
     let mut is_first = reading.is_first_read;
@@ -342,7 +437,9 @@
         };
         if is_first && matches!(carried, Carried::Line(_) | Carried::End(_)) {
             is_first = false;
-            shared.tell(NodeInput::Event(Event::FirstToken { request: request.clone() }));
+            shared.tell(NodeInput::Event(Event::FirstToken {
+                request: request.clone(),
+            }));
         }
         let is_end = matches!(carried, Carried::End(_));
         let is_cut = matches!(carried, Carried::Cut);
