--- a/crates/router/src/chart.rs
+++ b/crates/router/src/chart.rs
@@ -309,9 +309,15 @@
                 let is_asked = before == RequestState::Placed;
                 may_have_run |= is_asked && matches!(input, Open | Fail(Failure::Unknown));
                 let is_repeat = may_have_run && output == ChartOutput::AskServer;
-                assert!(!(is_repeat && is_once), "seed {number}: a once-only request was repeated");
+                assert!(
+                    !(is_repeat && is_once),
+                    "seed {number}: a once-only request was repeated"
+                );
                 if let ChartOutput::Tell(code) = output {
-                    assert!(!(code.is_refusal() && may_have_run), "seed {number}: {code} after it may have run");
+                    assert!(
+                        !(code.is_refusal() && may_have_run),
+                        "seed {number}: {code} after it may have run"
+                    );
                 }
             }
         }
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -37,7 +37,11 @@
 impl Default for Dialects {
     /// The product's own.
     fn default() -> Self {
-        Dialects { plans: Arc::new(OwnPlans), calls: None, seeds: None }
+        Dialects {
+            plans: Arc::new(OwnPlans),
+            calls: None,
+            seeds: None,
+        }
     }
 }
 
@@ -60,12 +64,21 @@
     let inner: Address = settings.inner.parse()?;
     let seeds = parse_addresses(&settings.seeds);
     if seeds.is_empty() {
-        return Err("seeds is empty: the inner address of at least one controller is needed".into());
+        return Err(
+            "seeds is empty: the inner address of at least one controller is needed".into(),
+        );
     }
-    let listener = TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
+    let listener =
+        TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let connections = settings.requests as usize + 112;
-    let bounds = GateBounds { connections, body_bytes: 4 << 20, read_span: Span::seconds(10), ..GateBounds::default() };
-    let gate = Gate::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))?;
+    let bounds = GateBounds {
+        connections,
+        body_bytes: 4 << 20,
+        read_span: Span::seconds(10),
+        ..GateBounds::default()
+    };
+    let gate =
+        Gate::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))?;
     let (sender, events) = flume::bounded::<ControlEvent>(QUEUE);
     let take_letter = sender.clone();
     let post = Post::open(listener, move |from, letter| {
@@ -74,10 +87,22 @@
     .map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let incarnation = new_life();
     let scheduler_rules = settings.scheduler_rules();
-    let head = ReplayHead { own: inner, incarnation, scheduler_rules: scheduler_rules.clone() };
+    let head = ReplayHead {
+        own: inner,
+        incarnation,
+        scheduler_rules: scheduler_rules.clone(),
+    };
     let now = Clock::now();
     let zone = ZoneName::from(settings.zone.as_str());
-    let mut node = Node::new(inner, zone, seeds, incarnation, NodeTiming::default(), scheduler_rules, now);
+    let mut node = Node::new(
+        inner,
+        zone,
+        seeds,
+        incarnation,
+        NodeTiming::default(),
+        scheduler_rules,
+        now,
+    );
     let shared = Arc::new(Shared {
         control: sender.clone(),
         may_act_until: AtomicU64::new(0),
@@ -99,14 +124,18 @@
             let ingress = Ingress::open(settings, shared.clone(), dialect.clone())?;
             node = node.reading_list(settings.list_timing());
             let (platform, control) = (settings.platform.parse()?, sender.clone());
-            let tell = move |reading| drop(control.send(ControlEvent::Input(NodeInput::List(reading))));
-            let list = list_reader::start(platform, dialect, tell).map_err(|fault| fault.to_string())?;
+            let tell =
+                move |reading| drop(control.send(ControlEvent::Input(NodeInput::List(reading))));
+            let list =
+                list_reader::start(platform, dialect, tell).map_err(|fault| fault.to_string())?;
             (Some(ingress), Some(list))
         }
         None => {
             let control = sender.clone();
-            let tell_scheduler = move |event| drop(control.send(ControlEvent::Input(NodeInput::Event(event))));
-            poller::start(settings.platform.clone(), tell_scheduler).map_err(|fault| fault.to_string())?;
+            let tell_scheduler =
+                move |event| drop(control.send(ControlEvent::Input(NodeInput::Event(event))));
+            poller::start(settings.platform.clone(), tell_scheduler)
+                .map_err(|fault| fault.to_string())?;
             (None, None)
         }
     };
@@ -122,7 +151,9 @@
     let (closer, open_count) = (gate.closer(), gate.open_count());
     let gate_door = door.clone();
     let gate_thread = move || gate.serve(move |request| gate_door.clone().respond(&request));
-    let gate_thread = std::thread::Builder::new().name("gate".into()).spawn(gate_thread);
+    let gate_thread = std::thread::Builder::new()
+        .name("gate".into())
+        .spawn(gate_thread);
     let gate_thread = gate_thread.map_err(|fault| fault.to_string())?;
 
     let stop = Arc::new(AtomicBool::new(false));
@@ -130,8 +161,12 @@
         signal_hook::flag::register(signal, stop.clone()).map_err(|fault| fault.to_string())?;
     }
     let has_changed = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(signal_hook::consts::SIGHUP, has_changed.clone()).map_err(|fault| fault.to_string())?;
-    tracing::info!("router: listens at {listen}, inner {inner}, zone {}.", settings.zone);
+    signal_hook::flag::register(signal_hook::consts::SIGHUP, has_changed.clone())
+        .map_err(|fault| fault.to_string())?;
+    tracing::info!(
+        "router: listens at {listen}, inner {inner}, zone {}.",
+        settings.zone
+    );
     let mut control = Control {
         node,
         post,
@@ -151,23 +186,28 @@
         if now >= next_tick {
             control.take(ControlEvent::Input(NodeInput::ClockEvent));
             if stop.load(Ordering::Relaxed) && !control.is_leaving {
-                tracing::info!("router: not ready any more; takes what is still sent to it for a moment.");
+                tracing::info!(
+                    "router: not ready any more; takes what is still sent to it for a moment."
+                );
                 control.is_leaving = true;
                 ingress.iter().for_each(Ingress::leave);
                 leaving = Some(LeavingSchedule::new(now, settings, has_calls));
             }
-            let reads_seeds_again =
-                now >= next_reading && control.node.lease_state().reason(now) != LeaseStatus::Leased;
+            let reads_seeds_again = now >= next_reading
+                && control.node.lease_state().reason(now) != LeaseStatus::Leased;
             if has_changed.swap(false, Ordering::Relaxed) || reads_seeds_again {
                 next_reading = now + SETTINGS_PERIOD;
                 let seeds = dialects.seeds.as_ref().and_then(|read| read());
-                seeds.into_iter().for_each(|seeds| control.take(ControlEvent::Input(NodeInput::Seeds(seeds))));
+                seeds
+                    .into_iter()
+                    .for_each(|seeds| control.take(ControlEvent::Input(NodeInput::Seeds(seeds))));
             }
             if let Some(schedule) = &leaving {
                 if now >= schedule.short_from {
                     shared.ends_at.store(schedule.end.0, Ordering::SeqCst);
                 }
-                let has_none_left = ingress.is_some() && now >= schedule.quiet_from && shared.is_quiet(now);
+                let has_none_left =
+                    ingress.is_some() && now >= schedule.quiet_from && shared.is_quiet(now);
                 if (now >= schedule.none_from || has_none_left) && !is_draining {
                     tracing::info!("router: takes no new work; finishes what is in hand.");
                     control.take(ControlEvent::Input(NodeInput::Drain));
@@ -182,7 +222,9 @@
                 let deadline = Clock::now() + Span::seconds(if has_calls { 1 } else { 2 });
                 let is_open = || {
                     open_count.load(Ordering::SeqCst) > 0
-                        || ingress.as_ref().is_some_and(|ingress| ingress.open_count() > 0)
+                        || ingress
+                            .as_ref()
+                            .is_some_and(|ingress| ingress.open_count() > 0)
                 };
                 while is_open() && Clock::now() < deadline {
                     control.take_all(&events);
@@ -191,12 +233,19 @@
                 return Ok(0);
             }
             if leaving.as_ref().is_some_and(|schedule| now >= schedule.end) {
-                tracing::warn!("router: stopped with {} requests in hand.", control.node.open_count());
+                tracing::warn!(
+                    "router: stopped with {} requests in hand.",
+                    control.node.open_count()
+                );
                 return Ok(1);
             }
         }
         // Asked again after each event, since it may have brought something that is due sooner.
-        next_tick = control.node.next_timer().max(now + Span(1)).min(now + LONGEST_TICK);
+        next_tick = control
+            .node
+            .next_timer()
+            .max(now + Span(1))
+            .min(now + LONGEST_TICK);
         if let Ok(event) = events.recv_timeout(now.until(next_tick).duration()) {
             control.take(event);
         }
@@ -220,7 +269,11 @@
     /// others, nothing is taken that might not end in time.
     fn new(now: Moment, settings: &Settings, has_calls: bool) -> Self {
         let short_from = now + Span(settings.linger_ms);
-        let short_for = if has_calls { Span(settings.drain_ms * 2 / 3) } else { Span(0) };
+        let short_for = if has_calls {
+            Span(settings.drain_ms * 2 / 3)
+        } else {
+            Span(0)
+        };
         LeavingSchedule {
             short_from,
             quiet_from: now + QUIET_FROM,
@@ -283,19 +336,33 @@
         let tallies = &self.door.shared.tallies;
         let until = self.node.may_act_until(now);
         // First the epoch: whoever sees the longer lease is to see what it was given for.
-        self.door.shared.epoch.store(self.node.epoch().0, Ordering::SeqCst);
-        self.door.shared.may_act_until.store(until.0, Ordering::SeqCst);
+        self.door
+            .shared
+            .epoch
+            .store(self.node.epoch().0, Ordering::SeqCst);
+        self.door
+            .shared
+            .may_act_until
+            .store(until.0, Ordering::SeqCst);
         let is_ready = self.node.is_ready(now) && !self.is_leaving;
         self.door.is_ready.store(is_ready, Ordering::SeqCst);
         self.door.shared.is_ready.store(is_ready, Ordering::SeqCst);
         // First the members: a plan is put into force for as many as there are.
         self.door.shared.take_members(self.node.member_count());
-        self.door.shared.take_plan(self.node.plan(), self.node.tenants());
+        self.door
+            .shared
+            .take_plan(self.node.plan(), self.node.tenants());
         tallies.epoch.store(self.node.epoch().0, Ordering::Relaxed);
-        tallies.may_act.store(u64::from(now < until), Ordering::Relaxed);
+        tallies
+            .may_act
+            .store(u64::from(now < until), Ordering::Relaxed);
         for output in outputs {
             match output {
-                NodeOutput::Send { to, is_bulk, letter } => {
+                NodeOutput::Send {
+                    to,
+                    is_bulk,
+                    letter,
+                } => {
                     let class = PostClass::of(&letter, is_bulk);
                     self.post.send(to, class, letter);
                 }
@@ -323,7 +390,9 @@
                     }
                 }
                 NodeOutput::Event(dated) => {
-                    self.door.events.add(|_| serde_json::to_string(&dated).expect("an event is JSON"));
+                    self.door
+                        .events
+                        .add(|_| serde_json::to_string(&dated).expect("an event is JSON"));
                 }
                 NodeOutput::Decision(at, decision) => self.note(at, &decision),
                 NodeOutput::Log(line) => tracing::info!("{line}."),
@@ -335,7 +404,11 @@
     fn read_plan(&self, plan_epoch: Epoch, bytes: Arc<Vec<u8>>) {
         let (control, plans) = (self.door.shared.control.clone(), self.plans.clone());
         let read = move || {
-            let input = NodeInput::Plan { plan_epoch, plan: plans.parse(&bytes).map(Arc::new), bytes };
+            let input = NodeInput::Plan {
+                plan_epoch,
+                plan: plans.parse(&bytes).map(Arc::new),
+                bytes,
+            };
             let _ = control.send(ControlEvent::Input(input));
         };
         if let Err(fault) = std::thread::Builder::new().name("plan".into()).spawn(read) {
@@ -413,13 +486,15 @@
     let (tasks, jobs) = flume::bounded::<KvTask>(128);
     for _ in 0..2 {
         let (jobs, control) = (jobs.clone(), control.clone());
-        std::thread::Builder::new().name("kv".into()).spawn(move || {
-            while let Ok(task) = jobs.recv() {
-                if let Some(event) = do_kv(task) {
-                    let _ = control.send(ControlEvent::Input(NodeInput::Event(event)));
+        std::thread::Builder::new()
+            .name("kv".into())
+            .spawn(move || {
+                while let Ok(task) = jobs.recv() {
+                    if let Some(event) = do_kv(task) {
+                        let _ = control.send(ControlEvent::Input(NodeInput::Event(event)));
+                    }
                 }
-            }
-        })?;
+            })?;
     }
     Ok(tasks)
 }
@@ -429,20 +504,44 @@
 fn do_kv(task: KvTask) -> Option<placement::prelude::Event> {
     const PATIENCE: Span = Span(500);
     match task {
-        KvTask::Copy { prefix, holder, target } => {
+        KvTask::Copy {
+            prefix,
+            holder,
+            target,
+        } => {
             let ask = |server: &ServerName, way: &str, other: &ServerName| {
-                let body = serde_json::json!({"prefix": prefix, "peer": other}).to_string().into_bytes();
-                let outcome = ask_post(&format!("http://{server}/kv/{way}"), body, PATIENCE, PATIENCE);
+                let body = serde_json::json!({"prefix": prefix, "peer": other})
+                    .to_string()
+                    .into_bytes();
+                let outcome = ask_post(
+                    &format!("http://{server}/kv/{way}"),
+                    body,
+                    PATIENCE,
+                    PATIENCE,
+                );
                 outcome.map(|response| response.status()).unwrap_or(0)
             };
             let export = ask(&holder, "export", &target);
-            let import = if export == 202 { ask(&target, "import", &holder) } else { 0 };
+            let import = if export == 202 {
+                ask(&target, "import", &holder)
+            } else {
+                0
+            };
             let is_unknown = |status: u16| status == 404 || status == 405;
             let (is_taken, knows_kv) = (export == 202 && import == 202, !is_unknown(import));
-            Some(placement::prelude::Event::CopyFate { prefix, server: target, is_taken, knows_kv })
+            Some(placement::prelude::Event::CopyFate {
+                prefix,
+                server: target,
+                is_taken,
+                knows_kv,
+            })
         }
         KvTask::Drop { prefix, server } => {
-            let _ = ask_delete(&format!("http://{server}/kv/{}", prefix.0), PATIENCE, PATIENCE);
+            let _ = ask_delete(
+                &format!("http://{server}/kv/{}", prefix.0),
+                PATIENCE,
+                PATIENCE,
+            );
             None
         }
     }
@@ -459,14 +558,20 @@
 
 impl Door {
     fn respond(self: Arc<Self>, request: &Request) -> Response {
-        let api_key = request.header("authorization").and_then(ApiKey::from_bearer);
+        let api_key = request
+            .header("authorization")
+            .and_then(ApiKey::from_bearer);
         let api_key = api_key.as_ref();
         match (request.method.as_str(), request.parts().as_slice()) {
             ("POST", ["v1", "requests"]) => take_request(&self.shared, &request.body, api_key),
             ("POST", ["v1", "resume"]) => resume(&self.shared, &request.body, api_key),
-            ("GET", ["v1", "pages", service, rest @ ..]) => {
-                fetch(&self.shared, service, &rest.join("/"), request.header("x-request-id"), api_key)
-            }
+            ("GET", ["v1", "pages", service, rest @ ..]) => fetch(
+                &self.shared,
+                service,
+                &rest.join("/"),
+                request.header("x-request-id"),
+                api_key,
+            ),
             ("GET", ["ready"]) => {
                 if self.is_ready.load(Ordering::SeqCst) {
                     Response::whole(200, "text/plain", "ready\n")
@@ -474,33 +579,46 @@
                     Response::whole(503, "text/plain", "not ready\n")
                 }
             }
-            ("GET", ["metrics"]) => Response::whole(200, "text/plain; version=0.0.4", self.shared.tallies.text()),
+            ("GET", ["metrics"]) => {
+                Response::whole(200, "text/plain; version=0.0.4", self.shared.tallies.text())
+            }
             ("GET", ["v1", "believes"]) => {
                 let (response, inbox) = flume::bounded(1);
                 let _ = self.shared.control.send(ControlEvent::Believes(response));
                 match inbox.recv_timeout(Duration::from_secs(5)) {
                     Ok(value) => Response::json(200, &value),
-                    Err(_) => Response::result(ResultCode::NotReady, "the control thread gave no answer"),
+                    Err(_) => {
+                        Response::result(ResultCode::NotReady, "the control thread gave no answer")
+                    }
                 }
             }
             ("GET", ["v1", "decisions"]) => self.tail(request, JournalKind::Decisions),
             ("GET", ["v1", "events"]) => self.tail(request, JournalKind::Events),
             ("POST", ["v1", "events"]) => self.push(&request.body),
-            _ => {
-                Response::result(ResultCode::NotFound, format!("{} {} is not known here", request.method, request.path))
-            }
+            _ => Response::result(
+                ResultCode::NotFound,
+                format!("{} {} is not known here", request.method, request.path),
+            ),
         }
     }
 
     fn tail(self: Arc<Self>, request: &Request, kind: JournalKind) -> Response {
         let cursor = match request.query_word("after").map(str::parse) {
             Some(Ok(cursor)) => cursor,
-            Some(Err(_)) => return Response::result(ResultCode::BadRequest, "after is not a number"),
+            Some(Err(_)) => {
+                return Response::result(ResultCode::BadRequest, "after is not a number");
+            }
             None => 0,
         };
         let does_follow = request.query_word("follow") == Some("true");
         let head = (cursor == 0 && kind == JournalKind::Events).then(|| format!("{}\n", self.head));
-        let source = JournalSource { door: self, kind, cursor, does_follow, head };
+        let source = JournalSource {
+            door: self,
+            kind,
+            cursor,
+            does_follow,
+            head,
+        };
         Response::streamed("application/x-ndjson", Box::new(source))
     }
 
@@ -511,10 +629,19 @@
             return Response::result(ResultCode::BadRequest, "the body is not UTF-8");
         };
         let mut events = vec![];
-        for (place, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
+        for (place, line) in text
+            .lines()
+            .enumerate()
+            .filter(|(_, line)| !line.trim().is_empty())
+        {
             use placement::prelude::Event as E;
             match serde_json::from_str::<E>(line) {
-                Ok(E::Rules { .. } | E::Members { .. } | E::ServerList { .. } | E::PeerSketch { .. }) => {
+                Ok(
+                    E::Rules { .. }
+                    | E::Members { .. }
+                    | E::ServerList { .. }
+                    | E::PeerSketch { .. },
+                ) => {
                     let why = format!(
                         "line {}: rules, members, the server list and peer sketches come from the fleet alone",
                         place + 1
@@ -522,12 +649,20 @@
                     return Response::result(ResultCode::BadRequest, why);
                 }
                 Ok(event) => events.push(event),
-                Err(fault) => return Response::result(ResultCode::BadRequest, format!("line {}: {fault}", place + 1)),
+                Err(fault) => {
+                    return Response::result(
+                        ResultCode::BadRequest,
+                        format!("line {}: {fault}", place + 1),
+                    );
+                }
             }
         }
         let count = events.len();
         for event in events {
-            let _ = self.shared.control.send(ControlEvent::Input(NodeInput::Event(event)));
+            let _ = self
+                .shared
+                .control
+                .send(ControlEvent::Input(NodeInput::Event(event)));
         }
         Response::json(200, &serde_json::json!({"taken": count}))
     }
@@ -556,13 +691,21 @@
             JournalKind::Decisions => &self.door.decisions,
             JournalKind::Events => &self.door.events,
         };
-        let patience = if self.does_follow { patience } else { Duration::ZERO };
+        let patience = if self.does_follow {
+            patience
+        } else {
+            Duration::ZERO
+        };
         let (lines, cursor) = journal.after(self.cursor, 256, patience);
         self.cursor = cursor;
         if !lines.is_empty() {
             return Pull::Piece((lines.join("\n") + "\n").into_bytes().into());
         }
-        if self.does_follow { Pull::Nothing } else { Pull::End }
+        if self.does_follow {
+            Pull::Nothing
+        } else {
+            Pull::End
+        }
     }
 }
 
--- a/crates/router/src/daemon/tests.rs
+++ b/crates/router/src/daemon/tests.rs
@@ -2,13 +2,24 @@
 
 fn schedule(linger_ms: u64, drain_ms: u64, has_calls: bool) -> LeavingSchedule {
     let defaults = read_settings::<Settings>(None).expect("defaults");
-    LeavingSchedule::new(Moment(100_000), &Settings { linger_ms, drain_ms, ..defaults }, has_calls)
+    LeavingSchedule::new(
+        Moment(100_000),
+        &Settings {
+            linger_ms,
+            drain_ms,
+            ..defaults
+        },
+        has_calls,
+    )
 }
 
 #[test]
 fn a_process_told_to_stop_takes_less_and_less() {
     let found = schedule(1000, 6000, true);
-    assert_eq!((found.short_from, found.none_from, found.end), (Moment(101_000), Moment(105_000), Moment(107_000)));
+    assert_eq!(
+        (found.short_from, found.none_from, found.end),
+        (Moment(101_000), Moment(105_000), Moment(107_000))
+    );
     assert_eq!(found.quiet_from, Moment(102_500));
 }
 
@@ -16,5 +27,8 @@
 #[test]
 fn without_deadlines_nothing_is_taken_after_the_lingering() {
     let found = schedule(1500, 60_000, false);
-    assert_eq!((found.short_from, found.none_from, found.end), (Moment(101_500), Moment(101_500), Moment(161_500)));
+    assert_eq!(
+        (found.short_from, found.none_from, found.end),
+        (Moment(101_500), Moment(101_500), Moment(161_500))
+    );
 }
--- a/crates/router/src/dissemination.rs
+++ b/crates/router/src/dissemination.rs
@@ -77,18 +77,29 @@
 }
 
 fn change_of<'a>(before: &Arc<Digest>, digest: &Digest, told: &'a mut Vec<Told>) -> &'a Told {
-    let place = told.iter().position(|known| Arc::ptr_eq(&known.before, before)).unwrap_or_else(|| {
-        let change = digest.change_from(before);
-        let is_some = change.is_some();
-        let missing = || digest.missing.iter().copied().collect();
-        let change = change.unwrap_or_else(|| DigestChange { missing: missing(), ..DigestChange::default() });
-        let mut after = before.clone();
-        if is_some {
-            Arc::make_mut(&mut after).apply(&change);
-        }
-        told.push(Told { before: before.clone(), change, is_some, after });
-        told.len() - 1
-    });
+    let place = told
+        .iter()
+        .position(|known| Arc::ptr_eq(&known.before, before))
+        .unwrap_or_else(|| {
+            let change = digest.change_from(before);
+            let is_some = change.is_some();
+            let missing = || digest.missing.iter().copied().collect();
+            let change = change.unwrap_or_else(|| DigestChange {
+                missing: missing(),
+                ..DigestChange::default()
+            });
+            let mut after = before.clone();
+            if is_some {
+                Arc::make_mut(&mut after).apply(&change);
+            }
+            told.push(Told {
+                before: before.clone(),
+                change,
+                is_some,
+                after,
+            });
+            told.len() - 1
+        });
     &told[place]
 }
 
@@ -142,21 +153,33 @@
     /// The members changed.
     pub fn set_members(&mut self, members: &[Member]) {
         self.zones.clear();
-        self.zone_of = members.iter().map(|member| (member.address, member.zone.clone())).collect();
+        self.zone_of = members
+            .iter()
+            .map(|member| (member.address, member.zone.clone()))
+            .collect();
         for member in members {
-            self.zones.entry(member.zone.clone()).or_default().insert(member.address);
+            self.zones
+                .entry(member.zone.clone())
+                .or_default()
+                .insert(member.address);
         }
         let zone_of = &self.zone_of;
         self.outgoing.retain(|(_, to), _| zone_of.contains_key(to));
-        self.incoming.retain(|(_, from), _| zone_of.contains_key(from));
+        self.incoming
+            .retain(|(_, from), _| zone_of.contains_key(from));
         self.asked.retain(|member, _| zone_of.contains_key(member));
-        self.suspects.retain(|member, _| zone_of.contains_key(member));
+        self.suspects
+            .retain(|member, _| zone_of.contains_key(member));
     }
 
     /// The node that collects a zone's digests, as far as is known here.
     pub fn collector(&self, zone: &ZoneName) -> Option<Address> {
         let members = self.zones.get(zone)?;
-        let is_trusted = |member: &&Address| self.suspects.get(*member).is_none_or(|until| self.now >= *until);
+        let is_trusted = |member: &&Address| {
+            self.suspects
+                .get(*member)
+                .is_none_or(|until| self.now >= *until)
+        };
         members.iter().find(is_trusted).or(members.first()).copied()
     }
 
@@ -167,12 +190,16 @@
 
     /// A node does not do what collectors do: another is to be one for a while.
     pub fn suspect(&mut self, member: Address) {
-        self.suspects.insert(member, self.now + self.timing.suspicion);
+        self.suspects
+            .insert(member, self.now + self.timing.suspicion);
     }
 
     /// How many nodes report here.
     pub fn reporters(&self) -> usize {
-        self.incoming.keys().filter(|(leg, _)| *leg == DigestLeg::Report).count()
+        self.incoming
+            .keys()
+            .filter(|(leg, _)| *leg == DigestLeg::Report)
+            .count()
     }
 
     /// Time has passed, and this is what the node sees now. Gives letters to be sent.
@@ -183,7 +210,8 @@
             self.give_up();
             self.expire();
             self.report();
-            let is_collector = self.collector(&self.zone) == Some(self.own) || self.collected.is_some();
+            let is_collector =
+                self.collector(&self.zone) == Some(self.own) || self.collected.is_some();
             if is_collector && self.now >= self.next_collect {
                 self.collect();
             }
@@ -211,14 +239,20 @@
         }
         let heard = self.now;
         let slot = self.incoming.entry((leg, from));
-        let slot = slot.or_insert(Incoming { life: 0, number: 0, digest: Digest::default(), heard });
+        let slot = slot.or_insert(Incoming {
+            life: 0,
+            number: 0,
+            digest: Digest::default(),
+            heard,
+        });
         let follows = slot.life == life && number == slot.number + 1 && slot.number > 0;
         if slot.life == life && number <= slot.number && number > 0 {
             // An older one, late.
             return vec![];
         }
         if !is_whole && !follows {
-            self.letters.push((from, Letter::DigestAck { leg, number: 0 }));
+            self.letters
+                .push((from, Letter::DigestAck { leg, number: 0 }));
             return std::mem::take(&mut self.letters);
         }
         if is_whole {
@@ -237,7 +271,13 @@
     }
 
     /// An answer to a digest came, or a collector wants one.
-    pub fn on_ack(&mut self, now: Moment, from: Address, leg: DigestLeg, number: u64) -> Vec<(Address, Letter)> {
+    pub fn on_ack(
+        &mut self,
+        now: Moment,
+        from: Address,
+        leg: DigestLeg,
+        number: u64,
+    ) -> Vec<(Address, Letter)> {
         self.now = self.now.max(now);
         let is_own_zone = self.zone_of.get(&from) == Some(&self.zone);
         if let Some(outgoing) = self.outgoing.get_mut(&(leg, from)) {
@@ -262,11 +302,15 @@
     /// Those that have not answered are passed over.
     fn give_up(&mut self) {
         let is_late = |at: Moment| self.now.since(at) >= self.timing.patience;
-        let late = self.outgoing.iter().filter(|(_, out)| out.awaited.is_some_and(is_late));
+        let late = self
+            .outgoing
+            .iter()
+            .filter(|(_, out)| out.awaited.is_some_and(is_late));
         let late: Vec<(DigestLeg, Address)> = late.map(|(key, _)| *key).collect();
         for key in late {
             self.outgoing.remove(&key);
-            self.suspects.insert(key.1, self.now + self.timing.suspicion);
+            self.suspects
+                .insert(key.1, self.now + self.timing.suspicion);
         }
     }
 
@@ -276,14 +320,20 @@
         // another tells the same zone's sum.
         let zone_of = &self.zone_of;
         let mut tellers: BTreeMap<&ZoneName, Moment> = BTreeMap::new();
-        for ((_, from), incoming) in self.incoming.iter().filter(|((leg, _), _)| *leg == DigestLeg::Zone) {
+        for ((_, from), incoming) in self
+            .incoming
+            .iter()
+            .filter(|((leg, _), _)| *leg == DigestLeg::Zone)
+        {
             let newest = tellers.entry(&zone_of[from]).or_default();
             *newest = incoming.heard.max(*newest);
         }
         self.incoming.retain(|(leg, from), incoming| {
             let is_idle = match leg {
                 DigestLeg::Report => incoming.digest.is_empty(),
-                DigestLeg::Zone => incoming.digest.is_empty() && tellers[&zone_of[from]] <= incoming.heard,
+                DigestLeg::Zone => {
+                    incoming.digest.is_empty() && tellers[&zone_of[from]] <= incoming.heard
+                }
                 DigestLeg::Fleet => false,
             };
             is_idle || now.since(incoming.heard) < life
@@ -295,9 +345,15 @@
     }
 
     fn report(&mut self) {
-        let Some(collector) = self.collector(&self.zone).filter(|collector| *collector != self.own) else { return };
+        let Some(collector) = self
+            .collector(&self.zone)
+            .filter(|collector| *collector != self.own)
+        else {
+            return;
+        };
         // One that was reported to before and is no more is not kept up.
-        self.outgoing.retain(|(leg, to), _| *leg != DigestLeg::Report || *to == collector);
+        self.outgoing
+            .retain(|(leg, to), _| *leg != DigestLeg::Report || *to == collector);
         let seen = self.seen.clone();
         self.keep_up(DigestLeg::Report, collector, &seen, &mut vec![]);
     }
@@ -305,9 +361,14 @@
     /// Sums up what was told here, and tells it on.
     fn collect(&mut self) {
         // The more there is to sum up, the less often.
-        self.next_collect = self.now + Span(self.timing.pause.0 * (1 + self.reporters() as u64 / 32));
+        self.next_collect =
+            self.now + Span(self.timing.pause.0 * (1 + self.reporters() as u64 / 32));
         let is_collector = self.collector(&self.zone) == Some(self.own);
-        let mut zone_sum = if is_collector { self.seen.clone() } else { Digest::default() };
+        let mut zone_sum = if is_collector {
+            self.seen.clone()
+        } else {
+            Digest::default()
+        };
         for ((leg, _), incoming) in &self.incoming {
             if *leg == DigestLeg::Report {
                 zone_sum.add(&incoming.digest);
@@ -319,24 +380,30 @@
             .filter(|zone| **zone != self.zone)
             .map(|zone| (zone.clone(), self.collector(zone)))
             .collect();
-        let has_other = self.incoming.iter().any(|((leg, _), told)| *leg == DigestLeg::Zone && !told.digest.is_empty());
+        let has_other = self
+            .incoming
+            .iter()
+            .any(|((leg, _), told)| *leg == DigestLeg::Zone && !told.digest.is_empty());
         if zone_sum.is_empty() && !has_other && self.collected.is_none() {
             return;
         }
         let members = self.zones.get(&self.zone).cloned().unwrap_or_default();
         let is_told = |member: &Address| self.incoming.contains_key(&(DigestLeg::Report, *member));
         let is_in = |member: &Address| is_told(member) || (is_collector && *member == self.own);
-        zone_sum.missing = members.iter().copied().filter(|member| !is_in(member)).collect();
+        zone_sum.missing = members
+            .iter()
+            .copied()
+            .filter(|member| !is_in(member))
+            .collect();
         zone_sum.bound_sum();
         if is_collector {
             self.ask_missing(&zone_sum.missing);
         }
         let mut fleet = zone_sum.clone();
         for zone in self.zones.keys().filter(|zone| **zone != self.zone) {
-            let told = self
-                .incoming
-                .iter()
-                .filter(|((leg, from), _)| *leg == DigestLeg::Zone && self.zone_of.get(from) == Some(zone));
+            let told = self.incoming.iter().filter(|((leg, from), _)| {
+                *leg == DigestLeg::Zone && self.zone_of.get(from) == Some(zone)
+            });
             let mut missing = self.zones[zone].clone();
             for (_, incoming) in told {
                 fleet.add(&incoming.digest);
@@ -346,7 +413,9 @@
         }
         fleet.bound_sum();
         for (_, collector) in others {
-            collector.into_iter().for_each(|to| self.keep_up(DigestLeg::Zone, to, &zone_sum, &mut vec![]));
+            collector
+                .into_iter()
+                .for_each(|to| self.keep_up(DigestLeg::Zone, to, &zone_sum, &mut vec![]));
         }
         let mut told = vec![];
         for member in members {
@@ -370,14 +439,22 @@
             let pause = Span(self.timing.refresh.0 << times.min(5));
             if times == 0 || self.now.since(at) >= pause {
                 self.asked.insert(*member, (self.now, times + 1));
-                self.letters.push((*member, Letter::DigestAck { leg: DigestLeg::Report, number: 0 }));
+                self.letters.push((
+                    *member,
+                    Letter::DigestAck {
+                        leg: DigestLeg::Report,
+                        number: 0,
+                    },
+                ));
             }
         }
     }
 
     /// The collector's sum less this node's part of it is that of all others.
     fn take_sum(&mut self, from: Address) {
-        let Some(incoming) = self.incoming.get(&(DigestLeg::Fleet, from)) else { return };
+        let Some(incoming) = self.incoming.get(&(DigestLeg::Fleet, from)) else {
+            return;
+        };
         if self.collector(&self.zone) != Some(from) {
             return;
         }
@@ -408,8 +485,14 @@
 
     fn tell(&mut self, leg: DigestLeg, to: Address, digest: &Digest, told: &mut Vec<Told>) {
         let now = self.now;
-        let fresh =
-            || Outgoing { held: Arc::default(), number: 0, sent: now, next: now, awaited: None, is_whole_wanted: true };
+        let fresh = || Outgoing {
+            held: Arc::default(),
+            number: 0,
+            sent: now,
+            next: now,
+            awaited: None,
+            is_whole_wanted: true,
+        };
         let out = self.outgoing.entry((leg, to)).or_insert_with(fresh);
         let is_whole = std::mem::replace(&mut out.is_whole_wanted, false);
         if is_whole {
@@ -420,11 +503,23 @@
         out.held = known.after.clone();
         out.number += 1;
         out.sent = now;
-        out.next = now + Span(self.timing.pause.0.max(change.bytes() / self.timing.bytes_a_ms));
+        out.next = now
+            + Span(
+                self.timing
+                    .pause
+                    .0
+                    .max(change.bytes() / self.timing.bytes_a_ms),
+            );
         if leg != DigestLeg::Fleet {
             out.awaited = out.awaited.or(Some(now));
         }
-        let letter = Letter::Digest { leg, life: self.life, number: out.number, is_whole, change: Box::new(change) };
+        let letter = Letter::Digest {
+            leg,
+            life: self.life,
+            number: out.number,
+            is_whole,
+            change: Box::new(change),
+        };
         self.letters.push((to, letter));
     }
 }
--- a/crates/router/src/dissemination/tests.rs
+++ b/crates/router/src/dissemination/tests.rs
@@ -24,12 +24,21 @@
     fn new(zones: u16, each: u16) -> Self {
         let members: Vec<Member> = (1..=zones)
             .flat_map(|zone| (0..each).map(move |n| (zone, zone * 100 + n)))
-            .map(|(zone, port)| Member { address: node(port), zone: ZoneName(format!("zone-{zone}")) })
+            .map(|(zone, port)| Member {
+                address: node(port),
+                zone: ZoneName(format!("zone-{zone}")),
+            })
             .collect();
         let fresh = |member: &Member| {
             let life = u64::from(member.address.0.port());
             let zone = member.zone.clone();
-            let mut one = Dissemination::new(member.address, zone, life, DigestTiming::default(), Moment(1000));
+            let mut one = Dissemination::new(
+                member.address,
+                zone,
+                life,
+                DigestTiming::default(),
+                Moment(1000),
+            );
             one.set_members(&members);
             (member.address, one)
         };
@@ -70,18 +79,26 @@
         while self.now < until {
             self.now += 5;
             let now = self.now;
-            let (deadline, later) = std::mem::take(&mut self.under_way).into_iter().partition(|(at, ..)| *at <= now);
+            let (deadline, later) = std::mem::take(&mut self.under_way)
+                .into_iter()
+                .partition(|(at, ..)| *at <= now);
             self.under_way = later;
             let deadline: Vec<(u64, Address, Address, Letter)> = deadline;
             for (_, from, to, letter) in deadline {
                 if self.dead.contains(&to) || self.dead.contains(&from) {
                     continue;
                 }
-                let Some(one) = self.nodes.get_mut(&to) else { continue };
+                let Some(one) = self.nodes.get_mut(&to) else {
+                    continue;
+                };
                 let letters = match letter {
-                    Letter::Digest { leg, life, number, is_whole, change } => {
-                        one.on_digest(Moment(now), from, leg, life, number, is_whole, &change)
-                    }
+                    Letter::Digest {
+                        leg,
+                        life,
+                        number,
+                        is_whole,
+                        change,
+                    } => one.on_digest(Moment(now), from, leg, life, number, is_whole, &change),
                     Letter::DigestAck { leg, number } => one.on_ack(Moment(now), from, leg, number),
                     _ => vec![],
                 };
@@ -94,15 +111,20 @@
                     continue;
                 }
                 let seen = self.seen.get(&address).cloned().unwrap_or_default();
-                let letters =
-                    self.nodes.get_mut(&address).map(|one| one.on_clock(Moment(now), seen)).unwrap_or_default();
+                let letters = self
+                    .nodes
+                    .get_mut(&address)
+                    .map(|one| one.on_clock(Moment(now), seen))
+                    .unwrap_or_default();
                 self.send(address, letters);
             }
         }
     }
 
     fn load_at(&self, at: Address) -> u16 {
-        self.sums.get(&at).map_or(0, |sum| sum.count(DigestKey::Load(SERVER)))
+        self.sums
+            .get(&at)
+            .map_or(0, |sum| sum.count(DigestKey::Load(SERVER)))
     }
 }
 
@@ -134,9 +156,16 @@
     }
     wire.see(node(303), 6);
     let began = wire.now;
-    while all.iter().any(|one| wire.load_at(*one) != if *one == node(303) { 11 } else { 16 }) {
+    while all
+        .iter()
+        .any(|one| wire.load_at(*one) != if *one == node(303) { 11 } else { 16 })
+    {
         wire.run(5);
-        assert!(wire.now - began < 1200, "not everywhere after 1200 ms: {:?}", all.map(|one| wire.load_at(one)));
+        assert!(
+            wire.now - began < 1200,
+            "not everywhere after 1200 ms: {:?}",
+            all.map(|one| wire.load_at(one))
+        );
     }
 }
 
@@ -159,22 +188,39 @@
     wire.dead.insert(node(200));
     wire.run(6000);
     for one in all.iter().filter(|one| **one != node(200)) {
-        assert_eq!(wire.load_at(*one), 10, "{one}: all but its own and the dead one's");
+        assert_eq!(
+            wire.load_at(*one),
+            10,
+            "{one}: all but its own and the dead one's"
+        );
         assert_eq!(wire.sums[one].missing, BTreeSet::from([node(200)]), "{one}");
     }
     // It comes back in a new life and knows nothing.
     wire.dead.clear();
-    let mut back = Dissemination::new(node(200), "zone-2".into(), 9999, DigestTiming::default(), Moment(wire.now));
+    let mut back = Dissemination::new(
+        node(200),
+        "zone-2".into(),
+        9999,
+        DigestTiming::default(),
+        Moment(wire.now),
+    );
     let members: Vec<Member> = all
         .iter()
-        .map(|one| Member { address: *one, zone: ZoneName(format!("zone-{}", one.0.port() / 100)) })
+        .map(|one| Member {
+            address: *one,
+            zone: ZoneName(format!("zone-{}", one.0.port() / 100)),
+        })
         .collect();
     back.set_members(&members);
     wire.nodes.insert(node(200), back);
     wire.run(25_000);
     for one in &all {
         assert_eq!(wire.load_at(*one), 11, "{one}");
-        assert_eq!(wire.nodes[one].collector(&"zone-2".into()), Some(node(200)), "{one}");
+        assert_eq!(
+            wire.nodes[one].collector(&"zone-2".into()),
+            Some(node(200)),
+            "{one}"
+        );
     }
 }
 
@@ -187,7 +233,10 @@
     let lost: BTreeSet<Address> = (300..304).map(node).collect();
     wire.dead = lost.clone();
     wire.run(6000);
-    assert_eq!((wire.load_at(node(101)), &wire.sums[&node(101)].missing), (7, &lost));
+    assert_eq!(
+        (wire.load_at(node(101)), &wire.sums[&node(101)].missing),
+        (7, &lost)
+    );
 }
 
 #[test]
--- a/crates/router/src/errand.rs
+++ b/crates/router/src/errand.rs
@@ -63,7 +63,13 @@
     }
     fn begin_with(mut chart: Chart) -> (Errand, ErrandOutput) {
         chart.step(ChartInput::Admit);
-        let errand = Errand { chart, placed: None, tried: vec![], why: String::new(), retry_after: Span(0) };
+        let errand = Errand {
+            chart,
+            placed: None,
+            tried: vec![],
+            why: String::new(),
+            retry_after: Span(0),
+        };
         let first = errand.ask_scheduler();
         (errand, first)
     }
@@ -100,12 +106,14 @@
             ErrandInput::Open => self.chart.step(ChartInput::Open),
             ErrandInput::Fail(failure, why) => {
                 self.why = why;
-                self.tried.extend(self.placed.as_ref().map(|placing| placing.server.clone()));
+                self.tried
+                    .extend(self.placed.as_ref().map(|placing| placing.server.clone()));
                 self.chart.step(ChartInput::Fail(failure))
             }
             ErrandInput::Tear(why) => {
                 self.why = why;
-                self.tried.extend(self.placed.as_ref().map(|placing| placing.server.clone()));
+                self.tried
+                    .extend(self.placed.as_ref().map(|placing| placing.server.clone()));
                 self.chart.step(ChartInput::Tear)
             }
         };
@@ -121,11 +129,23 @@
     }
 
     fn ask_scheduler(&self) -> ErrandOutput {
-        let (round, tried, may_have_run) = (self.chart.rounds(), self.tried.clone(), self.chart.may_have_run());
-        ErrandOutput::AskScheduler { round, tried, may_have_run }
+        let (round, tried, may_have_run) = (
+            self.chart.rounds(),
+            self.tried.clone(),
+            self.chart.may_have_run(),
+        );
+        ErrandOutput::AskScheduler {
+            round,
+            tried,
+            may_have_run,
+        }
     }
 
     fn tell(&self, code: ResultCode) -> ErrandOutput {
-        ErrandOutput::Tell(Denial { code, why: self.why.clone(), retry_after: self.retry_after })
+        ErrandOutput::Tell(Denial {
+            code,
+            why: self.why.clone(),
+            retry_after: self.retry_after,
+        })
     }
 }
--- a/crates/router/src/event_splitter.rs
+++ b/crates/router/src/event_splitter.rs
@@ -43,7 +43,10 @@
         };
         self.seen = 0;
         let bytes = self.pending.split_to(end).freeze();
-        Some(StreamEvent { id: event_id(&bytes), bytes })
+        Some(StreamEvent {
+            id: event_id(&bytes),
+            bytes,
+        })
     }
     /// What is left once the stream has ended.
     pub fn rest(&mut self) -> Bytes {
--- a/crates/router/src/event_splitter/tests.rs
+++ b/crates/router/src/event_splitter/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use yare::parameterized;
 
-const STREAM: &[u8] = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweight-versions: 3\nid:3\ndata: c\ndata: d\n\n";
+const STREAM: &[u8] =
+    b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweight-versions: 3\nid:3\ndata: c\ndata: d\n\n";
 
 #[parameterized(
     at_once = { 1000 },
@@ -16,8 +17,14 @@
         splitter.push(piece);
         events.extend(std::iter::from_fn(|| splitter.next_event()));
     }
-    assert_eq!(events.iter().map(|event| event.id).collect::<Vec<_>>(), [Some(1), Some(2), Some(3)]);
-    let bytes: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
+    assert_eq!(
+        events.iter().map(|event| event.id).collect::<Vec<_>>(),
+        [Some(1), Some(2), Some(3)]
+    );
+    let bytes: Vec<u8> = events
+        .iter()
+        .flat_map(|event| event.bytes.to_vec())
+        .collect();
     assert_eq!(bytes, STREAM);
     assert!(splitter.rest().is_empty());
 }
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -74,7 +74,9 @@
     /// Answers a client's request.
     pub fn respond(self: &Arc<Self>, request: Request) -> Response {
         let arrived = Clock::now();
-        self.shared.arrived.store(arrived.0, std::sync::atomic::Ordering::Relaxed);
+        self.shared
+            .arrived
+            .store(arrived.0, std::sync::atomic::Ordering::Relaxed);
         let client = request.client.clone();
         Tallies::more(&self.shared.tallies.received);
         let call = match self.dialect.read(request) {
@@ -82,41 +84,83 @@
             Err(denial) => return self.refuse(None, &denial),
         };
         let deny = |code: ResultCode, why: &str, after: u64| {
-            let denial = Denial { code, why: why.to_owned(), retry_after: Span(after) };
+            let denial = Denial {
+                code,
+                why: why.to_owned(),
+                retry_after: Span(after),
+            };
             self.refuse(Some(&call.id), &denial)
         };
-        let Some(plan) = self.shared.plan_in_force().filter(|_| self.shared.may_act()) else {
+        let Some(plan) = self
+            .shared
+            .plan_in_force()
+            .filter(|_| self.shared.may_act())
+        else {
             return deny(ResultCode::NotReady, "this node may not act", 300);
         };
         let Some(route) = plan.routes.route(&call.host, call.path()) else {
-            return deny(ResultCode::UnknownService, "no accepted plan has a route for this", 0);
+            return deny(
+                ResultCode::UnknownService,
+                "no accepted plan has a route for this",
+                0,
+            );
         };
         let credentials = match authorize(&plan.tenants, route.public, call.api_key.as_ref()) {
             Ok(credentials) => credentials,
             Err(denial) => return self.refuse(Some(&call.id), &denial),
         };
         let key = u64::from_be_bytes(
-            blake3::hash(call.id.as_str().as_bytes()).as_bytes()[..8].try_into().unwrap_or_default(),
+            blake3::hash(call.id.as_str().as_bytes()).as_bytes()[..8]
+                .try_into()
+                .unwrap_or_default(),
         );
         let Some(service) = route.service_for(key).map(ServiceName::from) else {
             return deny(ResultCode::UnknownService, "the route leads nowhere", 0);
         };
         let left = Span(call.left.0.min(route.deadline_ms));
         if !self.shared.ends_in_time(arrived + left) {
-            return deny(ResultCode::Draining, "this node stops before that must have ended; another takes it", 0);
+            return deny(
+                ResultCode::Draining,
+                "this node stops before that must have ended; another takes it",
+                0,
+            );
         }
-        let Some(place) = self.shared.take_place(call.id.clone(), self.shared.next_number()) else {
-            return deny(ResultCode::Busy, "this node is at its bound of requests", 200);
+        let Some(place) = self
+            .shared
+            .take_place(call.id.clone(), self.shared.next_number())
+        else {
+            return deny(
+                ResultCode::Busy,
+                "this node is at its bound of requests",
+                200,
+            );
+        };
+        let priority = credentials
+            .and_then(|tenant| tenant.priority)
+            .unwrap_or(route.priority);
+        let demand = Demand {
+            rank: priority as u8,
+            target: Span(route.target_ms),
+            deadline: left,
+            ..call.demand.clone()
         };
-        let priority = credentials.and_then(|tenant| tenant.priority).unwrap_or(route.priority);
-        let demand =
-            Demand { rank: priority as u8, target: Span(route.target_ms), deadline: left, ..call.demand.clone() };
         let urgency = demand.urgency();
         let does_stream = route.kind == RouteKind::Stream;
-        let kind = if does_stream { ServiceKind::Stream } else { ServiceKind::Fetch };
+        let kind = if does_stream {
+            ServiceKind::Stream
+        } else {
+            ServiceKind::Fetch
+        };
         let hashes = call.hashes.clone();
         let key = credentials.map(|tenant| tenant.key);
-        let wanted = Wanted { service, kind, route: Some(route.name.clone()), key, hashes, demand };
+        let wanted = Wanted {
+            service,
+            kind,
+            route: Some(route.name.clone()),
+            key,
+            hashes,
+            demand,
+        };
         let (trip, first) = Trip::new(place, wanted, Some(route.max_tries as u32));
         let way = Way {
             forwarder: self.clone(),
@@ -173,7 +217,11 @@
             Gone::Told(denial) => {
                 // A failure that a server owned up to is the server's to tell.
                 let is_refusal = denial.code.is_refusal();
-                return match self.answer.take().filter(|answer| !is_refusal && !PROMISES.contains(&answer.0)) {
+                return match self
+                    .answer
+                    .take()
+                    .filter(|answer| !is_refusal && !PROMISES.contains(&answer.0))
+                {
                     Some(answer) => {
                         let (status, headers, body) = *answer;
                         Response::passed(status, headers, body)
@@ -182,7 +230,11 @@
                 };
             }
             Gone::Cut(why) => {
-                let denial = Denial { code: ResultCode::Unknown, why, retry_after: Span(0) };
+                let denial = Denial {
+                    code: ResultCode::Unknown,
+                    why,
+                    retry_after: Span(0),
+                };
                 return self.forwarder.refuse(Some(&self.call.id), &denial);
             }
         };
@@ -214,7 +266,19 @@
     }
 
     fn go(&mut self, first: ErrandOutput) -> Gone<Opening> {
-        let Way { forwarder, call, trip, does_stream, target, urgency, client, deadline, last, answer, .. } = self;
+        let Way {
+            forwarder,
+            call,
+            trip,
+            does_stream,
+            target,
+            urgency,
+            client,
+            deadline,
+            last,
+            answer,
+            ..
+        } = self;
         let asking = Asking {
             forwarder,
             call,
@@ -223,17 +287,30 @@
             urgency: *urgency,
             client,
             deadline: *deadline,
-            last: if forwarder.is_mutant(Mutant::ResumeFromStart) { call.after } else { *last },
+            last: if forwarder.is_mutant(Mutant::ResumeFromStart) {
+                call.after
+            } else {
+                *last
+            },
         };
         trip.go(first, |placing, chart| {
-            asking.ask(placing, chart).map_err(|not_taken| match not_taken {
-                Ok(failed) => {
-                    *answer = failed.answer;
-                    let is_repeated = forwarder.is_mutant(Mutant::RepeatAnything);
-                    NotTaken::Failed(if is_repeated { Failure::Refused } else { failed.failure }, failed.why)
-                }
-                Err(other) => other,
-            })
+            asking
+                .ask(placing, chart)
+                .map_err(|not_taken| match not_taken {
+                    Ok(failed) => {
+                        *answer = failed.answer;
+                        let is_repeated = forwarder.is_mutant(Mutant::RepeatAnything);
+                        NotTaken::Failed(
+                            if is_repeated {
+                                Failure::Refused
+                            } else {
+                                failed.failure
+                            },
+                            failed.why,
+                        )
+                    }
+                    Err(other) => other,
+                })
         })
     }
 }
@@ -254,7 +331,11 @@
     /// Asks one server, up to the first piece of its answer, or the whole of it.
     fn ask(&self, placing: &Placing, chart: &Chart) -> Result<Opening, Result<Failed, NotTaken>> {
         let fail = |failure: Failure, why: String| {
-            Ok(Failed { failure, why: format!("server {}: {why}", placing.server), answer: None })
+            Ok(Failed {
+                failure,
+                why: format!("server {}: {why}", placing.server),
+                answer: None,
+            })
         };
         let now = Clock::now();
         let left = now.until(self.deadline);
@@ -262,33 +343,68 @@
             return Err(fail(Failure::Unsent, "the deadline has passed".into()));
         }
         let Ok(address) = placing.address.parse::<SocketAddr>() else {
-            return Err(fail(Failure::Unsent, format!("`{}` is no address", placing.address)));
+            return Err(fail(
+                Failure::Unsent,
+                format!("`{}` is no address", placing.address),
+            ));
         };
         let (server, access) = (&placing.server, &placing.access);
-        let sending = Sending { server, left, after: self.last, urgency: self.urgency, access };
+        let sending = Sending {
+            server,
+            left,
+            after: self.last,
+            urgency: self.urgency,
+            access,
+        };
         let request = self.forwarder.dialect.request(self.call, &sending);
         // Where another server may take it up, a silent one is not waited for until the deadline.
         let patience = Span(placing.expected.0 * 2 + self.target.0).max(OVERDUE);
-        let opened_by = if chart.may_go_on() { self.deadline.min(now + patience) } else { self.deadline };
+        let opened_by = if chart.may_go_on() {
+            self.deadline.min(now + patience)
+        } else {
+            self.deadline
+        };
         let shared = &self.forwarder.shared;
         let forgets_epoch = self.forwarder.is_mutant(Mutant::ForgetEpoch);
-        let may_leave = || if forgets_epoch { shared.may_act() } else { shared.may_leave(placing.epoch) };
-        let waits =
-            Waits { connect: CONNECT, head_deadline: opened_by, may_leave: &may_leave, client: Some(self.client) };
-        let mut line = self.forwarder.lines.ask(address, request, &waits).map_err(|fault| not_taken(fault, placing))?;
+        let may_leave = || {
+            if forgets_epoch {
+                shared.may_act()
+            } else {
+                shared.may_leave(placing.epoch)
+            }
+        };
+        let waits = Waits {
+            connect: CONNECT,
+            head_deadline: opened_by,
+            may_leave: &may_leave,
+            client: Some(self.client),
+        };
+        let mut line = self
+            .forwarder
+            .lines
+            .ask(address, request, &waits)
+            .map_err(|fault| not_taken(fault, placing))?;
         self.note_load(placing, line.head());
         match self.judge(&line) {
             Judgement::Taken => {}
             Judgement::NotRun => {
-                self.drain(&mut line).map(|_| line.keep()).unwrap_or_default();
+                self.drain(&mut line)
+                    .map(|_| line.keep())
+                    .unwrap_or_default();
                 return Err(fail(Failure::Refused, "it did not run it".into()));
             }
             Judgement::Elsewhere => {
                 self.forwarder.lines.drop_idle(address);
-                return Err(Err(NotTaken::Elsewhere(format!("server {} has left its address", placing.server))));
+                return Err(Err(NotTaken::Elsewhere(format!(
+                    "server {} has left its address",
+                    placing.server
+                ))));
             }
             Judgement::Failed => {
-                let (status, headers) = (line.head().status.as_u16(), self.forwarder.dialect.passed(line.head()));
+                let (status, headers) = (
+                    line.head().status.as_u16(),
+                    self.forwarder.dialect.passed(line.head()),
+                );
                 let mut failed = fail(Failure::Unknown, format!("it answered {status}"));
                 if let (Some(body), Ok(failed)) = (self.drain(&mut line), &mut failed) {
                     line.keep();
@@ -297,13 +413,21 @@
                 return Err(failed);
             }
             Judgement::Foreign if self.forwarder.is_mutant(Mutant::PassForeign) => {}
-            Judgement::Foreign => return Err(fail(Failure::Unknown, "that was no answer to this".into())),
+            Judgement::Foreign => {
+                return Err(fail(Failure::Unknown, "that was no answer to this".into()));
+            }
         }
         if !self.does_stream {
             let body = line
                 .read_all(self.deadline, ANSWER_MOST, Some(self.client))
                 .map_err(|fault| not_taken(fault, placing))?;
-            return Ok(Opening { line, splitter: EventSplitter::default(), first: None, body, has_ended: true });
+            return Ok(Opening {
+                line,
+                splitter: EventSplitter::default(),
+                first: None,
+                body,
+                has_ended: true,
+            });
         }
         let mut splitter = EventSplitter::default();
         loop {
@@ -315,13 +439,25 @@
                 LinePull::Data(bytes) => splitter.push(&bytes),
                 LinePull::Nothing => {}
                 LinePull::End => {
-                    return Ok(Opening { line, splitter, first: None, body: Bytes::new(), has_ended: true });
+                    return Ok(Opening {
+                        line,
+                        splitter,
+                        first: None,
+                        body: Bytes::new(),
+                        has_ended: true,
+                    });
                 }
                 LinePull::Torn(why) => return Err(fail(Failure::Unknown, why)),
                 LinePull::ClientGone => return Err(Err(NotTaken::ClientGone)),
             }
             if let Some(event) = splitter.next_event() {
-                return Ok(Opening { line, splitter, first: Some(event), body: Bytes::new(), has_ended: false });
+                return Ok(Opening {
+                    line,
+                    splitter,
+                    first: Some(event),
+                    body: Bytes::new(),
+                    has_ended: false,
+                });
             }
         }
     }
@@ -329,16 +465,28 @@
     fn judge(&self, line: &Line) -> Judgement {
         let (dialect, head) = (&self.forwarder.dialect, line.head());
         let is_sole = line.is_sole_answer() || self.forwarder.is_mutant(Mutant::BelieveUnnamed);
-        let place = if is_sole { AnswerPlace::Sole } else { AnswerPlace::Doubtful };
+        let place = if is_sole {
+            AnswerPlace::Sole
+        } else {
+            AnswerPlace::Doubtful
+        };
         let (identity, claim) = (dialect.identity(self.call, head), dialect.claim(head));
         if identity == AnswerIdentity::Missing {
-            tracing::debug!("forward: {} without an id says {claim:?}, {place:?}.", head.status);
+            tracing::debug!(
+                "forward: {} without an id says {claim:?}, {place:?}.",
+                head.status
+            );
         }
         Judgement::of(identity, claim, place)
     }
 
     fn drain(&self, line: &mut Line) -> Option<Bytes> {
-        line.read_all(self.deadline.min(Clock::now() + Span(500)), 64 << 10, Some(self.client)).ok()
+        line.read_all(
+            self.deadline.min(Clock::now() + Span(500)),
+            64 << 10,
+            Some(self.client),
+        )
+        .ok()
     }
 
     fn note_load(&self, placing: &Placing, head: &http::response::Parts) {
@@ -358,7 +506,11 @@
 
 fn not_taken(fault: LineError, placing: &Placing) -> Result<Failed, NotTaken> {
     let fail = |failure: Failure, why: String| {
-        Ok(Failed { failure, why: format!("server {}: {why}", placing.server), answer: None })
+        Ok(Failed {
+            failure,
+            why: format!("server {}: {why}", placing.server),
+            answer: None,
+        })
     };
     match fault {
         LineError::Unsent(why) => fail(Failure::Unsent, why),
@@ -386,13 +538,20 @@
 impl CarriedStream {
     /// Lines up an event for the client, unless it has it already.
     fn take(&mut self, event: StreamEvent) {
-        let is_old = event.id.is_some_and(|id| self.way.last.is_some_and(|last| id <= last));
+        let is_old = event
+            .id
+            .is_some_and(|id| self.way.last.is_some_and(|last| id <= last));
         if is_old && !self.way.forwarder.is_mutant(Mutant::ResumeFromStart) {
             return;
         }
         self.way.last = event.id.or(self.way.last);
         if !std::mem::replace(&mut self.has_first, true) {
-            self.way.forwarder.shared.tell(NodeInput::Event(Event::FirstToken { request: self.way.call.id.clone() }));
+            self.way
+                .forwarder
+                .shared
+                .tell(NodeInput::Event(Event::FirstToken {
+                    request: self.way.call.id.clone(),
+                }));
         }
         self.way.trip.errand.carried(ChartInput::Give);
         self.ready.push_back(event.bytes);
@@ -422,10 +581,18 @@
     }
 
     fn cut(&mut self, why: &str) -> Pull {
-        tracing::debug!("forward: {} {}: {why}.", ResultCode::Broken, self.way.call.id);
+        tracing::debug!(
+            "forward: {} {}: {why}.",
+            ResultCode::Broken,
+            self.way.call.id
+        );
         self.is_over = true;
         Tallies::more(&self.way.forwarder.shared.tallies.broken);
-        if self.way.forwarder.is_mutant(Mutant::EndTorn) { Pull::End } else { Pull::Cut }
+        if self.way.forwarder.is_mutant(Mutant::EndTorn) {
+            Pull::End
+        } else {
+            Pull::Cut
+        }
     }
 }
 
@@ -442,8 +609,14 @@
         if self.is_over {
             return Pull::End;
         }
-        let Some(opening) = &mut self.opening else { return self.cut("nothing to read on") };
-        if let Some(event) = opening.first.take().or_else(|| opening.splitter.next_event()) {
+        let Some(opening) = &mut self.opening else {
+            return self.cut("nothing to read on");
+        };
+        if let Some(event) = opening
+            .first
+            .take()
+            .or_else(|| opening.splitter.next_event())
+        {
             self.take(event);
             return self.ready.pop_front().map_or(Pull::Nothing, Pull::Piece);
         }
@@ -456,7 +629,11 @@
             self.way.trip.errand.carried(ChartInput::Finish);
             self.way.ended(Outcome::Complete);
             Tallies::more(&self.way.forwarder.shared.tallies.complete);
-            return if rest.is_empty() { Pull::End } else { Pull::Piece(rest) };
+            return if rest.is_empty() {
+                Pull::End
+            } else {
+                Pull::Piece(rest)
+            };
         }
         let now = Clock::now();
         if now >= self.way.deadline {
@@ -469,8 +646,14 @@
         if now >= silent_from && may_go_on {
             return self.tear("it fell silent in mid-stream".into());
         }
-        let Some(opening) = &mut self.opening else { return Pull::Nothing };
-        let deadline = if may_go_on { silent_from.min(self.way.deadline) } else { self.way.deadline };
+        let Some(opening) = &mut self.opening else {
+            return Pull::Nothing;
+        };
+        let deadline = if may_go_on {
+            silent_from.min(self.way.deadline)
+        } else {
+            self.way.deadline
+        };
         let patience = patience.min(now.until(deadline).duration());
         match opening.line.pull(patience, Some(&self.way.client)) {
             LinePull::Data(bytes) => {
--- a/crates/router/src/forward/detached.rs
+++ b/crates/router/src/forward/detached.rs
@@ -40,16 +40,20 @@
         let shared = Arc::new(Shared::detached(control, BOUND));
         shared.take_detached_plan(plan);
         let placing_shared = Arc::downgrade(&shared);
-        std::thread::Builder::new().name("placing".into()).spawn(move || {
-            for event in inbox {
-                let ControlEvent::Place(NodeInput::Place(ask), outcome) = event else { continue };
-                let placed = placer(&ask);
-                if let Some(shared) = placing_shared.upgrade() {
-                    shared.epoch.fetch_max(placed.in_force.0, Ordering::SeqCst);
+        std::thread::Builder::new()
+            .name("placing".into())
+            .spawn(move || {
+                for event in inbox {
+                    let ControlEvent::Place(NodeInput::Place(ask), outcome) = event else {
+                        continue;
+                    };
+                    let placed = placer(&ask);
+                    if let Some(shared) = placing_shared.upgrade() {
+                        shared.epoch.fetch_max(placed.in_force.0, Ordering::SeqCst);
+                    }
+                    let _ = outcome.send(placed.outcome);
                 }
-                let _ = outcome.send(placed.outcome);
-            }
-        })?;
+            })?;
         let forwarder = Forwarder {
             shared,
             dialect,
@@ -57,7 +61,9 @@
             #[cfg(test)]
             mutant: None,
         };
-        Ok(DetachedForwarder { forwarder: Arc::new(forwarder) })
+        Ok(DetachedForwarder {
+            forwarder: Arc::new(forwarder),
+        })
     }
     /// Answers a client's request.
     pub fn respond(&self, request: Request) -> Response {
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/forward/tests.rs
@@ -16,11 +16,17 @@
 
 impl CallDialect for Plain {
     fn read(&self, request: Request) -> Result<Call, Denial> {
-        let deny = |why: &str| Denial { code: ResultCode::BadRequest, why: why.into(), retry_after: Span(0) };
+        let deny = |why: &str| Denial {
+            code: ResultCode::BadRequest,
+            why: why.into(),
+            retry_after: Span(0),
+        };
         let number = |name: &str| request.header(name).and_then(|value| value.parse().ok());
         let id = RequestId::from(request.header("x-call").ok_or_else(|| deny("no id"))?);
         let host = request.header("host").unwrap_or_default().to_owned();
-        let request_key = request.header("authorization").and_then(ApiKey::from_bearer);
+        let request_key = request
+            .header("authorization")
+            .and_then(ApiKey::from_bearer);
         let (left, after) = (Span(number("x-wait").unwrap_or(20_000)), number("x-after"));
         let (method, target, mut headers, body) = request.into_parts();
         for name in ["x-wait", "x-after", "connection", "content-length"] {
@@ -28,11 +34,27 @@
         }
         let demand = Demand::default();
         let api_key = request_key;
-        Ok(Call { id, method, host, target, api_key, headers, body, left, after, hashes: vec![], demand })
+        Ok(Call {
+            id,
+            method,
+            host,
+            target,
+            api_key,
+            headers,
+            body,
+            left,
+            after,
+            hashes: vec![],
+            demand,
+        })
     }
     fn refuse(&self, id: Option<&RequestId>, denial: &Denial) -> Response {
-        let response = Response::passed(denial.code.http_status(), http::HeaderMap::new(), denial.code.word())
-            .with_header("x-call", id.map_or("", RequestId::as_str));
+        let response = Response::passed(
+            denial.code.http_status(),
+            http::HeaderMap::new(),
+            denial.code.word(),
+        )
+        .with_header("x-call", id.map_or("", RequestId::as_str));
         if denial.code.comes_back().is_some() {
             response.retry_after(denial.retry_after.max(Span(50)))
         } else {
@@ -44,8 +66,12 @@
         *request.method_mut() = call.method.clone();
         *request.uri_mut() = call.target.parse().expect("a target");
         *request.headers_mut() = call.headers.clone();
-        request.headers_mut().insert("x-left", sending.left.0.into());
-        request.headers_mut().insert("x-server", sending.server.as_str().parse().expect("a name"));
+        request
+            .headers_mut()
+            .insert("x-left", sending.left.0.into());
+        request
+            .headers_mut()
+            .insert("x-server", sending.server.as_str().parse().expect("a name"));
         if let Some(after) = sending.after {
             request.headers_mut().insert("x-after", after.into());
         }
@@ -71,11 +97,20 @@
     }
     fn load(&self, head: &http::response::Parts) -> Option<ServerLoad> {
         let running = head.headers.get("x-load")?.to_str().ok()?.parse().ok()?;
-        Some(ServerLoad { running, waiting: 0, slots: 8 })
+        Some(ServerLoad {
+            running,
+            waiting: 0,
+            slots: 8,
+        })
     }
     fn passed(&self, head: &http::response::Parts) -> http::HeaderMap {
         let mut headers = head.headers.clone();
-        for name in ["connection", "keep-alive", "transfer-encoding", "content-length"] {
+        for name in [
+            "connection",
+            "keep-alive",
+            "transfer-encoding",
+            "content-length",
+        ] {
             headers.remove(name);
         }
         headers
@@ -85,15 +120,27 @@
     }
     fn list_request(&self, page: Option<&str>) -> http::Request<Bytes> {
         let mut request = http::Request::new(Bytes::new());
-        *request.uri_mut() = format!("/list/{}", page.unwrap_or("first")).parse().expect("a target");
-        request.headers_mut().insert("host", http::HeaderValue::from_static("list"));
+        *request.uri_mut() = format!("/list/{}", page.unwrap_or("first"))
+            .parse()
+            .expect("a target");
+        request
+            .headers_mut()
+            .insert("host", http::HeaderValue::from_static("list"));
         request
     }
     /// A name, and behind a blank the page that follows, if one does.
     fn read_list(&self, body: &[u8]) -> Result<(Vec<ServerEntry>, Option<String>), String> {
         let text = std::str::from_utf8(body).map_err(|fault| fault.to_string())?;
-        let (name, next) = text.split_once(' ').map_or((text, None), |(name, next)| (name, Some(next.to_owned())));
-        Ok((vec![ServerEntry { server: name.into(), ..ServerEntry::default() }], next))
+        let (name, next) = text
+            .split_once(' ')
+            .map_or((text, None), |(name, next)| (name, Some(next.to_owned())));
+        Ok((
+            vec![ServerEntry {
+                server: name.into(),
+                ..ServerEntry::default()
+            }],
+            next,
+        ))
     }
 }
 
@@ -133,12 +180,23 @@
                 }
             }
         });
-        Server { name, address, heard }
+        Server {
+            name,
+            address,
+            heard,
+        }
     }
     /// One that is not there.
     fn absent(name: &'static str) -> Server {
-        let address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-        Server { name, address, heard: flume::unbounded().1 }
+        let address = TcpListener::bind("127.0.0.1:0")
+            .expect("a port")
+            .local_addr()
+            .expect("bound");
+        Server {
+            name,
+            address,
+            heard: flume::unbounded().1,
+        }
     }
     fn placing(&self, may_repeat: bool) -> Placing {
         Placing {
@@ -175,7 +233,8 @@
             break;
         }
     }
-    let length = header(&head, "content-length").map_or(0, |length| length.parse().expect("a length"));
+    let length =
+        header(&head, "content-length").map_or(0, |length| length.parse().expect("a length"));
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     Some(head + &String::from_utf8(body).expect("text"))
@@ -205,19 +264,26 @@
 fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head.lines().take_while(|line| !line.is_empty());
     let mut fields = lines.filter_map(|line| line.split_once(": "));
-    fields.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+    fields
+        .find(|(key, _)| key.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value)
 }
 
 const OURS: &str = "x-call: c1\r\nx-mark: m\r\n";
 
 fn answer(status: u16, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status} Word\r\n{headers}content-length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status} Word\r\n{headers}content-length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 fn whole(body: &str) -> Do {
     Say(answer(200, OURS, body))
 }
 fn stream_head(mark: &str) -> Do {
-    Say(format!("HTTP/1.1 200 OK\r\nx-call: c1\r\nx-mark: {mark}\r\ntransfer-encoding: chunked\r\n\r\n"))
+    Say(format!(
+        "HTTP/1.1 200 OK\r\nx-call: c1\r\nx-mark: {mark}\r\ntransfer-encoding: chunked\r\n\r\n"
+    ))
 }
 fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
@@ -240,12 +306,19 @@
 /// What the control thread was told.
 #[derive(Debug, Clone, PartialEq)]
 enum Told {
-    Asked { round: u32, tried: Vec<ServerName>, may_have_run: bool, deadline: Span },
+    Asked {
+        round: u32,
+        tried: Vec<ServerName>,
+        may_have_run: bool,
+        deadline: Span,
+    },
     First,
     Ended(Outcome),
     Load(u32),
     Unreachable(ServerName),
-    Closed { may_have_run: bool },
+    Closed {
+        may_have_run: bool,
+    },
 }
 
 /// One answer of the scheduler; it may change what is shared before.
@@ -256,27 +329,58 @@
     Box::new(move |_| Ok(placing))
 }
 fn denied(code: ResultCode, retry_after: u64) -> Word {
-    Box::new(move |_| Err(Denial { code, why: "scripted".into(), retry_after: Span(retry_after) }))
-}
-
-fn control(shared: &Arc<Shared>, events: flume::Receiver<ControlEvent>, words: Vec<Word>) -> flume::Receiver<Told> {
+    Box::new(move |_| {
+        Err(Denial {
+            code,
+            why: "scripted".into(),
+            retry_after: Span(retry_after),
+        })
+    })
+}
+
+fn control(
+    shared: &Arc<Shared>,
+    events: flume::Receiver<ControlEvent>,
+    words: Vec<Word>,
+) -> flume::Receiver<Told> {
     let (tell, told) = flume::unbounded();
     let (shared, mut words) = (shared.clone(), words.into_iter());
     std::thread::spawn(move || {
         for event in events {
             let one = match event {
                 ControlEvent::Place(NodeInput::Place(ask), response) => {
-                    let PlaceAsk { round, tried, may_have_run, demand, .. } = ask;
-                    let _ = tell.send(Told::Asked { round, tried, may_have_run, deadline: demand.deadline });
-                    let word = words.next().unwrap_or_else(|| denied(ResultCode::NoServer, 700));
+                    let PlaceAsk {
+                        round,
+                        tried,
+                        may_have_run,
+                        demand,
+                        ..
+                    } = ask;
+                    let _ = tell.send(Told::Asked {
+                        round,
+                        tried,
+                        may_have_run,
+                        deadline: demand.deadline,
+                    });
+                    let word = words
+                        .next()
+                        .unwrap_or_else(|| denied(ResultCode::NoServer, 700));
                     let _ = response.send(word(&shared));
                     continue;
                 }
                 ControlEvent::Input(NodeInput::Event(Event::FirstToken { .. })) => Told::First,
-                ControlEvent::Input(NodeInput::Event(Event::Ended { outcome, .. })) => Told::Ended(outcome),
-                ControlEvent::Input(NodeInput::Event(Event::Load { running, .. })) => Told::Load(running),
-                ControlEvent::Input(NodeInput::Event(Event::Unreachable { server })) => Told::Unreachable(server),
-                ControlEvent::Input(NodeInput::Close { may_have_run, .. }) => Told::Closed { may_have_run },
+                ControlEvent::Input(NodeInput::Event(Event::Ended { outcome, .. })) => {
+                    Told::Ended(outcome)
+                }
+                ControlEvent::Input(NodeInput::Event(Event::Load { running, .. })) => {
+                    Told::Load(running)
+                }
+                ControlEvent::Input(NodeInput::Event(Event::Unreachable { server })) => {
+                    Told::Unreachable(server)
+                }
+                ControlEvent::Input(NodeInput::Close { may_have_run, .. }) => {
+                    Told::Closed { may_have_run }
+                }
                 _ => continue,
             };
             let _ = tell.send(one);
@@ -307,9 +411,21 @@
     deadline_ms: u64,
 }
 
-const IDEMPOTENT: Route = Route { kind: "idempotent", max_tries: 2, deadline_ms: 20_000 };
-const MUTATING: Route = Route { kind: "mutating", max_tries: 3, deadline_ms: 20_000 };
-const STREAM: Route = Route { kind: "stream", max_tries: 2, deadline_ms: 20_000 };
+const IDEMPOTENT: Route = Route {
+    kind: "idempotent",
+    max_tries: 2,
+    deadline_ms: 20_000,
+};
+const MUTATING: Route = Route {
+    kind: "mutating",
+    max_tries: 3,
+    deadline_ms: 20_000,
+};
+const STREAM: Route = Route {
+    kind: "stream",
+    max_tries: 2,
+    deadline_ms: 20_000,
+};
 
 impl Stage {
     fn set(route: &Route, words: Vec<Word>) -> Stage {
@@ -324,20 +440,41 @@
         let plan = parse_plan(plan.to_string().as_bytes()).expect("a good plan");
         shared.take_detached_plan(&Arc::new(plan));
         let told = control(&shared, inbox, words);
-        let lines = Lines::new(LinesBounds { per_address: 8, idle_per_address: 4, idle_span: Span::seconds(20) });
-        let forwarder = Arc::new(Forwarder { shared: shared.clone(), dialect: Arc::new(Plain), lines, mutant });
-        let gate = Gate::open("127.0.0.1:0".parse().expect("an address"), GateBounds::default()).expect("a gate");
+        let lines = Lines::new(LinesBounds {
+            per_address: 8,
+            idle_per_address: 4,
+            idle_span: Span::seconds(20),
+        });
+        let forwarder = Arc::new(Forwarder {
+            shared: shared.clone(),
+            dialect: Arc::new(Plain),
+            lines,
+            mutant,
+        });
+        let gate = Gate::open(
+            "127.0.0.1:0".parse().expect("an address"),
+            GateBounds::default(),
+        )
+        .expect("a gate");
         let address = gate.address().0;
         std::thread::spawn(move || gate.serve(move |request| forwarder.respond(request)));
-        Stage { address, told, shared }
+        Stage {
+            address,
+            told,
+            shared,
+        }
     }
     fn send(&self, headers: &str) -> Client {
         let mut stream = TcpStream::connect(self.address).expect("connected");
         stream.set_read_timeout(Some(GUARD)).expect("set");
-        let request =
-            format!("POST /p/x?q=a%20b HTTP/1.1\r\nhost: h\r\nx-call: c1\r\n{headers}content-length: 4\r\n\r\nbody");
+        let request = format!(
+            "POST /p/x?q=a%20b HTTP/1.1\r\nhost: h\r\nx-call: c1\r\n{headers}content-length: 4\r\n\r\nbody"
+        );
         stream.write_all(request.as_bytes()).expect("written");
-        Client { stream, raw: String::new() }
+        Client {
+            stream,
+            raw: String::new(),
+        }
     }
     fn ask(&self, headers: &str) -> Answer {
         self.send(headers).answer()
@@ -351,7 +488,13 @@
         all
     }
     fn outcomes(&self) -> Vec<Outcome> {
-        let ended = |told: Told| if let Told::Ended(outcome) = told { Some(outcome) } else { None };
+        let ended = |told: Told| {
+            if let Told::Ended(outcome) = told {
+                Some(outcome)
+            } else {
+                None
+            }
+        };
         self.told().into_iter().filter_map(ended).collect()
     }
 }
@@ -368,7 +511,8 @@
             let mut bytes = [0; 4096];
             let count = self.stream.read(&mut bytes).expect("readable");
             assert!(count > 0, "it ended without `{text}`: {}", self.raw);
-            self.raw.push_str(std::str::from_utf8(&bytes[..count]).expect("text"));
+            self.raw
+                .push_str(std::str::from_utf8(&bytes[..count]).expect("text"));
         }
     }
     fn answer(mut self) -> Answer {
@@ -380,10 +524,21 @@
         let head = format!("{head}\r\n\r\n");
         let status = head[9..12].parse().expect("a status");
         match header(&head, "transfer-encoding") {
-            Some(_) => Answer { status, is_whole: body.ends_with("0\r\n\r\n"), body: unchunked(body), head },
+            Some(_) => Answer {
+                status,
+                is_whole: body.ends_with("0\r\n\r\n"),
+                body: unchunked(body),
+                head,
+            },
             None => {
-                let length = header(&head, "content-length").map(|length| length.parse().expect("a length"));
-                Answer { status, is_whole: length == Some(body.len()), body: body.into(), head }
+                let length =
+                    header(&head, "content-length").map(|length| length.parse().expect("a length"));
+                Answer {
+                    status,
+                    is_whole: length == Some(body.len()),
+                    body: body.into(),
+                    head,
+                }
             }
         }
     }
@@ -425,19 +580,36 @@
 
 #[test]
 fn a_whole_answer_passes_unchanged_with_its_headers_and_without_those_of_the_connection() {
-    let said =
-        format!("{OURS}x-own: 1\r\nx-own: 2\r\nx-load: 3\r\nkeep-alive: timeout=5\r\nconnection: keep-alive\r\n");
+    let said = format!(
+        "{OURS}x-own: 1\r\nx-own: 2\r\nx-load: 3\r\nkeep-alive: timeout=5\r\nconnection: keep-alive\r\n"
+    );
     let server = Server::start("a", vec![vec![Say(answer(203, &said, "the\r\n\r\nbytes"))]]);
     let stage = Stage::set(&IDEMPOTENT, vec![goes_to(&server, true)]);
     let answer = stage.ask("x-mine: 5\r\nx-wait: 9000\r\n");
-    assert_eq!((answer.status, answer.body.as_str(), answer.is_whole), (203, "the\r\n\r\nbytes", true));
+    assert_eq!(
+        (answer.status, answer.body.as_str(), answer.is_whole),
+        (203, "the\r\n\r\nbytes", true)
+    );
     assert_eq!(answer.head.matches("x-own: ").count(), 2);
-    assert!(answer.has("x-mark") && !answer.has("keep-alive"), "{}", answer.head);
+    assert!(
+        answer.has("x-mark") && !answer.has("keep-alive"),
+        "{}",
+        answer.head
+    );
     let request = server.request();
-    assert!(request.starts_with("POST /p/x?q=a%20b HTTP/1.1\r\n") && request.ends_with("\r\n\r\nbody"), "{request}");
-    assert_eq!([header(&request, "x-mine"), header(&request, "x-server")], [Some("5"), Some("a")]);
+    assert!(
+        request.starts_with("POST /p/x?q=a%20b HTTP/1.1\r\n") && request.ends_with("\r\n\r\nbody"),
+        "{request}"
+    );
+    assert_eq!(
+        [header(&request, "x-mine"), header(&request, "x-server")],
+        [Some("5"), Some("a")]
+    );
     let told = stage.told();
-    assert!(told.contains(&Told::Load(3)) && told.contains(&Told::Ended(Outcome::Complete)), "{told:?}");
+    assert!(
+        told.contains(&Told::Load(3)) && told.contains(&Told::Ended(Outcome::Complete)),
+        "{told:?}"
+    );
 }
 
 /// Whether this was taken for no answer: the call may have run, and nobody knows.
@@ -470,13 +642,25 @@
 #[test]
 fn bytes_after_a_whole_answer_belong_to_nothing() {
     let surplus = answer(200, "x-call: c1\r\nx-mark: late\r\n", "surplus");
-    let server = Server::start("a", vec![vec![Say(answer(200, OURS, "mine") + &surplus)], vec![whole("second")]]);
-    let stage = Stage::set(&IDEMPOTENT, vec![goes_to(&server, true), goes_to(&server, true)]);
+    let server = Server::start(
+        "a",
+        vec![
+            vec![Say(answer(200, OURS, "mine") + &surplus)],
+            vec![whole("second")],
+        ],
+    );
+    let stage = Stage::set(
+        &IDEMPOTENT,
+        vec![goes_to(&server, true), goes_to(&server, true)],
+    );
     let first = stage.ask("");
     assert_eq!((first.body.as_str(), first.is_whole), ("mine", true));
     stage.told();
     let second = stage.ask("");
-    assert_eq!((second.body.as_str(), header(&second.head, "x-mark")), ("second", Some("m")));
+    assert_eq!(
+        (second.body.as_str(), header(&second.head, "x-mark")),
+        ("second", Some("m"))
+    );
 }
 
 // ---- Other servers.
@@ -490,28 +674,65 @@
     twice = { 2 },
     three_times = { 3 },
 )]
-fn what_surely_did_not_run_goes_elsewhere_as_often_as_the_route_allows_and_is_then_refused(max_tries: u64) {
-    let servers: Vec<Server> = ["a", "b", "c", "d"].map(|name| Server::start(name, vec![vec![unrun()]])).into();
-    let route = Route { max_tries, ..MUTATING };
-    let stage = Stage::set(&route, servers.iter().map(|server| goes_to(server, false)).collect());
+fn what_surely_did_not_run_goes_elsewhere_as_often_as_the_route_allows_and_is_then_refused(
+    max_tries: u64,
+) {
+    let servers: Vec<Server> = ["a", "b", "c", "d"]
+        .map(|name| Server::start(name, vec![vec![unrun()]]))
+        .into();
+    let route = Route {
+        max_tries,
+        ..MUTATING
+    };
+    let stage = Stage::set(
+        &route,
+        servers
+            .iter()
+            .map(|server| goes_to(server, false))
+            .collect(),
+    );
     let answer = stage.ask("");
-    assert_eq!((answer.status, answer.body.as_str()), (503, "server-refused"));
+    assert_eq!(
+        (answer.status, answer.body.as_str()),
+        (503, "server-refused")
+    );
     assert!(answer.has("retry-after"), "{}", answer.head);
     let asked: usize = servers.iter().map(Server::count).sum();
     assert_eq!(asked as u64, max_tries);
     let told = stage.told();
-    let tried = |round: u32| servers[..round as usize].iter().map(|server| server.name.into()).collect();
+    let tried = |round: u32| {
+        servers[..round as usize]
+            .iter()
+            .map(|server| server.name.into())
+            .collect()
+    };
     for round in 0..max_tries as u32 {
-        let asked = Told::Asked { round, tried: tried(round), may_have_run: false, deadline: Span(20_000) };
+        let asked = Told::Asked {
+            round,
+            tried: tried(round),
+            may_have_run: false,
+            deadline: Span(20_000),
+        };
         assert!(told.contains(&asked), "{told:?} lacks {asked:?}");
     }
-    assert_eq!(told.last(), Some(&Told::Closed { may_have_run: false }));
+    assert_eq!(
+        told.last(),
+        Some(&Told::Closed {
+            may_have_run: false
+        })
+    );
 }
 
 #[test]
 fn what_surely_did_not_run_is_answered_by_another_server() {
-    let (full, well) = (Server::start("a", vec![vec![unrun()]]), Server::start("b", vec![vec![whole("well")]]));
-    let stage = Stage::set(&MUTATING, vec![goes_to(&full, false), goes_to(&well, false)]);
+    let (full, well) = (
+        Server::start("a", vec![vec![unrun()]]),
+        Server::start("b", vec![vec![whole("well")]]),
+    );
+    let stage = Stage::set(
+        &MUTATING,
+        vec![goes_to(&full, false), goes_to(&well, false)],
+    );
     let answer = stage.ask("");
     assert!(answer.is_success() && answer.body == "well", "{answer:?}");
     assert_eq!(stage.outcomes(), [Outcome::Refused, Outcome::Complete]);
@@ -520,15 +741,27 @@
 #[test]
 fn when_the_scheduler_finds_no_other_server_its_time_to_come_back_is_told() {
     let full = Server::start("a", vec![vec![unrun()]]);
-    let stage = Stage::set(&MUTATING, vec![goes_to(&full, false), denied(ResultCode::NoServer, 1250)]);
+    let stage = Stage::set(
+        &MUTATING,
+        vec![goes_to(&full, false), denied(ResultCode::NoServer, 1250)],
+    );
     let answer = stage.ask("");
-    assert_eq!((answer.status, header(&answer.head, "retry-after")), (503, Some("1.25")));
+    assert_eq!(
+        (answer.status, header(&answer.head, "retry-after")),
+        (503, Some("1.25"))
+    );
 }
 
 #[test]
 fn a_server_that_is_not_there_costs_no_try() {
-    let (absent, well) = (Server::absent("a"), Server::start("b", vec![vec![whole("well")]]));
-    let route = Route { max_tries: 1, ..MUTATING };
+    let (absent, well) = (
+        Server::absent("a"),
+        Server::start("b", vec![vec![whole("well")]]),
+    );
+    let route = Route {
+        max_tries: 1,
+        ..MUTATING
+    };
     let stage = Stage::set(&route, vec![goes_to(&absent, false), goes_to(&well, false)]);
     assert!(stage.ask("").is_success());
     assert_eq!(stage.outcomes(), [Outcome::Unsent, Outcome::Complete]);
@@ -544,12 +777,19 @@
 fn doubts_unnamed(status: u16, mutant: Option<Mutant>) -> bool {
     let first = Server::start("a", vec![vec![whole("first")], vec![unnamed(status)]]);
     let other = Server::start("b", vec![vec![whole("again")]]);
-    let words = vec![goes_to(&first, false), goes_to(&first, false), goes_to(&other, false)];
+    let words = vec![
+        goes_to(&first, false),
+        goes_to(&first, false),
+        goes_to(&other, false),
+    ];
     let stage = Stage::set_mutant(&MUTATING, words, mutant);
     assert!(stage.ask("").is_success());
     stage.told();
     let answer = stage.ask("");
-    answer.status == 502 && other.count() == 0 && first.count() == 2 && stage.outcomes() == [Outcome::Failed]
+    answer.status == 502
+        && other.count() == 0
+        && first.count() == 2
+        && stage.outcomes() == [Outcome::Failed]
 }
 
 #[parameterized(not_run = { 503 }, too_many = { 429 }, elsewhere = { 421 }, no_id_read = { 400 })]
@@ -559,8 +799,14 @@
 
 #[parameterized(not_run = { 503 }, elsewhere = { 421 })]
 fn a_refusal_without_an_id_is_believed_as_the_first_answer_on_its_connection(status: u16) {
-    let (full, well) = (Server::start("a", vec![vec![unnamed(status)]]), Server::start("b", vec![vec![whole("well")]]));
-    let stage = Stage::set(&MUTATING, vec![goes_to(&full, false), goes_to(&well, false)]);
+    let (full, well) = (
+        Server::start("a", vec![vec![unnamed(status)]]),
+        Server::start("b", vec![vec![whole("well")]]),
+    );
+    let stage = Stage::set(
+        &MUTATING,
+        vec![goes_to(&full, false), goes_to(&well, false)],
+    );
     assert!(stage.ask("").is_success());
     assert_eq!(stage.outcomes(), [Outcome::Refused, Outcome::Complete]);
 }
@@ -569,7 +815,11 @@
 fn what_may_repeat_is_tried_again_after_a_refusal_without_an_id_but_never_told_as_refused() {
     let first = Server::start("a", vec![vec![whole("first")], vec![unnamed(503)]]);
     let full = Server::start("b", vec![vec![unrun()]]);
-    let words = vec![goes_to(&first, true), goes_to(&first, true), goes_to(&full, true)];
+    let words = vec![
+        goes_to(&first, true),
+        goes_to(&first, true),
+        goes_to(&full, true),
+    ];
     let stage = Stage::set(&IDEMPOTENT, words);
     assert!(stage.ask("").is_success());
     stage.told();
@@ -578,11 +828,21 @@
 
 /// Whether a call that may have run, and may not repeat, went to one server alone and was not told as refused.
 fn runs_once(first: Vec<Do>, mutant: Option<Mutant>) -> bool {
-    let (ill, well) = (Server::start("a", vec![first]), Server::start("b", vec![vec![whole("again")]]));
-    let stage = Stage::set_mutant(&MUTATING, vec![goes_to(&ill, false), goes_to(&well, false)], mutant);
+    let (ill, well) = (
+        Server::start("a", vec![first]),
+        Server::start("b", vec![vec![whole("again")]]),
+    );
+    let stage = Stage::set_mutant(
+        &MUTATING,
+        vec![goes_to(&ill, false), goes_to(&well, false)],
+        mutant,
+    );
     let answer = stage.ask("x-wait: 1000\r\n");
     let closed = stage.told().pop();
-    well.count() == 0 && !answer.is_promise() && answer.status >= 500 && matches!(closed, Some(Told::Closed { .. }))
+    well.count() == 0
+        && !answer.is_promise()
+        && answer.status >= 500
+        && matches!(closed, Some(Told::Closed { .. }))
 }
 
 fn failed(status: u16) -> Vec<Do> {
@@ -613,23 +873,41 @@
 
 #[test]
 fn what_may_repeat_goes_to_another_server_but_is_never_told_as_refused_after() {
-    let (ill, full) = (Server::start("a", vec![vec![Close]]), Server::start("b", vec![vec![unrun()]]));
+    let (ill, full) = (
+        Server::start("a", vec![vec![Close]]),
+        Server::start("b", vec![vec![unrun()]]),
+    );
     let stage = Stage::set(&IDEMPOTENT, vec![goes_to(&ill, true), goes_to(&full, true)]);
     let answer = stage.ask("");
     assert_eq!((answer.status, ill.count(), full.count()), (502, 1, 1));
     let told = stage.told();
-    let second = Told::Asked { round: 1, tried: vec!["a".into()], may_have_run: true, deadline: Span(20_000) };
+    let second = Told::Asked {
+        round: 1,
+        tried: vec!["a".into()],
+        may_have_run: true,
+        deadline: Span(20_000),
+    };
     assert!(told.contains(&second), "{told:?}");
 }
 
 #[test]
 fn where_another_server_has_the_address_the_call_goes_elsewhere_and_the_scheduler_hears_of_it() {
-    let gone = Server::start("a", vec![vec![Say(answer(421, "x-call: c1\r\n", "not me"))]]);
+    let gone = Server::start(
+        "a",
+        vec![vec![Say(answer(421, "x-call: c1\r\n", "not me"))]],
+    );
     let well = Server::start("b", vec![vec![whole("well")]]);
-    let stage = Stage::set(&MUTATING, vec![goes_to(&gone, false), goes_to(&well, false)]);
+    let stage = Stage::set(
+        &MUTATING,
+        vec![goes_to(&gone, false), goes_to(&well, false)],
+    );
     assert!(stage.ask("").is_success());
     let told = stage.told();
-    assert!(told.contains(&Told::Unreachable("a".into())) && told.contains(&Told::Ended(Outcome::Refused)), "{told:?}");
+    assert!(
+        told.contains(&Told::Unreachable("a".into()))
+            && told.contains(&Told::Ended(Outcome::Refused)),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -638,21 +916,39 @@
     let old = Server::start("a", vec![vec![whole("first")], vec![not_it]]);
     let well = Server::start("b", vec![vec![whole("well")]]);
     // The list gives the address to another server; the connection to the old one still rests.
-    let placing = Placing { server: "c".into(), ..old.placing(false) };
-    let words = vec![goes_to(&old, false), Box::new(move |_: &Shared| Ok(placing)) as Word, goes_to(&well, false)];
+    let placing = Placing {
+        server: "c".into(),
+        ..old.placing(false)
+    };
+    let words = vec![
+        goes_to(&old, false),
+        Box::new(move |_: &Shared| Ok(placing)) as Word,
+        goes_to(&well, false),
+    ];
     let stage = Stage::set(&MUTATING, words);
     assert_eq!(stage.ask("").body, "first");
     stage.told();
     assert_eq!(stage.ask("").body, "well");
-    let asked = [old.request(), old.request()].map(|request| header(&request, "x-server").map(str::to_owned));
-    assert_eq!(asked, [Some("a".to_owned()), Some("c".to_owned())], "each request names the server that is meant");
+    let asked = [old.request(), old.request()]
+        .map(|request| header(&request, "x-server").map(str::to_owned));
+    assert_eq!(
+        asked,
+        [Some("a".to_owned()), Some("c".to_owned())],
+        "each request names the server that is meant"
+    );
     assert!(stage.told().contains(&Told::Unreachable("c".into())));
 }
 
 #[test]
 fn one_try_never_asks_a_second_server_even_where_it_might_repeat() {
-    let (ill, well) = (Server::start("a", vec![vec![Close]]), Server::start("b", vec![vec![whole("again")]]));
-    let route = Route { max_tries: 1, ..IDEMPOTENT };
+    let (ill, well) = (
+        Server::start("a", vec![vec![Close]]),
+        Server::start("b", vec![vec![whole("again")]]),
+    );
+    let route = Route {
+        max_tries: 1,
+        ..IDEMPOTENT
+    };
     let stage = Stage::set(&route, vec![goes_to(&ill, true), goes_to(&well, true)]);
     assert_eq!((stage.ask("").status, well.count()), (502, 0));
 }
@@ -663,15 +959,34 @@
     the_clients = { 8000, 15_000, 8000 },
     the_routes = { 15_000, 8000, 8000 },
 )]
-fn the_deadline_is_the_least_and_what_is_left_is_handed_on(client: u64, deadline_ms: u64, least: u64) {
-    let (full, well) = (Server::start("a", vec![vec![unrun()]]), Server::start("b", vec![vec![whole("well")]]));
-    let route = Route { deadline_ms, ..MUTATING };
+fn the_deadline_is_the_least_and_what_is_left_is_handed_on(
+    client: u64,
+    deadline_ms: u64,
+    least: u64,
+) {
+    let (full, well) = (
+        Server::start("a", vec![vec![unrun()]]),
+        Server::start("b", vec![vec![whole("well")]]),
+    );
+    let route = Route {
+        deadline_ms,
+        ..MUTATING
+    };
     let stage = Stage::set(&route, vec![goes_to(&full, false), goes_to(&well, false)]);
     assert!(stage.ask(&format!("x-wait: {client}\r\n")).is_success());
-    let left = |server: &Server| header(&server.request(), "x-left").expect("told").parse::<u64>().expect("ms");
+    let left = |server: &Server| {
+        header(&server.request(), "x-left")
+            .expect("told")
+            .parse::<u64>()
+            .expect("ms")
+    };
     let (first, second) = (left(&full), left(&well));
-    assert!(second <= first && first <= least && second > 0, "{first} {second}");
-    let is_told = |told: &Told| matches!(told, Told::Asked { deadline, .. } if *deadline == Span(least));
+    assert!(
+        second <= first && first <= least && second > 0,
+        "{first} {second}"
+    );
+    let is_told =
+        |told: &Told| matches!(told, Told::Asked { deadline, .. } if *deadline == Span(least));
     assert_eq!(stage.told().iter().filter(|told| is_told(told)).count(), 2);
 }
 
@@ -693,25 +1008,55 @@
     });
     let stage = Stage::set(&IDEMPOTENT, vec![lose]);
     let answer = stage.ask("");
-    assert_eq!((answer.status, answer.body.as_str(), server.count()), (503, "not-ready", 0));
-    assert_eq!(stage.told().last(), Some(&Told::Closed { may_have_run: false }));
-    assert_eq!((stage.ask("").status, server.count()), (503, 0), "nor does it act later");
+    assert_eq!(
+        (answer.status, answer.body.as_str(), server.count()),
+        (503, "not-ready", 0)
+    );
+    assert_eq!(
+        stage.told().last(),
+        Some(&Told::Closed {
+            may_have_run: false
+        })
+    );
+    assert_eq!(
+        (stage.ask("").status, server.count()),
+        (503, 0),
+        "nor does it act later"
+    );
 }
 
 /// Whether what was placed under an older epoch is placed anew before a byte leaves.
 fn places_anew(mutant: Option<Mutant>) -> bool {
-    let (old, new) = (Server::start("a", vec![vec![whole("old")]]), Server::start("b", vec![vec![whole("new")]]));
+    let (old, new) = (
+        Server::start("a", vec![vec![whole("old")]]),
+        Server::start("b", vec![vec![whole("new")]]),
+    );
     let placing = old.placing(false);
     let outdate: Word = Box::new(move |shared| {
         shared.epoch.store(2, Ordering::SeqCst);
         Ok(placing)
     });
-    let placing = Placing { epoch: Epoch(2), ..new.placing(false) };
-    let route = Route { max_tries: 1, ..MUTATING };
-    let stage = Stage::set_mutant(&route, vec![outdate, Box::new(move |_| Ok(placing))], mutant);
+    let placing = Placing {
+        epoch: Epoch(2),
+        ..new.placing(false)
+    };
+    let route = Route {
+        max_tries: 1,
+        ..MUTATING
+    };
+    let stage = Stage::set_mutant(
+        &route,
+        vec![outdate, Box::new(move |_| Ok(placing))],
+        mutant,
+    );
     let answer = stage.ask("");
     let told = stage.told();
-    let anew = Told::Asked { round: 0, tried: vec![], may_have_run: false, deadline: Span(20_000) };
+    let anew = Told::Asked {
+        round: 0,
+        tried: vec![],
+        may_have_run: false,
+        deadline: Span(20_000),
+    };
     let is_no_failure = told.iter().filter(|told| **told == anew).count() == 2;
     answer.body == "new" && old.count() == 0 && is_no_failure
 }
@@ -723,12 +1068,22 @@
 
 #[test]
 fn a_plan_change_between_attempts_that_removes_the_route_stops_further_ones() {
-    let (full, well) = (Server::start("a", vec![vec![unrun()]]), Server::start("b", vec![vec![whole("well")]]));
+    let (full, well) = (
+        Server::start("a", vec![vec![unrun()]]),
+        Server::start("b", vec![vec![whole("well")]]),
+    );
     // The node's own answer where the plan has the route no more.
-    let words = vec![goes_to(&full, false), denied(ResultCode::NotReady, 50), goes_to(&well, false)];
+    let words = vec![
+        goes_to(&full, false),
+        denied(ResultCode::NotReady, 50),
+        goes_to(&well, false),
+    ];
     let stage = Stage::set(&MUTATING, words);
     let answer = stage.ask("");
-    assert!(answer.is_promise() && answer.has("retry-after") && well.count() == 0, "{answer:?}");
+    assert!(
+        answer.is_promise() && answer.has("retry-after") && well.count() == 0,
+        "{answer:?}"
+    );
 }
 
 #[parameterized(
@@ -741,8 +1096,15 @@
     let mut stream = TcpStream::connect(stage.address).expect("connected");
     let request = format!("POST {path} HTTP/1.1\r\nhost: {host}\r\nx-call: c1\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("written");
-    let answer = Client { stream, raw: String::new() }.answer();
-    assert_eq!((answer.status, header(&answer.head, "x-call")), (404, Some("c1")));
+    let answer = Client {
+        stream,
+        raw: String::new(),
+    }
+    .answer();
+    assert_eq!(
+        (answer.status, header(&answer.head, "x-call")),
+        (404, Some("c1"))
+    );
     assert!(stage.told.is_empty());
 }
 
@@ -769,7 +1131,11 @@
     let mut client = stage.send("");
     // The server goes on only once the client has what came before.
     client.await_text("piece 1\n\n");
-    assert!(!client.raw.contains(begun), "a part of an event was passed: {}", client.raw);
+    assert!(
+        !client.raw.contains(begun),
+        "a part of an event was passed: {}",
+        client.raw
+    );
     go.send_timeout((), GUARD).expect("the server waits");
     client.await_text("piece 2\n\n");
     go_on.send_timeout((), GUARD).expect("the server waits");
@@ -782,17 +1148,29 @@
 }
 
 fn tear() -> Vec<Do> {
-    vec![stream_head("first"), events(5..=6), chunk("id: 7\nda"), Close]
+    vec![
+        stream_head("first"),
+        events(5..=6),
+        chunk("id: 7\nda"),
+        Close,
+    ]
 }
 
 /// Whether a torn stream that may be resumed goes on exactly, under its first head.
 fn resumes_exactly(mutant: Option<Mutant>) -> bool {
     // As a server that starts anew at what it's told.
-    let (torn, next) =
-        (Server::start("a", vec![tear()]), Server::start("b", vec![vec![stream_head("second"), events(5..=8), end()]]));
-    let stage = Stage::set_mutant(&STREAM, vec![goes_to(&torn, true), goes_to(&next, true)], mutant);
+    let (torn, next) = (
+        Server::start("a", vec![tear()]),
+        Server::start("b", vec![vec![stream_head("second"), events(5..=8), end()]]),
+    );
+    let stage = Stage::set_mutant(
+        &STREAM,
+        vec![goes_to(&torn, true), goes_to(&next, true)],
+        mutant,
+    );
     let answer = stage.ask("x-after: 4\r\n");
-    let asked = [torn.request(), next.request()].map(|request| header(&request, "x-after").map(str::to_owned));
+    let asked = [torn.request(), next.request()]
+        .map(|request| header(&request, "x-after").map(str::to_owned));
     answer.is_success()
         && header(&answer.head, "x-mark") == Some("first")
         && answer.body == all_of(5..=8)
@@ -807,8 +1185,15 @@
 
 /// Whether a torn stream that no server takes up never looks complete, and goes nowhere else.
 fn is_cut_visibly(torn: Vec<Do>, mutant: Option<Mutant>) -> bool {
-    let (torn, next) = (Server::start("a", vec![torn]), Server::start("b", vec![vec![whole("again")]]));
-    let stage = Stage::set_mutant(&STREAM, vec![goes_to(&torn, false), goes_to(&next, false)], mutant);
+    let (torn, next) = (
+        Server::start("a", vec![torn]),
+        Server::start("b", vec![vec![whole("again")]]),
+    );
+    let stage = Stage::set_mutant(
+        &STREAM,
+        vec![goes_to(&torn, false), goes_to(&next, false)],
+        mutant,
+    );
     let answer = stage.ask("");
     !answer.is_whole && answer.body == all_of(5..=6) && next.count() == 0
 }
@@ -825,32 +1210,55 @@
 #[test]
 fn a_torn_stream_that_no_other_server_takes_never_looks_complete() {
     let torn = Server::start("a", vec![tear()]);
-    let stage = Stage::set(&STREAM, vec![goes_to(&torn, true), denied(ResultCode::NoServer, 500)]);
+    let stage = Stage::set(
+        &STREAM,
+        vec![goes_to(&torn, true), denied(ResultCode::NoServer, 500)],
+    );
     let answer = stage.ask("");
-    assert!(!answer.is_whole && answer.body == all_of(5..=6), "{answer:?}");
+    assert!(
+        !answer.is_whole && answer.body == all_of(5..=6),
+        "{answer:?}"
+    );
 }
 
 #[test]
 fn a_resumable_stream_that_falls_silent_is_taken_up_elsewhere() {
     let (ended, is_ended) = flume::unbounded();
-    let silent = Server::start("a", vec![vec![stream_head("m"), events(1..=2), AwaitEnd(ended)]]);
+    let silent = Server::start(
+        "a",
+        vec![vec![stream_head("m"), events(1..=2), AwaitEnd(ended)]],
+    );
     let next = Server::start("b", vec![vec![stream_head("n"), events(3..=4), end()]]);
     let stage = Stage::set(&STREAM, vec![goes_to(&silent, true), goes_to(&next, true)]);
     // Its client doesn't wait for longer than it takes to notice, and for the other server.
     let answer = stage.ask("x-wait: 4500\r\n");
-    assert!(answer.is_success() && answer.body == all_of(1..=4), "{answer:?}");
-    is_ended.recv_timeout(GUARD).expect("the silent server is left");
+    assert!(
+        answer.is_success() && answer.body == all_of(1..=4),
+        "{answer:?}"
+    );
+    is_ended
+        .recv_timeout(GUARD)
+        .expect("the silent server is left");
 }
 
 #[test]
 fn a_stream_that_may_not_be_resumed_is_awaited_until_its_deadline() {
     let (ended, _is_ended) = flume::unbounded();
-    let silent = Server::start("a", vec![vec![stream_head("m"), events(1..=2), AwaitEnd(ended)]]);
+    let silent = Server::start(
+        "a",
+        vec![vec![stream_head("m"), events(1..=2), AwaitEnd(ended)]],
+    );
     let next = Server::start("b", vec![vec![stream_head("n"), events(3..=4), end()]]);
-    let stage = Stage::set(&STREAM, vec![goes_to(&silent, false), goes_to(&next, false)]);
+    let stage = Stage::set(
+        &STREAM,
+        vec![goes_to(&silent, false), goes_to(&next, false)],
+    );
     // Longer than a silence that is given up where another may go on.
     let answer = stage.ask("x-wait: 2500\r\n");
-    assert!(!answer.is_whole && answer.body == all_of(1..=2) && next.count() == 0, "{answer:?}");
+    assert!(
+        !answer.is_whole && answer.body == all_of(1..=2) && next.count() == 0,
+        "{answer:?}"
+    );
     // The deadline ended it, not a fault of the server's.
     assert_eq!(stage.outcomes(), [Outcome::Cancelled]);
 }
@@ -858,12 +1266,17 @@
 #[test]
 fn the_clients_going_away_in_mid_stream_closes_the_servers_connection() {
     let (ended, is_ended) = flume::unbounded();
-    let server = Server::start("a", vec![vec![stream_head("m"), events(1..=1), AwaitEnd(ended)]]);
+    let server = Server::start(
+        "a",
+        vec![vec![stream_head("m"), events(1..=1), AwaitEnd(ended)]],
+    );
     let stage = Stage::set(&STREAM, vec![goes_to(&server, false)]);
     let mut client = stage.send("");
     client.await_text("piece 1");
     drop(client);
-    is_ended.recv_timeout(GUARD).expect("the server's connection is closed");
+    is_ended
+        .recv_timeout(GUARD)
+        .expect("the server's connection is closed");
     assert_eq!(stage.outcomes(), [Outcome::Cancelled]);
 }
 
@@ -875,7 +1288,9 @@
     let client = stage.send("");
     server.request();
     drop(client);
-    is_ended.recv_timeout(GUARD).expect("the server's connection is closed");
+    is_ended
+        .recv_timeout(GUARD)
+        .expect("the server's connection is closed");
     assert_eq!(stage.outcomes(), [Outcome::Cancelled]);
 }
 
@@ -904,13 +1319,30 @@
     of_an_impatient_client = { "x-wait: 3000\r\n", 20_000, true },
     on_a_short_route = { "x-wait: 20000\r\n", 3000, true },
 )]
-fn a_call_that_may_outlast_its_node_is_refused_at_once(headers: &str, deadline_ms: u64, is_taken: bool) {
+fn a_call_that_may_outlast_its_node_is_refused_at_once(
+    headers: &str,
+    deadline_ms: u64,
+    is_taken: bool,
+) {
     let server = Server::start("one", vec![vec![whole("here")]]);
-    let stage = Stage::set(&Route { deadline_ms, ..IDEMPOTENT }, vec![goes_to(&server, true)]);
-    stage.shared.ends_at.store((Clock::now() + Span(10_000)).0, Ordering::SeqCst);
+    let stage = Stage::set(
+        &Route {
+            deadline_ms,
+            ..IDEMPOTENT
+        },
+        vec![goes_to(&server, true)],
+    );
+    stage
+        .shared
+        .ends_at
+        .store((Clock::now() + Span(10_000)).0, Ordering::SeqCst);
     let answer = stage.ask(headers);
     assert_eq!(answer.status, if is_taken { 200 } else { 503 });
-    assert_eq!(server.count(), usize::from(is_taken), "what is refused reaches no server");
+    assert_eq!(
+        server.count(),
+        usize::from(is_taken),
+        "what is refused reaches no server"
+    );
 }
 
 // ---- Keys.
@@ -937,7 +1369,10 @@
     let stage = Stage::set(&IDEMPOTENT, vec![goes_to(&server, true)]);
     with_tenants(&stage, false);
     let answer = stage.ask(headers);
-    assert_eq!((answer.status, answer.body.as_str(), server.count()), (401, "unauthorized", 0));
+    assert_eq!(
+        (answer.status, answer.body.as_str(), server.count()),
+        (401, "unauthorized", 0)
+    );
     assert!(!answer.has("retry-after"));
     assert_eq!(stage.shared.tallies.unauthorized.load(Ordering::Relaxed), 1);
     assert!(!stage.shared.tallies.text().contains("s3cret"));
--- a/crates/router/src/ingress.rs
+++ b/crates/router/src/ingress.rs
@@ -27,7 +27,11 @@
 
 impl Ingress {
     /// Opens the doors.
-    pub fn open(settings: &Settings, shared: Arc<Shared>, dialect: Arc<dyn CallDialect>) -> Result<Ingress, String> {
+    pub fn open(
+        settings: &Settings,
+        shared: Arc<Shared>,
+        dialect: Arc<dyn CallDialect>,
+    ) -> Result<Ingress, String> {
         let listen: Address = settings.ingress.parse()?;
         let probed: Address = settings.readiness.parse()?;
         let bounds = GateBounds {
@@ -39,9 +43,15 @@
             header_bytes: 64 << 10,
             ..GateBounds::default()
         };
-        let gate = Gate::open(listen.0, bounds).map_err(|fault| format!("ingress = {listen}: {fault}"))?;
-        let bounds = GateBounds { connections: 32, body_bytes: 1 << 10, ..bounds };
-        let probe_gate = Gate::open(probed.0, bounds).map_err(|fault| format!("readiness = {probed}: {fault}"))?;
+        let gate =
+            Gate::open(listen.0, bounds).map_err(|fault| format!("ingress = {listen}: {fault}"))?;
+        let bounds = GateBounds {
+            connections: 32,
+            body_bytes: 1 << 10,
+            ..bounds
+        };
+        let probe_gate = Gate::open(probed.0, bounds)
+            .map_err(|fault| format!("readiness = {probed}: {fault}"))?;
         let lines = Lines::new(LinesBounds {
             per_address: MOST_TO_ONE_SERVER,
             idle_per_address: MOST_TO_ONE_SERVER / 2,
@@ -65,16 +75,28 @@
             await_ready(&shared_by_gate, patience);
             gate.serve(move |request| forwarder.respond(request));
         };
-        std::thread::Builder::new().name("ingress".into()).spawn(serve).map_err(|fault| fault.to_string())?;
-        let tell_ready =
-            move |request: Request| match (dialect.is_probe(&request), shared.is_ready.load(Ordering::SeqCst)) {
-                (true, true) => Response::whole(200, "text/plain", "ready\n"),
-                (true, false) => Response::whole(503, "text/plain", "not ready\n"),
-                (false, _) => Response::result(ResultCode::NotFound, "only readiness is told here"),
-            };
+        std::thread::Builder::new()
+            .name("ingress".into())
+            .spawn(serve)
+            .map_err(|fault| fault.to_string())?;
+        let tell_ready = move |request: Request| match (
+            dialect.is_probe(&request),
+            shared.is_ready.load(Ordering::SeqCst),
+        ) {
+            (true, true) => Response::whole(200, "text/plain", "ready\n"),
+            (true, false) => Response::whole(503, "text/plain", "not ready\n"),
+            (false, _) => Response::result(ResultCode::NotFound, "only readiness is told here"),
+        };
         let serve = move || probe_gate.serve(tell_ready);
-        std::thread::Builder::new().name("readiness".into()).spawn(serve).map_err(|fault| fault.to_string())?;
-        tracing::info!("ingress: listens at {}, readiness {}.", addresses.0, addresses.1);
+        std::thread::Builder::new()
+            .name("readiness".into())
+            .spawn(serve)
+            .map_err(|fault| fault.to_string())?;
+        tracing::info!(
+            "ingress: listens at {}, readiness {}.",
+            addresses.0,
+            addresses.1
+        );
         Ok(Ingress {
             closers,
             open_count,
--- a/crates/router/src/ingress/tests.rs
+++ b/crates/router/src/ingress/tests.rs
@@ -16,7 +16,12 @@
     let settings = read_settings::<Settings>(None).expect("defaults");
     let here = || "127.0.0.1:0".to_owned();
     // Nobody serves the list of servers.
-    let settings = Settings { ingress: here(), readiness: here(), start_wait_ms, ..settings };
+    let settings = Settings {
+        ingress: here(),
+        readiness: here(),
+        start_wait_ms,
+        ..settings
+    };
     let ingress = Ingress::open(&settings, shared.clone(), Arc::new(Plain)).expect("open");
     (ingress, shared)
 }
@@ -37,13 +42,19 @@
     let mut text = String::new();
     loop {
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+            let length = head
+                .lines()
+                .find_map(|line| line.strip_prefix("content-length: "));
             if body.len() >= length.map_or(0, |length| length.parse().expect("a length")) {
                 return text;
             }
         }
         let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).expect("readable"), 1, "it ended early: {text}");
+        assert_eq!(
+            stream.read(&mut byte).expect("readable"),
+            1,
+            "it ended early: {text}"
+        );
         text.push(byte[0].into());
     }
 }
@@ -67,7 +78,10 @@
     shared.may_act_until.store(u64::MAX, SeqCst);
     shared.is_ready.store(true, SeqCst);
     let told = answer(&early);
-    assert!(told.starts_with("HTTP/1.1 404") && told.ends_with("unknown-service"), "{told}");
+    assert!(
+        told.starts_with("HTTP/1.1 404") && told.ends_with("unknown-service"),
+        "{told}"
+    );
 }
 
 #[test]
@@ -76,7 +90,10 @@
     let early = connect(ingress.addresses.0);
     send(&early, "/p/x");
     let told = answer(&early);
-    assert!(told.starts_with("HTTP/1.1 503") && told.contains("retry-after: "), "{told}");
+    assert!(
+        told.starts_with("HTTP/1.1 503") && told.contains("retry-after: "),
+        "{told}"
+    );
 }
 
 #[test]
@@ -122,7 +139,9 @@
 
 /// Posts a body on a kept connection; gives the status.
 fn post(mut stream: &TcpStream, body_bytes: usize) -> String {
-    let head = format!("POST /p/x HTTP/1.1\r\nhost: h\r\nx-call: c1\r\ncontent-length: {body_bytes}\r\n\r\n");
+    let head = format!(
+        "POST /p/x HTTP/1.1\r\nhost: h\r\nx-call: c1\r\ncontent-length: {body_bytes}\r\n\r\n"
+    );
     stream.write_all(head.as_bytes()).expect("written");
     stream.write_all(&vec![b'x'; body_bytes]).expect("written");
     answer(stream)[9..12].to_owned()
@@ -136,7 +155,10 @@
         shared.take_detached_plan(&Arc::new(parse_plan(plan.as_bytes()).expect("a plan")));
     };
     let mut kept: Vec<TcpStream> = (0..4).map(|_| connect(ingress.addresses.0)).collect();
-    assert!(kept.iter().all(|client| post(client, 3000) == "503"), "nothing is in force");
+    assert!(
+        kept.iter().all(|client| post(client, 3000) == "503"),
+        "nothing is in force"
+    );
     take(r#"{"max_body_bytes": 2000, "max_header_bytes": 500, "idle_timeout_ms": 3600000}"#);
     assert_eq!(post(&kept[0], 2000), "503");
     assert_eq!(post(&kept[0], 2001), "413");
--- a/crates/router/src/journal.rs
+++ b/crates/router/src/journal.rs
@@ -20,7 +20,14 @@
 impl Journal {
     /// Keeps this many lines.
     pub fn new(bound: usize) -> Self {
-        Journal { lines: Mutex::new(Lines { first: 1, kept: VecDeque::new() }), news: Condvar::new(), bound }
+        Journal {
+            lines: Mutex::new(Lines {
+                first: 1,
+                kept: VecDeque::new(),
+            }),
+            news: Condvar::new(),
+            bound,
+        }
     }
     /// Adds a line; `write` is given its number.
     pub fn add(&self, write: impl FnOnce(u64) -> String) {
@@ -45,7 +52,11 @@
             if cursor + 1 < next || is_ahead || left.is_zero() {
                 break;
             }
-            lines = self.news.wait_timeout(lines, left).expect("no thread panics with it").0;
+            lines = self
+                .news
+                .wait_timeout(lines, left)
+                .expect("no thread panics with it")
+                .0;
         }
         let next = lines.first + lines.kept.len() as u64;
         let mut found = vec![];
@@ -76,8 +87,14 @@
         assert_eq!(journal.after(2, 9, now), (vec![], 2));
         (0..4).for_each(|_| journal.add(|n| format!("line {n}")));
         let (lines, cursor) = journal.after(2, 9, now);
-        assert_eq!((lines[0].as_str(), lines.len(), cursor), (r#"{"gap":{"after":2,"next":4}}"#, 4, 6));
+        assert_eq!(
+            (lines[0].as_str(), lines.len(), cursor),
+            (r#"{"gap":{"after":2,"next":4}}"#, 4, 6)
+        );
         let (lines, cursor) = journal.after(99, 1, now);
-        assert_eq!((lines[0].as_str(), lines[1].as_str(), cursor), (r#"{"gap":{"after":99,"next":4}}"#, "line 4", 4));
+        assert_eq!(
+            (lines[0].as_str(), lines[1].as_str(), cursor),
+            (r#"{"gap":{"after":99,"next":4}}"#, "line 4", 4)
+        );
     }
 }
--- a/crates/router/src/judgement.rs
+++ b/crates/router/src/judgement.rs
@@ -66,7 +66,9 @@
             (AnswerIdentity::Own, AnswerClaim::NotRun, _) => Judgement::NotRun,
             (AnswerIdentity::Own, AnswerClaim::Elsewhere, _) => Judgement::Elsewhere,
             (AnswerIdentity::Missing, AnswerClaim::NotRun, AnswerPlace::Sole) => Judgement::NotRun,
-            (AnswerIdentity::Missing, AnswerClaim::Elsewhere, AnswerPlace::Sole) => Judgement::Elsewhere,
+            (AnswerIdentity::Missing, AnswerClaim::Elsewhere, AnswerPlace::Sole) => {
+                Judgement::Elsewhere
+            }
             (AnswerIdentity::Missing, _, _) | (_, AnswerClaim::Nothing, _) => Judgement::Foreign,
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -37,14 +37,19 @@
     pub use crate::event_splitter::{EventSplitter, StreamEvent};
     pub use crate::forward::detached::{DetachedForwarder, Placed, Placer};
     pub use crate::interface::{
-        ClientRequest, LIFE_HEADER, ResumeRequest, RunPiece, RunRequest, ServerListReport, ServerReport,
+        ClientRequest, LIFE_HEADER, ResumeRequest, RunPiece, RunRequest, ServerListReport,
+        ServerReport,
     };
     pub use crate::journal::Journal;
     pub use crate::judgement::{AnswerClaim, AnswerIdentity, AnswerPlace, Judgement};
-    pub use crate::node::{Denial, KvTask, Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, Placing, resume_id};
+    pub use crate::node::{
+        Denial, KvTask, Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, Placing, resume_id,
+    };
     pub use crate::piece_reader::{Passed, PieceReader};
     pub use crate::replay::replay;
-    pub use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
+    pub use crate::server_list::{
+        ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList,
+    };
     pub use crate::settings::Settings;
     pub use crate::tallies::Tallies;
     pub use crate::token::{Token, run_id};
--- a/crates/router/src/list_reader.rs
+++ b/crates/router/src/list_reader.rs
@@ -22,7 +22,11 @@
     dialect: Arc<dyn CallDialect>,
     tell: impl Fn(ListReading) + Send + 'static,
 ) -> std::io::Result<flume::Sender<ReadEffort>> {
-    let lines = Lines::new(LinesBounds { per_address: 2, idle_per_address: 1, idle_span: Span::seconds(20) });
+    let lines = Lines::new(LinesBounds {
+        per_address: 2,
+        idle_per_address: 1,
+        idle_span: Span::seconds(20),
+    });
     let (sender, asks) = flume::bounded(1);
     let read = move || {
         let mut was_well = true;
@@ -32,17 +36,29 @@
                 ReadEffort::Once => asked,
                 ReadEffort::Persistent => asked + PERSISTS_FOR,
             };
-            let reader = PageReader { lines: &lines, list, dialect: dialect.as_ref(), give_up_at };
+            let reader = PageReader {
+                lines: &lines,
+                list,
+                dialect: dialect.as_ref(),
+                give_up_at,
+            };
             let outcome = reader.read_all();
             if let (Err(why), true) = (&outcome, was_well) {
                 tracing::warn!("servers: the platform's list can't be read: {why}.");
             }
             was_well = outcome.is_ok();
-            let (calls, servers) = outcome.map_or((1, None), |(calls, servers)| (calls, Some(servers)));
-            tell(ListReading { asked, calls, servers });
+            let (calls, servers) =
+                outcome.map_or((1, None), |(calls, servers)| (calls, Some(servers)));
+            tell(ListReading {
+                asked,
+                calls,
+                servers,
+            });
         }
     };
-    std::thread::Builder::new().name("servers".into()).spawn(read)?;
+    std::thread::Builder::new()
+        .name("servers".into())
+        .spawn(read)?;
     Ok(sender)
 }
 
@@ -83,11 +99,20 @@
 
     fn ask(&self, page: Option<&str>) -> Result<(u16, Bytes), String> {
         let deadline = Clock::now() + PATIENCE;
-        let waits = Waits { connect: Span(300), head_deadline: deadline, may_leave: &|| true, client: None };
-        let asked = self.lines.ask(self.list.0, self.dialect.list_request(page), &waits);
+        let waits = Waits {
+            connect: Span(300),
+            head_deadline: deadline,
+            may_leave: &|| true,
+            client: None,
+        };
+        let asked = self
+            .lines
+            .ask(self.list.0, self.dialect.list_request(page), &waits);
         let mut line = asked.map_err(|fault| fault.to_string())?;
         let status = line.head().status.as_u16();
-        let body = line.read_all(deadline, PAGE_MOST, None).map_err(|fault| fault.to_string())?;
+        let body = line
+            .read_all(deadline, PAGE_MOST, None)
+            .map_err(|fault| fault.to_string())?;
         line.keep();
         Ok((status, body))
     }
--- a/crates/router/src/list_reader/tests.rs
+++ b/crates/router/src/list_reader/tests.rs
@@ -23,9 +23,13 @@
 
 fn read(address: Address, effort: ReadEffort) -> ListReading {
     let (tell, told) = flume::bounded(1);
-    let reader = start(address, Arc::new(Plain), move |reading| drop(tell.send(reading))).expect("it starts");
+    let reader = start(address, Arc::new(Plain), move |reading| {
+        drop(tell.send(reading))
+    })
+    .expect("it starts");
     reader.send(effort).expect("it reads");
-    told.recv_timeout(Duration::from_secs(30)).expect("it tells")
+    told.recv_timeout(Duration::from_secs(30))
+        .expect("it tells")
 }
 
 #[parameterized(
@@ -42,8 +46,20 @@
 ) {
     let (address, counted) = platform(refusals);
     let reading = read(address, effort);
-    let names = reading.servers.map(|servers| servers.into_iter().map(|entry| entry.server.0).collect::<Vec<_>>());
-    assert_eq!(names, is_read.then(|| vec!["one".to_owned(), "two".to_owned()]));
+    let names = reading.servers.map(|servers| {
+        servers
+            .into_iter()
+            .map(|entry| entry.server.0)
+            .collect::<Vec<_>>()
+    });
+    assert_eq!(
+        names,
+        is_read.then(|| vec!["one".to_owned(), "two".to_owned()])
+    );
     assert_eq!(counted.load(Ordering::SeqCst), calls);
-    assert!(!is_read || reading.calls == 2, "pages are counted, not tries: {}", reading.calls);
+    assert!(
+        !is_read || reading.calls == 2,
+        "pages are counted, not tries: {}",
+        reading.calls
+    );
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -66,12 +66,19 @@
 fn main() -> ExitCode {
     let line = Line::parse();
     tracing_subscriber::fmt()
-        .with_env_filter(tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into()))
+        .with_env_filter(
+            tracing_subscriber::EnvFilter::try_from_default_env().unwrap_or_else(|_| "info".into()),
+        )
         .with_target(false)
         .with_writer(std::io::stderr)
         .init();
     let outcome = match line.task {
-        Task::Serve { settings, listen, inner, zone } => {
+        Task::Serve {
+            settings,
+            listen,
+            inner,
+            zone,
+        } => {
             let mut read = match read_settings::<Settings>(settings.as_deref()) {
                 Ok(read) => read,
                 Err(fault) => {
@@ -79,15 +86,23 @@
                     return ExitCode::from(2);
                 }
             };
-            listen.into_iter().for_each(|address| read.listen = address.to_string());
-            inner.into_iter().for_each(|address| read.inner = address.to_string());
+            listen
+                .into_iter()
+                .for_each(|address| read.listen = address.to_string());
+            inner
+                .into_iter()
+                .for_each(|address| read.inner = address.to_string());
             zone.into_iter().for_each(|name| read.zone = name);
             return ExitCode::from(run(&read, Dialects::default()));
         }
         Task::Decisions(tail) => copy_out(&tail, "decisions"),
         Task::Events(tail) => copy_out(&tail, "events"),
         Task::Push { at } => push(at),
-        Task::Believes { at } => show(ask_get(&format!("http://{at}/v1/believes"), Span(1000), Span(6000))),
+        Task::Believes { at } => show(ask_get(
+            &format!("http://{at}/v1/believes"),
+            Span(1000),
+            Span(6000),
+        )),
         Task::Replay => replay(std::io::stdin().lock(), std::io::stdout().lock()),
     };
     match outcome {
@@ -102,22 +117,34 @@
 fn copy_out(tail: &Tail, what: &str) -> Result<(), String> {
     let Tail { at, after, follow } = tail;
     let url = format!("http://{at}/v1/{what}?after={after}&follow={follow}");
-    let mut response = ask_get(&url, Span(1000), Span::seconds(3600)).map_err(|fault| fault.to_string())?;
+    let mut response =
+        ask_get(&url, Span(1000), Span::seconds(3600)).map_err(|fault| fault.to_string())?;
     let mut out = std::io::stdout().lock();
     let mut buffer = [0u8; 16 << 10];
     loop {
-        let count = response.read(&mut buffer).map_err(|fault| fault.to_string())?;
+        let count = response
+            .read(&mut buffer)
+            .map_err(|fault| fault.to_string())?;
         if count == 0 {
             return Ok(());
         }
-        out.write_all(&buffer[..count]).and_then(|()| out.flush()).map_err(|fault| fault.to_string())?;
+        out.write_all(&buffer[..count])
+            .and_then(|()| out.flush())
+            .map_err(|fault| fault.to_string())?;
     }
 }
 
 fn push(at: Address) -> Result<(), String> {
     let mut body = vec![];
-    std::io::stdin().read_to_end(&mut body).map_err(|fault| fault.to_string())?;
-    show(ask_post(&format!("http://{at}/v1/events"), body, Span(1000), Span(6000)))
+    std::io::stdin()
+        .read_to_end(&mut body)
+        .map_err(|fault| fault.to_string())?;
+    show(ask_post(
+        &format!("http://{at}/v1/events"),
+        body,
+        Span(1000),
+        Span(6000),
+    ))
 }
 
 fn show(outcome: Result<Heard, AskError>) -> Result<(), String> {
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -198,8 +198,16 @@
 
     /// This node reads the platform's list, or is told it by its zone's collector.
     pub fn reading_list(self, timing: ListTiming) -> Self {
-        let server_list = Some(ServerList::new(self.own, self.incarnation, timing, self.now));
-        Node { server_list, ..self }
+        let server_list = Some(ServerList::new(
+            self.own,
+            self.incarnation,
+            timing,
+            self.now,
+        ));
+        Node {
+            server_list,
+            ..self
+        }
     }
 
     /// Takes an input in; gives what is to be done.
@@ -212,14 +220,20 @@
                 self.take_server_list(servers);
             }
             NodeInput::Event(event) => self.tell_scheduler(event),
-            NodeInput::List(reading) => self.step_list(|list, now, _| list.on_reading(now, reading)),
+            NodeInput::List(reading) => {
+                self.step_list(|list, now, _| list.on_reading(now, reading))
+            }
             NodeInput::Seeds(seeds) => self.seeds = seeds,
             NodeInput::Place(ask) => self.on_place(ask),
             NodeInput::Resume { number, token } => {
                 let outcome = self.resume(number, &token);
                 self.outputs.push(NodeOutput::Resume { number, outcome });
             }
-            NodeInput::Close { request, number, may_have_run } => {
+            NodeInput::Close {
+                request,
+                number,
+                may_have_run,
+            } => {
                 self.abandon_credit(number);
                 if self.open.get(&request) == Some(&number) {
                     self.open.remove(&request);
@@ -228,7 +242,11 @@
                     }
                 }
             }
-            NodeInput::Plan { plan_epoch, plan, bytes } => self.on_plan(plan_epoch, plan, bytes),
+            NodeInput::Plan {
+                plan_epoch,
+                plan,
+                bytes,
+            } => self.on_plan(plan_epoch, plan, bytes),
             NodeInput::ClockEvent => self.on_clock_event(),
             NodeInput::Drain => self.is_draining = true,
         }
@@ -241,7 +259,9 @@
         let is_whole = self.plan.is_some()
             && self.key.is_some()
             && self.has_server_list
-            && self.list_awaited_until.is_none_or(|deadline| now >= deadline);
+            && self
+                .list_awaited_until
+                .is_none_or(|deadline| now >= deadline);
         match self.lease_state.may_act_until(now) {
             // Never beyond what the control thread could take back if it's alive.
             Some(deadline) if is_whole => deadline.min(now + self.timing.slept),
@@ -299,21 +319,36 @@
 
     fn send(&mut self, to: Address, letter: Letter) {
         let is_bulk = matches!(letter, Letter::PlanPiece { .. });
-        self.outputs.push(NodeOutput::Send { to, is_bulk, letter });
+        self.outputs.push(NodeOutput::Send {
+            to,
+            is_bulk,
+            letter,
+        });
     }
 
     fn take_server_list(&mut self, servers: Vec<ServerEntry>) {
         self.has_server_list = true;
-        self.addresses =
-            servers.iter().filter_map(|entry| Some((entry.server.clone(), entry.address.clone()?))).collect();
+        self.addresses = servers
+            .iter()
+            .filter_map(|entry| Some((entry.server.clone(), entry.address.clone()?)))
+            .collect();
         self.tell_scheduler(Event::ServerList { servers });
     }
 
-    fn step_list(&mut self, step: impl FnOnce(&mut ServerList, Moment, ListPeers) -> Vec<ListOutput>) {
-        let Some(list) = &mut self.server_list else { return };
+    fn step_list(
+        &mut self,
+        step: impl FnOnce(&mut ServerList, Moment, ListPeers) -> Vec<ListOutput>,
+    ) {
+        let Some(list) = &mut self.server_list else {
+            return;
+        };
         let zone = self.dissemination.members_of(&self.zone);
         let collector = self.dissemination.collector(&self.zone);
-        let peers = ListPeers { zone, collector, fleet: self.members.len() };
+        let peers = ListPeers {
+            zone,
+            collector,
+            fleet: self.members.len(),
+        };
         let outputs = step(list, self.now, peers);
         if list.is_known() {
             self.list_awaited_until = None;
@@ -325,7 +360,11 @@
                 ListOutput::Servers(servers) => self.take_server_list(servers),
                 ListOutput::Unheard(collector) => {
                     // One that is there and can't read the list collects digests all the same.
-                    if self.heard.get(&collector).is_none_or(|at| self.now.since(*at) >= HEARD_FOR) {
+                    if self
+                        .heard
+                        .get(&collector)
+                        .is_none_or(|at| self.now.since(*at) >= HEARD_FOR)
+                    {
                         self.dissemination.suspect(collector);
                     }
                 }
@@ -334,20 +373,33 @@
     }
 
     fn tell_scheduler(&mut self, event: Event) {
-        let dated = Dated { at: self.now, event };
+        let dated = Dated {
+            at: self.now,
+            event,
+        };
         self.outputs.push(NodeOutput::Event(dated.clone()));
         for decision in self.scheduler.take(dated) {
             match &decision {
-                Decision::Warm { prefix, holder, targets, .. } => {
+                Decision::Warm {
+                    prefix,
+                    holder,
+                    targets,
+                    ..
+                } => {
                     for target in targets {
                         let (prefix, holder, target) = (*prefix, holder.clone(), target.clone());
-                        self.outputs.push(NodeOutput::Kv(KvTask::Copy { prefix, holder, target }));
+                        self.outputs.push(NodeOutput::Kv(KvTask::Copy {
+                            prefix,
+                            holder,
+                            target,
+                        }));
                     }
                 }
                 Decision::Cooled { prefix, copies } => {
                     for server in copies {
                         let (prefix, server) = (*prefix, server.clone());
-                        self.outputs.push(NodeOutput::Kv(KvTask::Drop { prefix, server }));
+                        self.outputs
+                            .push(NodeOutput::Kv(KvTask::Drop { prefix, server }));
                     }
                 }
                 _ => {}
@@ -360,7 +412,9 @@
         if self.now.since(self.last_event) >= self.timing.slept {
             // What the server list said before may have changed while this machine slept.
             self.list_awaited_until = Some(self.now + Span(1500));
-            self.outputs.push(NodeOutput::Log("node: the machine slept; the server list is read anew".into()));
+            self.outputs.push(NodeOutput::Log(
+                "node: the machine slept; the server list is read anew".into(),
+            ));
         }
         self.last_event = self.now;
         self.settle_credit();
@@ -376,7 +430,11 @@
         }
         let reason = self.lease_state.reason(self.now);
         if reason != self.last_reason {
-            let line = format!("node: lease state is {}, epoch {}", reason.word(), self.lease_state.epoch());
+            let line = format!(
+                "node: lease state is {}, epoch {}",
+                reason.word(),
+                self.lease_state.epoch()
+            );
             self.outputs.push(NodeOutput::Log(line));
             self.last_reason = reason;
         }
@@ -384,22 +442,41 @@
 
     /// When the next clock event is due at the latest.
     pub fn next_timer(&self) -> Moment {
-        let poll = self.polled.map_or(self.next_poll, |sent| sent + self.timing.poll_deadline);
+        let poll = self
+            .polled
+            .map_or(self.next_poll, |sent| sent + self.timing.poll_deadline);
         let peer_check = match self.lease_state.lease_deadline() {
             Some(deadline) => (deadline - self.timing.peer_check_from).max(self.next_peer_check),
             None => self.next_tick,
         };
-        let list = self.server_list.as_ref().map_or(self.next_tick, ServerList::next_timer);
+        let list = self
+            .server_list
+            .as_ref()
+            .map_or(self.next_tick, ServerList::next_timer);
         let credit = self.credit.next_timer().unwrap_or(self.next_tick);
-        poll.min(peer_check).min(list).min(credit).min(self.next_tick)
+        poll.min(peer_check)
+            .min(list)
+            .min(credit)
+            .min(self.next_tick)
     }
 
     fn send_digests(&mut self, letters: Vec<(Address, Letter)>) {
-        letters.into_iter().for_each(|(to, letter)| self.send(to, letter));
-        let Some((life, number, sum)) = self.dissemination.take_news() else { return };
-        let servers = self.scheduler.servers().iter().map(|(name, server)| (name, server.incarnation.unwrap_or(0)));
+        letters
+            .into_iter()
+            .for_each(|(to, letter)| self.send(to, letter));
+        let Some((life, number, sum)) = self.dissemination.take_news() else {
+            return;
+        };
+        let servers = self
+            .scheduler
+            .servers()
+            .iter()
+            .map(|(name, server)| (name, server.incarnation.unwrap_or(0)));
         let sketch = sum.sketch(life, number, servers);
-        self.tell_scheduler(Event::PeerSketch { from: FLEET, sketch });
+        self.tell_scheduler(Event::PeerSketch {
+            from: FLEET,
+            sketch,
+        });
     }
 
     /// The digests that it takes part in.
@@ -410,15 +487,27 @@
     fn on_letter(&mut self, from: Address, letter: Letter) {
         self.heard.insert(from, self.now);
         match letter {
-            Letter::PollResponse { round, response } => self.on_poll_response(from, round, *response),
+            Letter::PollResponse { round, response } => {
+                self.on_poll_response(from, round, *response)
+            }
             Letter::PlanAsk { epoch, offset, .. } => {
-                let piece = Letter::plan_piece(epoch, &self.plan_bytes, offset).filter(|_| epoch == self.plan_epoch);
+                let piece = Letter::plan_piece(epoch, &self.plan_bytes, offset)
+                    .filter(|_| epoch == self.plan_epoch);
                 piece.into_iter().for_each(|letter| self.send(from, letter));
             }
-            Letter::PlanPiece { epoch, offset, length, bytes } => {
+            Letter::PlanPiece {
+                epoch,
+                offset,
+                length,
+                bytes,
+            } => {
                 self.on_plan_piece(from, epoch, offset, length, &bytes);
             }
-            Letter::PlanSplice { epoch, base, splice } => self.on_plan_splice(from, epoch, base, &splice),
+            Letter::PlanSplice {
+                epoch,
+                base,
+                splice,
+            } => self.on_plan_splice(from, epoch, base, &splice),
             Letter::News { news } => {
                 if self.lease_state.lease_deadline().is_some() {
                     self.on_news(from, *news, None);
@@ -426,20 +515,37 @@
             }
             Letter::NewsAsk => {
                 if let Some(news) = self.news() {
-                    self.send(from, Letter::News { news: Box::new(news) });
+                    self.send(
+                        from,
+                        Letter::News {
+                            news: Box::new(news),
+                        },
+                    );
                 }
             }
             Letter::PeerCheckRequest { round, epoch } => {
-                let known =
-                    if self.lease_state.lease_deadline().is_some() { self.lease_state.epoch() } else { Epoch(0) };
-                self.send(from, Letter::PeerCheckResponse { echo: round, epoch: known });
+                let known = if self.lease_state.lease_deadline().is_some() {
+                    self.lease_state.epoch()
+                } else {
+                    Epoch(0)
+                };
+                self.send(
+                    from,
+                    Letter::PeerCheckResponse {
+                        echo: round,
+                        epoch: known,
+                    },
+                );
                 self.lease_state.hear(from, epoch);
                 self.ask_news(from, epoch);
             }
             Letter::PeerCheckResponse { echo, epoch } => {
                 // Counted from when our own letter left that this one answers, so that a letter long
                 // under way proves nothing about now.
-                if let Some((_, sent)) = self.peer_checks.iter().find(|(own_round, _)| *own_round == echo)
+                if let Some((_, sent)) = self
+                    .peer_checks
+                    .iter()
+                    .find(|(own_round, _)| *own_round == echo)
                     && epoch > Epoch(0)
                 {
                     self.lease_state.note_peer_check(from, epoch, *sent);
@@ -447,8 +553,16 @@
                 self.lease_state.hear(from, epoch);
                 self.ask_news(from, epoch);
             }
-            Letter::Digest { leg, life, number, is_whole, change } => {
-                let letters = self.dissemination.on_digest(self.now, from, leg, life, number, is_whole, &change);
+            Letter::Digest {
+                leg,
+                life,
+                number,
+                is_whole,
+                change,
+            } => {
+                let letters = self
+                    .dissemination
+                    .on_digest(self.now, from, leg, life, number, is_whole, &change);
                 self.send_digests(letters);
             }
             Letter::DigestAck { leg, number } => {
@@ -458,7 +572,9 @@
             Letter::ListFresh { .. }
             | Letter::ListChange { .. }
             | Letter::ListAsk { .. }
-            | Letter::ListPiece { .. } => self.step_list(|list, now, _| list.on_letter(now, from, &letter)),
+            | Letter::ListPiece { .. } => {
+                self.step_list(|list, now, _| list.on_letter(now, from, &letter))
+            }
             Letter::CoreLocation { location, .. } => self.on_core_location(from, *location),
             Letter::CreditGrant { grant } => self.on_credit_grant(from, &grant),
             Letter::CreditAsk { .. }
--- a/crates/router/src/node/credit.rs
+++ b/crates/router/src/node/credit.rs
@@ -7,16 +7,26 @@
 impl Node {
     /// The plan was replaced: its tenants and their limits are taken up.
     pub(super) fn take_tenants(&mut self) {
-        let Some(plan) = self.plan.clone() else { return };
+        let Some(plan) = self.plan.clone() else {
+            return;
+        };
         self.tenants = Arc::new(TenantTable::new(&plan.tenants, self.key_hasher.clone()));
-        let limited = |tenant: &TenantPlan| Some((TenantName::from(tenant.name.as_str()), quota_limit(tenant)?));
-        let limits: Vec<(TenantName, QuotaLimit)> = plan.tenants.iter().filter_map(limited).collect();
+        let limited = |tenant: &TenantPlan| {
+            Some((TenantName::from(tenant.name.as_str()), quota_limit(tenant)?))
+        };
+        let limits: Vec<(TenantName, QuotaLimit)> =
+            plan.tenants.iter().filter_map(limited).collect();
         let released = self.credit.set_limits(self.plan_epoch, &limits);
         self.settle(released);
     }
 
     /// By whose right a request goes, under the plan held.
-    pub(super) fn access(&self, plan: &Plan, route: Option<&str>, key: Option<&KeyDigest>) -> Result<Access, Denial> {
+    pub(super) fn access(
+        &self,
+        plan: &Plan,
+        route: Option<&str>,
+        key: Option<&KeyDigest>,
+    ) -> Result<Access, Denial> {
         if self.tenants.is_empty() {
             return Ok(Access::Unrestricted);
         }
@@ -27,7 +37,11 @@
         let Some(key) = key else {
             // The plan had no tenants, or the route was public, when the request came.
             let why = "the plan in force wants an API key for this".to_owned();
-            return Err(Denial { code: ResultCode::NotReady, why, retry_after: Span(50) });
+            return Err(Denial {
+                code: ResultCode::NotReady,
+                why,
+                retry_after: Span(50),
+            });
         };
         let tenant = self.tenants.tenant(key).ok_or_else(unauthorized)?;
         Ok(Access::Tenant(tenant.name.as_str().into()))
@@ -47,7 +61,9 @@
     }
 
     fn admit(&mut self, ask: &PlaceAsk) -> Admission {
-        let Some((tenant, amount)) = self.quota_of(ask) else { return Admission::Admitted };
+        let Some((tenant, amount)) = self.quota_of(ask) else {
+            return Admission::Admitted;
+        };
         if ask.round == 0 {
             return self.credit.admit(self.now, ask.number, &tenant, amount);
         }
@@ -60,8 +76,14 @@
 
     /// Whose quota a request takes from, and how much of it.
     fn quota_of(&self, ask: &PlaceAsk) -> Option<(TenantName, Amount)> {
-        let tenant = self.tenants.tenant(ask.key.as_ref()?).filter(|tenant| tenant.is_limited())?;
-        Some((tenant.name.as_str().into(), quota_amount(tenant, &ask.demand)))
+        let tenant = self
+            .tenants
+            .tenant(ask.key.as_ref()?)
+            .filter(|tenant| tenant.is_limited())?;
+        Some((
+            tenant.name.as_str().into(),
+            quota_amount(tenant, &ask.demand),
+        ))
     }
 
     fn place_admitted(&mut self, ask: PlaceAsk) {
@@ -77,10 +99,15 @@
     fn settle(&mut self, settlements: Vec<Settlement>) {
         for settlement in settlements {
             let number = settlement.number;
-            let Some(ask) = self.waiting_for_credit.remove(&number) else { continue };
+            let Some(ask) = self.waiting_for_credit.remove(&number) else {
+                continue;
+            };
             match settlement.outcome {
                 Ok(()) => self.place_admitted(ask),
-                Err(denial) => self.outputs.push(NodeOutput::Place { number, outcome: Err(refusal(denial)) }),
+                Err(denial) => self.outputs.push(NodeOutput::Place {
+                    number,
+                    outcome: Err(refusal(denial)),
+                }),
             }
         }
     }
@@ -112,12 +139,18 @@
 
 fn refusal(denial: QuotaDenial) -> Denial {
     match denial {
-        QuotaDenial::OverQuota { retry_after } => {
-            Denial { code: ResultCode::OverQuota, why: "the tenant is beyond its quota".into(), retry_after }
-        }
+        QuotaDenial::OverQuota { retry_after } => Denial {
+            code: ResultCode::OverQuota,
+            why: "the tenant is beyond its quota".into(),
+            retry_after,
+        },
         QuotaDenial::Unknown { retry_after } => {
             let why = "the core did not tell in time whether the tenant's quota has room".into();
-            Denial { code: ResultCode::QuotaUnknown, why, retry_after }
+            Denial {
+                code: ResultCode::QuotaUnknown,
+                why,
+                retry_after,
+            }
         }
     }
 }
--- a/crates/router/src/node/news.rs
+++ b/crates/router/src/node/news.rs
@@ -8,28 +8,45 @@
         self.lease_state.lease_deadline()?;
         let (epoch, plan_epoch) = (self.lease_state.epoch(), self.plan_epoch);
         let (withdrawn, members) = (self.withdrawn.clone(), Some(self.members.clone()));
-        Some(News { epoch, plan_epoch, withdrawn, members, members_since: self.members_since })
+        Some(News {
+            epoch,
+            plan_epoch,
+            withdrawn,
+            members,
+            members_since: self.members_since,
+        })
     }
 
     /// Asks a peer that knows more, once in a while.
     pub(super) fn ask_news(&mut self, from: Address, epoch: Epoch) {
-        let is_newer = epoch > self.lease_state.epoch() && self.lease_state.lease_deadline().is_some();
+        let is_newer =
+            epoch > self.lease_state.epoch() && self.lease_state.lease_deadline().is_some();
         if is_newer && self.now.since(self.news_asked) >= Span(100) {
             self.news_asked = self.now;
             self.send(from, Letter::NewsAsk);
         }
     }
 
-    pub(super) fn on_news(&mut self, from: Address, mut news: News, lease_deadline: Option<Moment>) {
+    pub(super) fn on_news(
+        &mut self,
+        from: Address,
+        mut news: News,
+        lease_deadline: Option<Moment>,
+    ) {
         if news.epoch < self.lease_state.epoch() {
             return;
         }
         self.lease_state.tell(news.epoch, self.now + TOLD_FOR);
         if news.members.is_none() {
-            let under_way = self.fetching.as_ref().filter(|fetching| fetching.news.epoch >= news.members_since);
+            let under_way = self
+                .fetching
+                .as_ref()
+                .filter(|fetching| fetching.news.epoch >= news.members_since);
             news.members = match under_way {
                 Some(fetching) => fetching.news.members.clone(),
-                None if self.lease_state.epoch() >= news.members_since => Some(self.members.clone()),
+                None if self.lease_state.epoch() >= news.members_since => {
+                    Some(self.members.clone())
+                }
                 // Earlier news was lost on the way.
                 None => {
                     self.next_poll = self.now;
@@ -56,15 +73,37 @@
             Some(fetching) if fetching.news.plan_epoch > news.plan_epoch => {}
             _ => {
                 let epoch = news.plan_epoch;
-                self.fetching =
-                    Some(Fetching { news, lease_deadline, from, bytes: vec![], asked: self.now, is_whole: false });
-                self.send(from, Letter::PlanAsk { epoch, offset: 0, have: self.plan_epoch });
+                self.fetching = Some(Fetching {
+                    news,
+                    lease_deadline,
+                    from,
+                    bytes: vec![],
+                    asked: self.now,
+                    is_whole: false,
+                });
+                self.send(
+                    from,
+                    Letter::PlanAsk {
+                        epoch,
+                        offset: 0,
+                        have: self.plan_epoch,
+                    },
+                );
             }
         }
     }
 
-    pub(super) fn on_plan_piece(&mut self, from: Address, epoch: Epoch, offset: u64, length: u64, bytes: &[u8]) {
-        let Some(fetching) = &mut self.fetching else { return };
+    pub(super) fn on_plan_piece(
+        &mut self,
+        from: Address,
+        epoch: Epoch,
+        offset: u64,
+        length: u64,
+        bytes: &[u8],
+    ) {
+        let Some(fetching) = &mut self.fetching else {
+            return;
+        };
         let is_next = !fetching.is_whole
             && fetching.from == from
             && fetching.news.plan_epoch == epoch
@@ -77,15 +116,31 @@
         fetching.asked = self.now;
         let have = fetching.bytes.len() as u64;
         if have < length {
-            return self.send(from, Letter::PlanAsk { epoch, offset: have, have: self.plan_epoch });
+            return self.send(
+                from,
+                Letter::PlanAsk {
+                    epoch,
+                    offset: have,
+                    have: self.plan_epoch,
+                },
+            );
         }
         self.on_whole_plan();
     }
 
     /// A plan came as what differs from the one held.
-    pub(super) fn on_plan_splice(&mut self, from: Address, epoch: Epoch, base: Epoch, splice: &Splice) {
-        let Some(fetching) = &mut self.fetching else { return };
-        let is_awaited = !fetching.is_whole && fetching.from == from && fetching.news.plan_epoch == epoch;
+    pub(super) fn on_plan_splice(
+        &mut self,
+        from: Address,
+        epoch: Epoch,
+        base: Epoch,
+        splice: &Splice,
+    ) {
+        let Some(fetching) = &mut self.fetching else {
+            return;
+        };
+        let is_awaited =
+            !fetching.is_whole && fetching.from == from && fetching.news.plan_epoch == epoch;
         if !is_awaited || !fetching.bytes.is_empty() || base != self.plan_epoch {
             return;
         }
@@ -97,14 +152,29 @@
 
     /// All of a plan is here; another thread reads it.
     pub(super) fn on_whole_plan(&mut self) {
-        let Some(fetching) = &mut self.fetching else { return };
-        let (plan_epoch, bytes) = (fetching.news.plan_epoch, Arc::new(std::mem::take(&mut fetching.bytes)));
+        let Some(fetching) = &mut self.fetching else {
+            return;
+        };
+        let (plan_epoch, bytes) = (
+            fetching.news.plan_epoch,
+            Arc::new(std::mem::take(&mut fetching.bytes)),
+        );
         fetching.is_whole = true;
         self.outputs.push(NodeOutput::Read { plan_epoch, bytes });
     }
 
-    pub(super) fn on_plan(&mut self, plan_epoch: Epoch, plan: Result<Arc<Plan>, Vec<Fault>>, bytes: Arc<Vec<u8>>) {
-        let Some(fetching) = self.fetching.take_if(|f| f.is_whole && f.news.plan_epoch == plan_epoch) else { return };
+    pub(super) fn on_plan(
+        &mut self,
+        plan_epoch: Epoch,
+        plan: Result<Arc<Plan>, Vec<Fault>>,
+        bytes: Arc<Vec<u8>>,
+    ) {
+        let Some(fetching) = self
+            .fetching
+            .take_if(|f| f.is_whole && f.news.plan_epoch == plan_epoch)
+        else {
+            return;
+        };
         match plan {
             Ok(plan) => {
                 self.plan = Some(plan);
@@ -116,7 +186,9 @@
             }
             Err(faults) => {
                 let code = ResultCode::BadLetter;
-                let line = format!("node: {code} the plan of epoch {plan_epoch} can't be read: {faults:?}");
+                let line = format!(
+                    "node: {code} the plan of epoch {plan_epoch} can't be read: {faults:?}"
+                );
                 self.outputs.push(NodeOutput::Log(line));
             }
         }
@@ -131,13 +203,18 @@
         let has_other_members = listed_members != self.members || since > self.members_since;
         let members: Vec<Address> = listed_members.iter().map(|member| member.address).collect();
         match lease_deadline {
-            Some(deadline) => self.lease_state.lease(deadline, news.epoch, members.clone()),
+            Some(deadline) => self
+                .lease_state
+                .lease(deadline, news.epoch, members.clone()),
             None => self.lease_state.learn(news.epoch, members.clone()),
         }
         if is_newer {
             self.withdrawn = news.withdrawn;
             self.push_rules();
-            let line = format!("node: epoch {} is in force, plan {}", news.epoch, self.plan_epoch);
+            let line = format!(
+                "node: epoch {} is in force, plan {}",
+                news.epoch, self.plan_epoch
+            );
             self.outputs.push(NodeOutput::Log(line));
             // The core is to know that it's in force here.
             self.next_poll = self.now;
@@ -150,7 +227,10 @@
             self.tell_scheduler(Event::Members { members, since });
         }
         if let Some(until) = lease_deadline {
-            self.tell_scheduler(Event::Lease { until, span: self.lease_span });
+            self.tell_scheduler(Event::Lease {
+                until,
+                span: self.lease_span,
+            });
         }
     }
 
--- a/crates/router/src/node/placing.rs
+++ b/crates/router/src/node/placing.rs
@@ -7,13 +7,33 @@
 
 impl Node {
     pub(super) fn place(&mut self, ask: PlaceAsk) -> Result<Placing, Denial> {
-        let PlaceAsk { number, request, service, kind, route, key, hashes, demand, round, tried, may_have_run, run } =
-            ask;
+        let PlaceAsk {
+            number,
+            request,
+            service,
+            kind,
+            route,
+            key,
+            hashes,
+            demand,
+            round,
+            tried,
+            may_have_run,
+            run,
+        } = ask;
         let deny = |code: ResultCode, why: &str, retry_after: u64| {
-            Err(Denial { code, why: why.to_owned(), retry_after: Span(retry_after) })
+            Err(Denial {
+                code,
+                why: why.to_owned(),
+                retry_after: Span(retry_after),
+            })
         };
         if self.is_draining {
-            return deny(ResultCode::Draining, "this node is stopping; another takes it", 0);
+            return deny(
+                ResultCode::Draining,
+                "this node is stopping; another takes it",
+                0,
+            );
         }
         let reason = self.lease_state.reason(self.now);
         if !reason.may_act() || self.now >= self.may_act_until(self.now) {
@@ -25,23 +45,41 @@
         };
         let is_kind = |found: &&ServicePlan| route.is_some() || found.kind == kind;
         let Some(of_service) = plan.services.get(service.as_str()).filter(is_kind) else {
-            return deny(ResultCode::UnknownService, "no accepted plan allows this service in this way", 0);
+            return deny(
+                ResultCode::UnknownService,
+                "no accepted plan allows this service in this way",
+                0,
+            );
         };
         let may_repeat = match route.as_deref() {
             None => of_service.may_repeat(),
             Some(name) => match plan.allowed_route(name, service.as_str()) {
                 Some(found) => found.may_repeat(),
                 // The plan has changed since it was read here: its client may come back under the new one.
-                None => return deny(ResultCode::NotReady, "the plan in force has this route no more", 50),
+                None => {
+                    return deny(
+                        ResultCode::NotReady,
+                        "the plan in force has this route no more",
+                        50,
+                    );
+                }
             },
         };
         let access = self.access(&plan, route.as_deref(), key.as_ref())?;
         if may_have_run && !may_repeat {
-            return deny(ResultCode::NoServer, "the plan in force lets no request that may have run repeat", 0);
+            return deny(
+                ResultCode::NoServer,
+                "the plan in force lets no request that may have run repeat",
+                0,
+            );
         }
         let holder = *self.open.entry(request.clone()).or_insert(number);
         if holder != number {
-            return deny(ResultCode::RequestIdTaken, "a request of this id is in hand here", 0);
+            return deny(
+                ResultCode::RequestIdTaken,
+                "a request of this id is in hand here",
+                0,
+            );
         }
         if round == 0 && self.ended_ids.contains(&request) {
             let why = "a request of this id was given to a server here; that one may have run";
@@ -49,50 +87,121 @@
         }
         let before = self.outputs.len();
         let token_service = service.clone();
-        self.tell_scheduler(Event::Prompt { request: request.clone(), service, hashes, round, tried, demand });
-        let decided = self.outputs[before..].iter().find_map(|output| match output {
-            NodeOutput::Decision(_, Decision::Placed { request: placed, server, candidates, .. })
-                if *placed == request =>
-            {
-                let expected = candidates.iter().find(|candidate| candidate.server == *server);
-                Some(Ok((server.clone(), expected.map_or(Span(0), |candidate| candidate.expected))))
-            }
-            NodeOutput::Decision(_, Decision::Refused { request: refused, code, why, retry_after, .. })
-                if *refused == request =>
-            {
-                let code = ResultCode::ALL.iter().find(|known| known.number() == *code);
-                let code = code.copied().unwrap_or(ResultCode::NoServer);
-                Some(Err(Denial { code, why: why.clone(), retry_after: *retry_after }))
-            }
-            _ => None,
+        self.tell_scheduler(Event::Prompt {
+            request: request.clone(),
+            service,
+            hashes,
+            round,
+            tried,
+            demand,
         });
+        let decided = self.outputs[before..]
+            .iter()
+            .find_map(|output| match output {
+                NodeOutput::Decision(
+                    _,
+                    Decision::Placed {
+                        request: placed,
+                        server,
+                        candidates,
+                        ..
+                    },
+                ) if *placed == request => {
+                    let expected = candidates
+                        .iter()
+                        .find(|candidate| candidate.server == *server);
+                    Some(Ok((
+                        server.clone(),
+                        expected.map_or(Span(0), |candidate| candidate.expected),
+                    )))
+                }
+                NodeOutput::Decision(
+                    _,
+                    Decision::Refused {
+                        request: refused,
+                        code,
+                        why,
+                        retry_after,
+                        ..
+                    },
+                ) if *refused == request => {
+                    let code = ResultCode::ALL.iter().find(|known| known.number() == *code);
+                    let code = code.copied().unwrap_or(ResultCode::NoServer);
+                    Some(Err(Denial {
+                        code,
+                        why: why.clone(),
+                        retry_after: *retry_after,
+                    }))
+                }
+                _ => None,
+            });
         let (server, expected) = decided.unwrap_or_else(deny_no_decision)?;
-        let address = self.addresses.get(&server).cloned().unwrap_or_else(|| server.0.clone());
+        let address = self
+            .addresses
+            .get(&server)
+            .cloned()
+            .unwrap_or_else(|| server.0.clone());
         let token = of_service.resumable.then(|| {
             let (server, run) = (server.clone(), run.clone());
-            Token { request, service: token_service, server, run }.seal(&token_key)
+            Token {
+                request,
+                service: token_service,
+                server,
+                run,
+            }
+            .seal(&token_key)
         });
         let (epoch, first_token) = (self.lease_state.epoch(), Span(of_service.first_token_ms));
-        let life = self.scheduler.servers().get(&server).and_then(|state| state.incarnation);
-        Ok(Placing { server, address, run, token, may_repeat, expected, first_token, epoch, life, access })
+        let life = self
+            .scheduler
+            .servers()
+            .get(&server)
+            .and_then(|state| state.incarnation);
+        Ok(Placing {
+            server,
+            address,
+            run,
+            token,
+            may_repeat,
+            expected,
+            first_token,
+            epoch,
+            life,
+            access,
+        })
     }
 
     /// Which run a token is good for, if it is one of this fleet's and names a server that is known
     /// here. Reading on is no new work: it needs no lease, and a withdrawn zone's runs end well.
     pub(super) fn resume(&mut self, number: u64, token: &str) -> Result<Token, Denial> {
-        let deny = |code: ResultCode, why: String| Err(Denial { code, why, retry_after: Span(0) });
+        let deny = |code: ResultCode, why: String| {
+            Err(Denial {
+                code,
+                why,
+                retry_after: Span(0),
+            })
+        };
         if self.is_draining {
-            return deny(ResultCode::Draining, "this node is stopping; another reads it on".into());
+            return deny(
+                ResultCode::Draining,
+                "this node is stopping; another reads it on".into(),
+            );
         }
         let Some(key) = self.key.filter(|_| self.has_server_list) else {
             let why = "this node has just started; nothing of the run is lost".into();
             return deny(ResultCode::NotReady, why);
         };
         let Some(token) = Token::open(token, &key) else {
-            return deny(ResultCode::BadToken, "the token is not one of this fleet's".into());
+            return deny(
+                ResultCode::BadToken,
+                "the token is not one of this fleet's".into(),
+            );
         };
         if !self.scheduler.servers().contains_key(&token.server) {
-            return deny(ResultCode::ResumeFailed, format!("server {} is no more listed", token.server));
+            return deny(
+                ResultCode::ResumeFailed,
+                format!("server {} is no more listed", token.server),
+            );
         }
         self.open.insert(resume_id(number), number);
         Ok(token)
@@ -118,5 +227,9 @@
 
 fn deny_no_decision() -> Result<(ServerName, Span), Denial> {
     let why = "the scheduler decided nothing".to_owned();
-    Err(Denial { code: ResultCode::NoServer, why, retry_after: Span(1000) })
+    Err(Denial {
+        code: ResultCode::NoServer,
+        why,
+        retry_after: Span(1000),
+    })
 }
--- a/crates/router/src/node/polling.rs
+++ b/crates/router/src/node/polling.rs
@@ -40,13 +40,35 @@
         self.next_poll = self.now + self.timing.poll;
         self.poll_round += 1;
         self.polled = Some(self.now);
-        let (now, member) = (self.now, Member { address: self.own, zone: self.zone.clone() });
+        let (now, member) = (
+            self.now,
+            Member {
+                address: self.own,
+                zone: self.zone.clone(),
+            },
+        );
         self.heard.retain(|_, at| now.since(*at) < HEARD_FOR);
         let has_key = self.key.is_some();
-        let hears = self.heard.keys().copied().filter(|one| self.lease_state.members().contains(one)).collect();
-        let poll =
-            Poll { member, round: self.poll_round, epoch: self.lease_state.epoch(), view: self.view, has_key, hears };
-        self.send(to, Letter::Poll { poll: Box::new(poll) });
+        let hears = self
+            .heard
+            .keys()
+            .copied()
+            .filter(|one| self.lease_state.members().contains(one))
+            .collect();
+        let poll = Poll {
+            member,
+            round: self.poll_round,
+            epoch: self.lease_state.epoch(),
+            view: self.view,
+            has_key,
+            hears,
+        };
+        self.send(
+            to,
+            Letter::Poll {
+                poll: Box::new(poll),
+            },
+        );
     }
 
     /// The core's tail calls: it knows this node as a member without a lease.
@@ -61,7 +83,9 @@
     }
 
     pub(super) fn on_poll_response(&mut self, from: Address, round: u64, response: PollResponse) {
-        let Some(sent) = self.polled.filter(|_| round == self.poll_round) else { return };
+        let Some(sent) = self.polled.filter(|_| round == self.poll_round) else {
+            return;
+        };
         self.polled = None;
         match response {
             PollResponse::Elsewhere { view, tail, voters } => {
@@ -73,7 +97,14 @@
                 self.target += 1;
                 self.next_poll = self.now + Span(60);
             }
-            PollResponse::Lease { span, epoch, news, view, voters, key } => {
+            PollResponse::Lease {
+                span,
+                epoch,
+                news,
+                view,
+                voters,
+                key,
+            } => {
                 self.key = self.key.or(key);
                 self.tail = Some(from);
                 if !voters.is_empty() {
@@ -86,8 +117,15 @@
                     Some(news) => self.on_news(from, news, lease_deadline),
                     // Nothing is newer there than what is here, whole.
                     None if epoch == self.lease_state.epoch() && epoch > Epoch(0) => {
-                        self.lease_state.lease(sent + span, epoch, self.lease_state.members().to_vec());
-                        self.tell_scheduler(Event::Lease { until: sent + span, span: self.lease_span });
+                        self.lease_state.lease(
+                            sent + span,
+                            epoch,
+                            self.lease_state.members().to_vec(),
+                        );
+                        self.tell_scheduler(Event::Lease {
+                            until: sent + span,
+                            span: self.lease_span,
+                        });
                     }
                     None => {}
                 }
@@ -97,7 +135,9 @@
 
     /// While its lease is about to lapse, or has, the node asks all members whether they are there.
     pub(super) fn check_peers(&mut self) {
-        let Some(deadline) = self.lease_state.lease_deadline() else { return };
+        let Some(deadline) = self.lease_state.lease_deadline() else {
+            return;
+        };
         if self.now + self.timing.peer_check_from < deadline {
             self.peer_check_pause = self.timing.peer_check;
             return;
@@ -112,12 +152,21 @@
         };
         self.next_peer_check = self.now + self.peer_check_pause;
         self.peer_check_round += 1;
-        self.peer_checks.push_back((self.peer_check_round, self.now));
+        self.peer_checks
+            .push_back((self.peer_check_round, self.now));
         if self.peer_checks.len() > 16 {
             self.peer_checks.pop_front();
         }
-        let peers: Vec<Address> = self.lease_state.members().iter().copied().filter(|m| *m != self.own).collect();
+        let peers: Vec<Address> = self
+            .lease_state
+            .members()
+            .iter()
+            .copied()
+            .filter(|m| *m != self.own)
+            .collect();
         let (round, epoch) = (self.peer_check_round, self.lease_state.epoch());
-        peers.into_iter().for_each(|peer| self.send(peer, Letter::PeerCheckRequest { round, epoch }));
+        peers
+            .into_iter()
+            .for_each(|peer| self.send(peer, Letter::PeerCheckRequest { round, epoch }));
     }
 }
