--- a/crates/router/src/node/tests.rs
+++ b/crates/router/src/node/tests.rs
@@ -19,21 +19,39 @@
     fn of_life(incarnation: u64) -> Self {
         let seeds = vec![Address::loopback(1)];
         let (timing, scheduler) = (NodeTiming::default(), SchedulerRules::default());
-        let node =
-            Node::new(Address::loopback(9), "east".into(), seeds, incarnation, timing, scheduler, Moment(1_000_000));
-        Played { node, at: 1_000_000, newest_ask: 0 }
+        let node = Node::new(
+            Address::loopback(9),
+            "east".into(),
+            seeds,
+            incarnation,
+            timing,
+            scheduler,
+            Moment(1_000_000),
+        );
+        Played {
+            node,
+            at: 1_000_000,
+            newest_ask: 0,
+        }
     }
     fn step(&mut self, input: NodeInput) -> Vec<NodeOutput> {
         let outputs = self.node.step(Moment(self.at), input);
         for output in &outputs {
-            if let NodeOutput::Send { letter: Letter::CreditAsk { ask }, .. } = output {
+            if let NodeOutput::Send {
+                letter: Letter::CreditAsk { ask },
+                ..
+            } = output
+            {
                 self.newest_ask = ask.number;
             }
         }
         outputs
     }
     fn tell(&mut self, from: u16, letter: Letter) -> Vec<NodeOutput> {
-        self.step(NodeInput::Letter { from: Address::loopback(from), letter })
+        self.step(NodeInput::Letter {
+            from: Address::loopback(from),
+            letter,
+        })
     }
     /// The core responds to the poll that is under way, or to the next.
     fn lease(&mut self, epoch: u64, plan_epoch: u64) -> Vec<NodeOutput> {
@@ -50,15 +68,30 @@
             voters: vec![Address::loopback(1)],
             key: Some(KEY),
         };
-        self.tell(1, Letter::PollResponse { round, response: Box::new(response) })
+        self.tell(
+            1,
+            Letter::PollResponse {
+                round,
+                response: Box::new(response),
+            },
+        )
     }
     fn plan(&mut self, epoch: u64) {
         let length = PLAN.len() as u64;
-        let piece = Letter::PlanPiece { epoch: Epoch(epoch), offset: 0, length, bytes: PLAN.to_vec() };
+        let piece = Letter::PlanPiece {
+            epoch: Epoch(epoch),
+            offset: 0,
+            length,
+            bytes: PLAN.to_vec(),
+        };
         for output in self.tell(1, piece) {
             if let NodeOutput::Read { plan_epoch, bytes } = output {
                 let plan = parse_plan(&bytes).map(Arc::new);
-                self.step(NodeInput::Plan { plan_epoch, plan, bytes });
+                self.step(NodeInput::Plan {
+                    plan_epoch,
+                    plan,
+                    bytes,
+                });
             }
         }
     }
@@ -111,10 +144,13 @@
             may_have_run,
             run: run_id([number as u8; 16]),
         });
-        let outcome = self.step(place).into_iter().find_map(|output| match output {
-            NodeOutput::Place { outcome, .. } => Some(outcome),
-            _ => None,
-        });
+        let outcome = self
+            .step(place)
+            .into_iter()
+            .find_map(|output| match output {
+                NodeOutput::Place { outcome, .. } => Some(outcome),
+                _ => None,
+            });
         outcome.expect("a response").map_err(|denial| denial.code)
     }
     fn serving() -> Self {
@@ -127,10 +163,19 @@
 }
 
 fn news(epoch: u64, plan_epoch: u64, withdrawn: Vec<ZoneName>) -> News {
-    let member = |port| Member { address: Address::loopback(port), zone: "east".into() };
+    let member = |port| Member {
+        address: Address::loopback(port),
+        zone: "east".into(),
+    };
     let members = Some([9, 8, 7].map(member).to_vec());
     let members_since = Epoch(1);
-    News { epoch: Epoch(epoch), plan_epoch: Epoch(plan_epoch), withdrawn, members, members_since }
+    News {
+        epoch: Epoch(epoch),
+        plan_epoch: Epoch(plan_epoch),
+        withdrawn,
+        members,
+        members_since,
+    }
 }
 
 #[test]
@@ -138,12 +183,28 @@
     let mut played = Played::serving();
     let brief = |epoch: u64, since: u64| {
         let (members, members_since) = (None, Epoch(since));
-        Letter::News { news: Box::new(News { members, members_since, ..news(epoch, 2, vec!["east".into()]) }) }
+        Letter::News {
+            news: Box::new(News {
+                members,
+                members_since,
+                ..news(epoch, 2, vec!["east".into()])
+            }),
+        }
     };
     played.tell(1, brief(4, 3));
-    assert_eq!((played.node.epoch(), played.node.lease_state().members().len()), (Epoch(4), 3));
+    assert_eq!(
+        (
+            played.node.epoch(),
+            played.node.lease_state().members().len()
+        ),
+        (Epoch(4), 3)
+    );
     played.tell(1, brief(6, 5));
-    assert_eq!(played.node.epoch(), Epoch(4), "the membership of epoch 5 never came");
+    assert_eq!(
+        played.node.epoch(),
+        Epoch(4),
+        "the membership of epoch 5 never came"
+    );
     assert!(played.node.polled.is_some(), "the core is asked for it");
 }
 
@@ -157,18 +218,34 @@
     played.step(NodeInput::ClockEvent);
     played.lease_of(earlier.node.poll_round, 3, 2);
     played.plan(2);
-    assert_eq!(played.node.lease_state().reason(Moment(played.at)), LeaseStatus::Unheard);
+    assert_eq!(
+        played.node.lease_state().reason(Moment(played.at)),
+        LeaseStatus::Unheard
+    );
     played.lease(3, 2);
     played.plan(2);
-    assert_eq!(played.node.lease_state().reason(Moment(played.at)), LeaseStatus::Leased);
+    assert_eq!(
+        played.node.lease_state().reason(Moment(played.at)),
+        LeaseStatus::Leased
+    );
     for (echoes_earlier, reason) in [(true, LeaseStatus::Alone), (false, LeaseStatus::Together)] {
         for _ in 0..40 {
             played.at += 50;
             earlier.at += 50;
             played.step(NodeInput::ClockEvent);
             earlier.step(NodeInput::ClockEvent);
-            let echo = if echoes_earlier { earlier.node.peer_check_round } else { played.node.peer_check_round };
-            played.tell(8, Letter::PeerCheckResponse { echo, epoch: Epoch(3) });
+            let echo = if echoes_earlier {
+                earlier.node.peer_check_round
+            } else {
+                played.node.peer_check_round
+            };
+            played.tell(
+                8,
+                Letter::PeerCheckResponse {
+                    echo,
+                    epoch: Epoch(3),
+                },
+            );
         }
         assert_eq!(played.node.lease_state().reason(Moment(played.at)), reason);
     }
@@ -177,16 +254,35 @@
 #[test]
 fn a_request_is_placed_only_with_a_lease_a_plan_that_allows_it_and_a_server_list() {
     let mut played = Played::new();
-    assert_eq!(played.place(1, "a", "drafts").err(), Some(ResultCode::NotReady), "no lease");
+    assert_eq!(
+        played.place(1, "a", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "no lease"
+    );
     played.lease(3, 2);
-    assert_eq!(played.place(1, "a", "drafts").err(), Some(ResultCode::NotReady), "the plan is still to come");
+    assert_eq!(
+        played.place(1, "a", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "the plan is still to come"
+    );
     played.plan(2);
-    assert_eq!(played.place(1, "a", "drafts").err(), Some(ResultCode::NotReady), "no server list");
+    assert_eq!(
+        played.place(1, "a", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "no server list"
+    );
     played.server_list();
-    assert_eq!(played.place(1, "a", "other").err(), Some(ResultCode::UnknownService));
+    assert_eq!(
+        played.place(1, "a", "other").err(),
+        Some(ResultCode::UnknownService)
+    );
     assert!(played.place(1, "a", "drafts").is_ok());
     played.at += 2000;
-    assert_eq!(played.place(2, "b", "drafts").err(), Some(ResultCode::NotReady), "the lease has run out");
+    assert_eq!(
+        played.place(2, "b", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "the lease has run out"
+    );
 }
 
 #[test]
@@ -195,9 +291,21 @@
     let mut played = Played::new();
     played.lease(3, 2);
     let (length, bytes) = (plan.len() as u64, plan.to_vec());
-    for output in played.tell(1, Letter::PlanPiece { epoch: Epoch(2), offset: 0, length, bytes }) {
+    for output in played.tell(
+        1,
+        Letter::PlanPiece {
+            epoch: Epoch(2),
+            offset: 0,
+            length,
+            bytes,
+        },
+    ) {
         if let NodeOutput::Read { plan_epoch, bytes } = output {
-            played.step(NodeInput::Plan { plan_epoch, plan: parse_plan(&bytes).map(Arc::new), bytes });
+            played.step(NodeInput::Plan {
+                plan_epoch,
+                plan: parse_plan(&bytes).map(Arc::new),
+                bytes,
+            });
         }
     }
     played.server_list();
@@ -208,9 +316,15 @@
             let id = format!("{service}-{n}");
             assert!(played.place(number * 10 + n, &id, service).is_ok());
             let request = RequestId(id);
-            played.step(NodeInput::Event(Event::Ended { request, outcome: Outcome::Complete }));
+            played.step(NodeInput::Event(Event::Ended {
+                request,
+                outcome: Outcome::Complete,
+            }));
         }
-        played.step(NodeInput::Event(Event::Ended { request: service.into(), outcome: Outcome::Failed }));
+        played.step(NodeInput::Event(Event::Ended {
+            request: service.into(),
+            outcome: Outcome::Failed,
+        }));
         let again = played.place_again(number, service, service, 1, true);
         assert_eq!(again.is_ok(), is_again, "{service}: {again:?}");
     }
@@ -220,31 +334,73 @@
 fn a_second_request_of_an_id_is_turned_away_and_closes_nothing() {
     let mut played = Played::serving();
     assert!(played.place(1, "same", "drafts").is_ok());
-    assert_eq!(played.place(2, "same", "drafts").err(), Some(ResultCode::RequestIdTaken));
-    played.step(NodeInput::Close { request: "same".into(), number: 2, may_have_run: true });
-    assert_eq!(played.place(3, "same", "drafts").err(), Some(ResultCode::RequestIdTaken), "the first is still in hand");
+    assert_eq!(
+        played.place(2, "same", "drafts").err(),
+        Some(ResultCode::RequestIdTaken)
+    );
+    played.step(NodeInput::Close {
+        request: "same".into(),
+        number: 2,
+        may_have_run: true,
+    });
+    assert_eq!(
+        played.place(3, "same", "drafts").err(),
+        Some(ResultCode::RequestIdTaken),
+        "the first is still in hand"
+    );
     played.step(NodeInput::Drain);
     assert!(!played.node.is_drained());
-    played.step(NodeInput::Close { request: "same".into(), number: 1, may_have_run: false });
+    played.step(NodeInput::Close {
+        request: "same".into(),
+        number: 1,
+        may_have_run: false,
+    });
     assert!(played.node.is_drained());
 }
 
 #[test]
 fn older_news_changes_nothing_and_newer_news_of_a_peer_stops_one_without_a_lease() {
     let mut played = Played::serving();
-    let told =
-        |epoch: u64, plan_epoch: u64| Letter::News { news: Box::new(news(epoch, plan_epoch, vec!["east".into()])) };
-    let response = |epoch: u64, echo: u64| Letter::PeerCheckResponse { echo, epoch: Epoch(epoch) };
+    let told = |epoch: u64, plan_epoch: u64| Letter::News {
+        news: Box::new(news(epoch, plan_epoch, vec!["east".into()])),
+    };
+    let response = |epoch: u64, echo: u64| Letter::PeerCheckResponse {
+        echo,
+        epoch: Epoch(epoch),
+    };
     let asks_news = |outputs: Vec<NodeOutput>| {
-        outputs.iter().any(|output| matches!(output, NodeOutput::Send { letter: Letter::NewsAsk, .. }))
+        outputs.iter().any(|output| {
+            matches!(
+                output,
+                NodeOutput::Send {
+                    letter: Letter::NewsAsk,
+                    ..
+                }
+            )
+        })
     };
     played.tell(8, told(2, 2));
-    assert_eq!((played.node.epoch(), played.node.withdrawn().len()), (Epoch(3), 0));
+    assert_eq!(
+        (played.node.epoch(), played.node.withdrawn().len()),
+        (Epoch(3), 0)
+    );
     // A core that lags behind what is known here: its plan is not even asked for.
     let asks = played.lease(2, 1);
-    assert!(!asks.iter().any(|o| matches!(o, NodeOutput::Send { letter: Letter::PlanAsk { .. }, .. })), "{asks:?}");
+    assert!(
+        !asks.iter().any(|o| matches!(
+            o,
+            NodeOutput::Send {
+                letter: Letter::PlanAsk { .. },
+                ..
+            }
+        )),
+        "{asks:?}"
+    );
     played.plan(1);
-    assert_eq!((played.node.epoch(), played.node.plan_epoch()), (Epoch(3), Epoch(2)));
+    assert_eq!(
+        (played.node.epoch(), played.node.plan_epoch()),
+        (Epoch(3), Epoch(2))
+    );
     // The lease runs out; two of three answer checks, and all know the same.
     for _ in 0..60 {
         played.at += 50;
@@ -253,19 +409,35 @@
         assert!(!asks_news(played.tell(8, response(3, echo))));
         played.server_list();
     }
-    assert_eq!(played.node.lease_state().reason(Moment(played.at)), LeaseStatus::Together);
+    assert_eq!(
+        played.node.lease_state().reason(Moment(played.at)),
+        LeaseStatus::Together
+    );
     assert!(played.place(5, "together", "drafts").is_ok());
     // The other knows of a withdrawal: it's asked for, and taken up at once, since the plan is the same.
     let echo = played.node.peer_check_round;
     assert!(asks_news(played.tell(8, response(4, echo))));
-    assert_eq!(played.place(6, "behind", "drafts").err(), Some(ResultCode::NotReady), "until the news is here");
+    assert_eq!(
+        played.place(6, "behind", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "until the news is here"
+    );
     played.tell(8, told(4, 2));
-    assert_eq!((played.node.epoch(), played.node.withdrawn()), (Epoch(4), &["east".into()][..]));
-    assert_eq!(played.place(6, "withdrawn", "drafts").err(), Some(ResultCode::NoServer));
+    assert_eq!(
+        (played.node.epoch(), played.node.withdrawn()),
+        (Epoch(4), &["east".into()][..])
+    );
+    assert_eq!(
+        played.place(6, "withdrawn", "drafts").err(),
+        Some(ResultCode::NoServer)
+    );
     // And then of a plan that has to be fetched: until it's here, nothing new is taken.
     played.tell(8, response(5, echo));
     played.tell(8, told(5, 5));
-    assert_eq!(played.place(7, "behind", "drafts").err(), Some(ResultCode::NotReady));
+    assert_eq!(
+        played.place(7, "behind", "drafts").err(),
+        Some(ResultCode::NotReady)
+    );
 }
 
 /// Letters that leave within this span, without an answer to any, clock events as they are due.
@@ -279,10 +451,12 @@
             return sent;
         }
         let at = played.at;
-        sent.extend(played.step(NodeInput::ClockEvent).into_iter().filter_map(|output| match output {
-            NodeOutput::Send { to, letter, .. } => Some((at, to, letter)),
-            _ => None,
-        }));
+        sent.extend(played.step(NodeInput::ClockEvent).into_iter().filter_map(
+            |output| match output {
+                NodeOutput::Send { to, letter, .. } => Some((at, to, letter)),
+                _ => None,
+            },
+        ));
     }
 }
 
@@ -293,7 +467,10 @@
     for _ in 0..10 {
         played.lease(3, 2);
         let sent = sent_within(&mut played, 390);
-        assert!(sent.iter().all(|(_, _, letter)| is_poll(letter)), "{sent:?}");
+        assert!(
+            sent.iter().all(|(_, _, letter)| is_poll(letter)),
+            "{sent:?}"
+        );
     }
     let began = played.at;
     let mut wakes = 0;
@@ -309,18 +486,44 @@
 fn a_node_cut_off_asks_all_members_from_shortly_before_its_lease_lapses_and_ever_less_often() {
     let mut played = Played::serving();
     played.lease(3, 2);
-    let (began, deadline) = (played.at, played.node.lease_state().lease_deadline().expect("a lease").0);
+    let (began, deadline) = (
+        played.at,
+        played
+            .node
+            .lease_state()
+            .lease_deadline()
+            .expect("a lease")
+            .0,
+    );
     let sent = sent_within(&mut played, 20_000);
     let asks: Vec<u64> = sent
         .iter()
-        .filter(|(_, to, letter)| matches!(letter, Letter::PeerCheckRequest { .. }) && *to == Address::loopback(8))
+        .filter(|(_, to, letter)| {
+            matches!(letter, Letter::PeerCheckRequest { .. }) && *to == Address::loopback(8)
+        })
         .map(|(at, ..)| *at)
         .collect();
-    assert!(asks[0] + 600 >= deadline && asks[0] + 300 <= deadline, "first at {} ms", asks[0] - began);
-    assert!((8..=18).contains(&asks.len()), "{} asks in 20 s", asks.len());
-    assert_eq!(played.node.lease_state().reason(Moment(played.at)), LeaseStatus::Alone);
-    assert_eq!(played.place(1, "alone", "drafts").err(), Some(ResultCode::NotReady));
-    let sealed = sent.iter().filter(|(.., letter)| matches!(letter, Letter::PeerCheckRequest { .. }));
+    assert!(
+        asks[0] + 600 >= deadline && asks[0] + 300 <= deadline,
+        "first at {} ms",
+        asks[0] - began
+    );
+    assert!(
+        (8..=18).contains(&asks.len()),
+        "{} asks in 20 s",
+        asks.len()
+    );
+    assert_eq!(
+        played.node.lease_state().reason(Moment(played.at)),
+        LeaseStatus::Alone
+    );
+    assert_eq!(
+        played.place(1, "alone", "drafts").err(),
+        Some(ResultCode::NotReady)
+    );
+    let sealed = sent
+        .iter()
+        .filter(|(.., letter)| matches!(letter, Letter::PeerCheckRequest { .. }));
     for (_, _, letter) in sealed {
         let bytes = seal(Address::loopback(9), letter).expect("sealed").len();
         assert!(bytes < 100, "{bytes} bytes");
@@ -331,7 +534,10 @@
 fn a_poll_and_its_answer_are_small_when_nothing_is_new() {
     let mut played = Played::serving();
     let asked = sent_within(&mut played, 1500);
-    let poll = asked.iter().find(|(_, _, letter)| matches!(letter, Letter::Poll { .. })).expect("a poll");
+    let poll = asked
+        .iter()
+        .find(|(_, _, letter)| matches!(letter, Letter::Poll { .. }))
+        .expect("a poll");
     let response = PollResponse::Lease {
         span: Span(2000),
         epoch: Epoch(3),
@@ -340,7 +546,13 @@
         voters: vec![],
         key: None,
     };
-    for letter in [&poll.2, &Letter::PollResponse { round: 1, response: Box::new(response) }] {
+    for letter in [
+        &poll.2,
+        &Letter::PollResponse {
+            round: 1,
+            response: Box::new(response),
+        },
+    ] {
         let bytes = seal(Address::loopback(9), letter).expect("sealed").len();
         assert!(bytes < 220, "{bytes} bytes of {letter:?}");
     }
@@ -350,49 +562,104 @@
 fn an_id_that_may_have_run_is_not_taken_again_and_the_memory_of_ids_is_bounded() {
     let mut played = Played::serving();
     let close = |played: &mut Played, id: &str, may_have_run: bool| {
-        played.step(NodeInput::Event(Event::Ended { request: id.into(), outcome: Outcome::Complete }));
-        played.step(NodeInput::Close { request: id.into(), number: 1, may_have_run });
+        played.step(NodeInput::Event(Event::Ended {
+            request: id.into(),
+            outcome: Outcome::Complete,
+        }));
+        played.step(NodeInput::Close {
+            request: id.into(),
+            number: 1,
+            may_have_run,
+        });
     };
     assert!(played.place(1, "ran", "drafts").is_ok());
     close(&mut played, "ran", true);
-    assert_eq!(played.place(2, "ran", "drafts").err(), Some(ResultCode::RequestIdTaken));
-    played.step(NodeInput::Close { request: "ran".into(), number: 2, may_have_run: false });
+    assert_eq!(
+        played.place(2, "ran", "drafts").err(),
+        Some(ResultCode::RequestIdTaken)
+    );
+    played.step(NodeInput::Close {
+        request: "ran".into(),
+        number: 2,
+        may_have_run: false,
+    });
     assert!(played.place(1, "refused", "drafts").is_ok());
     close(&mut played, "refused", false);
-    assert!(played.place(1, "refused", "drafts").is_ok(), "what never ran may come again");
+    assert!(
+        played.place(1, "refused", "drafts").is_ok(),
+        "what never ran may come again"
+    );
     close(&mut played, "refused", false);
     for n in 0..ENDED_IDS {
         let id = RequestId(format!("more-{n}"));
         played.node.open.insert(id.clone(), 1);
         close(&mut played, id.as_str(), true);
     }
-    assert!(played.place(1, "ran", "drafts").is_ok(), "the oldest is forgotten");
-    assert_eq!((played.node.ended.len(), played.node.ended_ids.len()), (ENDED_IDS, ENDED_IDS));
+    assert!(
+        played.place(1, "ran", "drafts").is_ok(),
+        "the oldest is forgotten"
+    );
+    assert_eq!(
+        (played.node.ended.len(), played.node.ended_ids.len()),
+        (ENDED_IDS, ENDED_IDS)
+    );
 }
 
 #[test]
 fn a_stream_that_is_read_on_holds_a_planned_stop_up_and_none_begins_after_it() {
     let resume = |played: &mut Played, number: u64, token: &str| {
         let token = token.to_owned();
-        let outcome = played.step(NodeInput::Resume { number, token }).into_iter().find_map(|output| match output {
-            NodeOutput::Resume { outcome, .. } => Some(outcome.map_err(|denial| denial.code)),
-            _ => None,
-        });
+        let outcome = played
+            .step(NodeInput::Resume { number, token })
+            .into_iter()
+            .find_map(|output| match output {
+                NodeOutput::Resume { outcome, .. } => Some(outcome.map_err(|denial| denial.code)),
+                _ => None,
+            });
         outcome.expect("a response")
     };
-    let token = Token { request: "a".into(), service: "drafts".into(), server: "s1".into(), run: "r".into() };
+    let token = Token {
+        request: "a".into(),
+        service: "drafts".into(),
+        server: "s1".into(),
+        run: "r".into(),
+    };
     let sealed = token.seal(&KEY);
     let mut played = Played::new();
-    assert_eq!(resume(&mut played, 1, &sealed).err(), Some(ResultCode::NotReady), "it has just started");
+    assert_eq!(
+        resume(&mut played, 1, &sealed).err(),
+        Some(ResultCode::NotReady),
+        "it has just started"
+    );
     let mut played = Played::serving();
-    assert_eq!(resume(&mut played, 1, "zz").err(), Some(ResultCode::BadToken));
-    let unlisted = Token { server: "elsewhere".into(), ..token.clone() }.seal(&KEY);
-    assert_eq!(resume(&mut played, 1, &unlisted).err(), Some(ResultCode::ResumeFailed));
+    assert_eq!(
+        resume(&mut played, 1, "zz").err(),
+        Some(ResultCode::BadToken)
+    );
+    let unlisted = Token {
+        server: "elsewhere".into(),
+        ..token.clone()
+    }
+    .seal(&KEY);
+    assert_eq!(
+        resume(&mut played, 1, &unlisted).err(),
+        Some(ResultCode::ResumeFailed)
+    );
     assert_eq!(resume(&mut played, 1, &sealed), Ok(token));
     played.step(NodeInput::Drain);
-    assert_eq!(resume(&mut played, 2, &sealed).err(), Some(ResultCode::Draining));
-    assert!(!played.node.is_drained(), "a stream that is read on is in hand, too");
-    played.step(NodeInput::Close { request: resume_id(1), number: 1, may_have_run: false });
+    assert_eq!(
+        resume(&mut played, 2, &sealed).err(),
+        Some(ResultCode::Draining)
+    );
+    assert!(
+        !played.node.is_drained(),
+        "a stream that is read on is in hand, too"
+    );
+    played.step(NodeInput::Close {
+        request: resume_id(1),
+        number: 1,
+        may_have_run: false,
+    });
     assert!(played.node.is_drained());
 }
 
@@ -400,17 +667,33 @@
 #[test]
 fn a_node_that_reads_the_list_places_nothing_after_a_sleep_until_it_has_read_it_anew() {
     let reading = |asked: u64| {
-        let entry =
-            ServerEntry { server: "s0".into(), zone: "east".into(), pool: "model".into(), ..ServerEntry::default() };
-        NodeInput::List(ListReading { asked: Moment(asked), calls: 1, servers: Some(vec![entry]) })
+        let entry = ServerEntry {
+            server: "s0".into(),
+            zone: "east".into(),
+            pool: "model".into(),
+            ..ServerEntry::default()
+        };
+        NodeInput::List(ListReading {
+            asked: Moment(asked),
+            calls: 1,
+            servers: Some(vec![entry]),
+        })
+    };
+    let reads = |outputs: Vec<NodeOutput>| {
+        outputs
+            .iter()
+            .any(|output| matches!(output, NodeOutput::ReadList(_)))
     };
-    let reads = |outputs: Vec<NodeOutput>| outputs.iter().any(|output| matches!(output, NodeOutput::ReadList(_)));
     let mut played = Played::new();
     played.node = played.node.reading_list(ListTiming::default());
     assert!(reads(played.step(NodeInput::ClockEvent)));
     played.lease(3, 2);
     played.plan(2);
-    assert_eq!(played.place(1, "a", "drafts").err(), Some(ResultCode::NotReady), "no list");
+    assert_eq!(
+        played.place(1, "a", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "no list"
+    );
     played.step(reading(played.at));
     played.report("s0", 1, Span::seconds(60));
     assert!(played.place(1, "a", "drafts").is_ok());
@@ -419,7 +702,11 @@
     assert!(reads(played.step(NodeInput::ClockEvent)));
     played.lease(3, 2);
     played.step(reading(asked));
-    assert_eq!(played.place(2, "b", "drafts").err(), Some(ResultCode::NotReady), "read before the sleep");
+    assert_eq!(
+        played.place(2, "b", "drafts").err(),
+        Some(ResultCode::NotReady),
+        "read before the sleep"
+    );
     played.step(reading(played.at));
     assert!(played.place(2, "b", "drafts").is_ok());
 }
@@ -428,13 +715,28 @@
 #[test]
 fn an_old_view_is_not_taken_for_a_newer_one() {
     let mut played = Played::serving();
-    let ports = |node: &Node| node.voters.iter().map(|voter| voter.0.port()).collect::<Vec<_>>();
+    let ports = |node: &Node| {
+        node.voters
+            .iter()
+            .map(|voter| voter.0.port())
+            .collect::<Vec<_>>()
+    };
     let polled = |played: &mut Played, view: u64, voters: [u16; 2]| {
         played.at = played.at.max(played.node.next_poll.0);
         played.step(NodeInput::ClockEvent);
         let voters = voters.map(Address::loopback).to_vec();
-        let response = PollResponse::Elsewhere { view: ViewEpoch(view), tail: voters.first().copied(), voters };
-        played.tell(5, Letter::PollResponse { round: played.node.poll_round, response: Box::new(response) });
+        let response = PollResponse::Elsewhere {
+            view: ViewEpoch(view),
+            tail: voters.first().copied(),
+            voters,
+        };
+        played.tell(
+            5,
+            Letter::PollResponse {
+                round: played.node.poll_round,
+                response: Box::new(response),
+            },
+        );
     };
     polled(&mut played, 4, [21, 22]);
     assert_eq!(ports(&played.node), [21, 22]);
@@ -457,11 +759,26 @@
 fn the_scheduler_is_told_of_each_lease_and_of_each_membership_even_if_its_members_are_the_same() {
     let mut played = Played::serving();
     let renewed = events(played.lease(3, 2));
-    let until = played.node.lease_state().lease_deadline().expect("it holds one");
-    assert_eq!(renewed, [Event::Lease { until, span: Span(2000) }]);
+    let until = played
+        .node
+        .lease_state()
+        .lease_deadline()
+        .expect("it holds one");
+    assert_eq!(
+        renewed,
+        [Event::Lease {
+            until,
+            span: Span(2000)
+        }]
+    );
     let of_membership = |epoch: u64, since: u64| {
-        let news = News { members_since: Epoch(since), ..news(epoch, 2, vec![]) };
-        Letter::News { news: Box::new(news) }
+        let news = News {
+            members_since: Epoch(since),
+            ..news(epoch, 2, vec![])
+        };
+        Letter::News {
+            news: Box::new(news),
+        }
     };
     let since_of = |outputs: Vec<NodeOutput>| {
         let since = events(outputs).into_iter().find_map(|event| match event {
@@ -470,13 +787,29 @@
         });
         since.map(|since| since.0)
     };
-    assert_eq!(since_of(played.tell(1, of_membership(4, 1))), None, "the membership that it knows");
-    assert_eq!(since_of(played.tell(1, of_membership(6, 6))), Some(6), "they were others meanwhile");
+    assert_eq!(
+        since_of(played.tell(1, of_membership(4, 1))),
+        None,
+        "the membership that it knows"
+    );
+    assert_eq!(
+        since_of(played.tell(1, of_membership(6, 6))),
+        Some(6),
+        "they were others meanwhile"
+    );
     let known = played.tell(8, Letter::NewsAsk);
-    let Some(NodeOutput::Send { letter: Letter::News { news }, .. }) = known.into_iter().next() else {
+    let Some(NodeOutput::Send {
+        letter: Letter::News { news },
+        ..
+    }) = known.into_iter().next()
+    else {
         panic!("it tells what it knows");
     };
-    assert_eq!(news.members_since, Epoch(6), "as old as the core said, not as new as the news");
+    assert_eq!(
+        news.members_since,
+        Epoch(6),
+        "as old as the core said, not as new as the news"
+    );
 }
 
 #[test]
@@ -486,9 +819,13 @@
     assert_eq!(placing.life, Some(1));
     let server = placing.server.clone();
     // It has another life, says the server itself: it's left alone, and then ramps up.
-    played.step(NodeInput::Event(Event::Unreachable { server: server.clone() }));
+    played.step(NodeInput::Event(Event::Unreachable {
+        server: server.clone(),
+    }));
     for number in 2..20 {
-        let placing = played.place(number, &format!("o{number}"), "drafts").expect("placed");
+        let placing = played
+            .place(number, &format!("o{number}"), "drafts")
+            .expect("placed");
         assert_ne!(placing.server, server);
     }
     played.report(server.as_str(), 2, Span(100));
@@ -499,7 +836,11 @@
 /// Whom these outputs poll.
 fn polled(outputs: Vec<NodeOutput>) -> Vec<u16> {
     let to = |output| match output {
-        NodeOutput::Send { to, letter: Letter::Poll { .. }, .. } => Some(to.0.port()),
+        NodeOutput::Send {
+            to,
+            letter: Letter::Poll { .. },
+            ..
+        } => Some(to.0.port()),
         _ => None,
     };
     outputs.into_iter().filter_map(to).collect()
@@ -510,21 +851,40 @@
 fn a_node_without_a_lease_that_the_core_calls_polls_it_at_once() {
     let call = |view: u64, voters: &[u16]| {
         let voters = voters.iter().copied().map(Address::loopback).collect();
-        let location = Box::new(CoreLocation { view: ViewEpoch(view), voters, controllers: vec![] });
-        Letter::CoreLocation { location, is_answer: true }
+        let location = Box::new(CoreLocation {
+            view: ViewEpoch(view),
+            voters,
+            controllers: vec![],
+        });
+        Letter::CoreLocation {
+            location,
+            is_answer: true,
+        }
     };
     let mut played = Played::new();
     assert_eq!(polled(played.step(NodeInput::ClockEvent)), [1], "its seed");
     assert_eq!(polled(played.tell(5, call(3, &[4, 5]))), [5]);
-    assert_eq!(polled(played.tell(6, call(2, &[6]))), Vec::<u16>::new(), "an older view");
-    assert_eq!(polled(played.tell(6, call(4, &[]))), Vec::<u16>::new(), "nobody is named");
+    assert_eq!(
+        polled(played.tell(6, call(2, &[6]))),
+        Vec::<u16>::new(),
+        "an older view"
+    );
+    assert_eq!(
+        polled(played.tell(6, call(4, &[]))),
+        Vec::<u16>::new(),
+        "nobody is named"
+    );
     // It goes on asking those that it was told of.
     played.at += 400;
     let next = polled(played.step(NodeInput::ClockEvent));
     assert!(next == [4] || next == [5] || next == [1], "{next:?}");
 
     let mut leased = Played::serving();
-    assert_eq!(polled(leased.tell(5, call(9, &[5]))), Vec::<u16>::new(), "one with a lease needs no call");
+    assert_eq!(
+        polled(leased.tell(5, call(9, &[5]))),
+        Vec::<u16>::new(),
+        "one with a lease needs no call"
+    );
 }
 
 // ---- Tenants.
@@ -534,7 +894,8 @@
 const TENANTS: &str = r#"{"services":{"drafts":{"slots":8}},"tenants":[
     {"name":"limited","api_keys":["k1"],"rate_per_s":10.0,"burst":10.0},
     {"name":"free","api_keys":["k2","s3cret"]}]}"#;
-const WITHOUT_K2: &str = r#"{"services":{"drafts":{"slots":8}},"tenants":[{"name":"free","api_keys":["s3cret"]}]}"#;
+const WITHOUT_K2: &str =
+    r#"{"services":{"drafts":{"slots":8}},"tenants":[{"name":"free","api_keys":["s3cret"]}]}"#;
 
 impl Played {
     /// The core tells of a plan, and gives it.
@@ -543,11 +904,20 @@
         self.step(NodeInput::ClockEvent);
         self.lease_of(self.node.poll_round, epoch, epoch);
         let (length, bytes) = (plan.len() as u64, plan.as_bytes().to_vec());
-        let piece = Letter::PlanPiece { epoch: Epoch(epoch), offset: 0, length, bytes };
+        let piece = Letter::PlanPiece {
+            epoch: Epoch(epoch),
+            offset: 0,
+            length,
+            bytes,
+        };
         for output in self.tell(1, piece) {
             if let NodeOutput::Read { plan_epoch, bytes } = output {
                 let plan = parse_plan(&bytes).map(Arc::new);
-                self.step(NodeInput::Plan { plan_epoch, plan, bytes });
+                self.step(NodeInput::Plan {
+                    plan_epoch,
+                    plan,
+                    bytes,
+                });
             }
         }
     }
@@ -579,9 +949,23 @@
     }
     /// Answers the node's newest ask: so much of the limited tenant's quota, or nothing for a while.
     fn grant(&mut self, number: u64, granted: u64, wait: u64) -> Vec<NodeOutput> {
-        let entry = TenantGrant { tenant: "limited".into(), granted: Amount::units(granted), wait: Span(wait) };
-        let grant = CreditGrant { number, life: Span(4000), wants_whole: false, entries: vec![entry] };
-        self.tell(1, Letter::CreditGrant { grant: Box::new(grant) })
+        let entry = TenantGrant {
+            tenant: "limited".into(),
+            granted: Amount::units(granted),
+            wait: Span(wait),
+        };
+        let grant = CreditGrant {
+            number,
+            life: Span(4000),
+            wants_whole: false,
+            entries: vec![entry],
+        };
+        self.tell(
+            1,
+            Letter::CreditGrant {
+                grant: Box::new(grant),
+            },
+        )
     }
 }
 
@@ -590,17 +974,36 @@
         NodeOutput::Place { number, outcome } => Some((*number, outcome.clone())),
         _ => None,
     });
-    placed.map(|(number, outcome)| (number, outcome.map(|p| p.access).map_err(|denial| denial.code))).collect()
+    placed
+        .map(|(number, outcome)| {
+            (
+                number,
+                outcome.map(|p| p.access).map_err(|denial| denial.code),
+            )
+        })
+        .collect()
 }
 
 #[test]
 fn a_key_is_its_tenants_under_the_plan_held() {
     let mut played = Played::with_tenants();
-    assert_eq!(placed_among(&played.place_as(1, "k2")), [(1, Ok(Access::Tenant("free".into())))]);
-    assert_eq!(placed_among(&played.place_as(2, "none")), [(2, Err(ResultCode::Unauthorized))]);
+    assert_eq!(
+        placed_among(&played.place_as(1, "k2")),
+        [(1, Ok(Access::Tenant("free".into())))]
+    );
+    assert_eq!(
+        placed_among(&played.place_as(2, "none")),
+        [(2, Err(ResultCode::Unauthorized))]
+    );
     played.take_plan(4, WITHOUT_K2);
-    assert_eq!(placed_among(&played.place_as(3, "k2")), [(3, Err(ResultCode::Unauthorized))]);
-    assert_eq!(placed_among(&played.place_as(4, "s3cret")), [(4, Ok(Access::Tenant("free".into())))]);
+    assert_eq!(
+        placed_among(&played.place_as(3, "k2")),
+        [(3, Err(ResultCode::Unauthorized))]
+    );
+    assert_eq!(
+        placed_among(&played.place_as(4, "s3cret")),
+        [(4, Ok(Access::Tenant("free".into())))]
+    );
 }
 
 #[test]
@@ -616,9 +1019,20 @@
     assert_eq!(placed_among(&outputs), []);
     let number = played.newest_ask;
     let outputs = played.grant(number, 3, 0);
-    assert_eq!(placed_among(&outputs), [(1, Ok(Access::Tenant("limited".into())))]);
-    assert_eq!(placed_among(&played.place_as(2, "k1")).len(), 1, "credit is left");
-    assert_eq!(placed_among(&played.grant(number, 50, 0)), [], "the same answer again");
+    assert_eq!(
+        placed_among(&outputs),
+        [(1, Ok(Access::Tenant("limited".into())))]
+    );
+    assert_eq!(
+        placed_among(&played.place_as(2, "k1")).len(),
+        1,
+        "credit is left"
+    );
+    assert_eq!(
+        placed_among(&played.grant(number, 50, 0)),
+        [],
+        "the same answer again"
+    );
 }
 
 #[test]
@@ -626,10 +1040,20 @@
     let mut played = Played::with_tenants();
     played.place_as(1, "k1");
     let number = played.newest_ask;
-    assert_eq!(placed_among(&played.grant(number, 0, 400)), [(1, Err(ResultCode::OverQuota))]);
-    assert_eq!(placed_among(&played.place_as(2, "k1")), [(2, Err(ResultCode::OverQuota))]);
+    assert_eq!(
+        placed_among(&played.grant(number, 0, 400)),
+        [(1, Err(ResultCode::OverQuota))]
+    );
+    assert_eq!(
+        placed_among(&played.place_as(2, "k1")),
+        [(2, Err(ResultCode::OverQuota))]
+    );
     played.at += 500;
-    assert_eq!(placed_among(&played.place_as(3, "k1")), [], "it is asked for again");
+    assert_eq!(
+        placed_among(&played.place_as(3, "k1")),
+        [],
+        "it is asked for again"
+    );
 }
 
 #[test]
@@ -645,7 +1069,11 @@
 fn whoever_goes_away_while_waiting_takes_nothing() {
     let mut played = Played::with_tenants();
     played.place_as(1, "k1");
-    played.step(NodeInput::Close { request: "r1".into(), number: 1, may_have_run: false });
+    played.step(NodeInput::Close {
+        request: "r1".into(),
+        number: 1,
+        may_have_run: false,
+    });
     let number = played.newest_ask;
     assert_eq!(placed_among(&played.grant(number, 3, 0)), []);
 }
@@ -655,6 +1083,10 @@
     let mut played = Played::with_tenants();
     let mut said = format!("{:?}", played.place_as(1, "s3cret"));
     said += &format!("{:?}", played.place_as(2, "s3cret-but-wrong"));
-    said += &format!("{:?} {:?}", played.node.held_credit(), played.node.tenants());
+    said += &format!(
+        "{:?} {:?}",
+        played.node.held_credit(),
+        played.node.tenants()
+    );
     assert!(!said.contains("s3cret"), "{said}");
 }
--- a/crates/router/src/piece_reader.rs
+++ b/crates/router/src/piece_reader.rs
@@ -29,18 +29,31 @@
     /// Takes a line; one without its end is torn.
     pub fn take(&mut self, line: &[u8]) -> Passed {
         if !line.ends_with(b"\n") {
-            return Passed::Cut(ResultCode::Broken, "the stream ended without its final record".into());
+            return Passed::Cut(
+                ResultCode::Broken,
+                "the stream ended without its final record".into(),
+            );
         }
         match serde_json::from_slice::<RunPiece>(line) {
             Ok(RunPiece::Piece { run, n, text }) if run == self.run && n == self.next => {
                 self.next += 1;
                 Passed::Piece(format!("{}\n", serde_json::json!({"n": n, "text": text})))
             }
-            Ok(RunPiece::End { run, end: true, pieces }) if run == self.run && pieces == self.next => {
+            Ok(RunPiece::End {
+                run,
+                end: true,
+                pieces,
+            }) if run == self.run && pieces == self.next => {
                 let word = ResultCode::Complete.word();
-                Passed::End(format!("{}\n", serde_json::json!({"end": true, "pieces": pieces, "result": word})))
+                Passed::End(format!(
+                    "{}\n",
+                    serde_json::json!({"end": true, "pieces": pieces, "result": word})
+                ))
             }
-            Ok(_) => Passed::Cut(ResultCode::StreamFault, "the server's pieces were out of order".into()),
+            Ok(_) => Passed::Cut(
+                ResultCode::StreamFault,
+                "the server's pieces were out of order".into(),
+            ),
             Err(fault) => Passed::Cut(ResultCode::StreamFault, fault.to_string()),
         }
     }
@@ -68,13 +81,23 @@
         let mut found = String::new();
         for line in lines {
             let n: u64 = line[1..].parse().unwrap_or(0);
-            let piece = |run: &str| RunPiece::Piece { run: run.into(), n, text: "t".into() };
+            let piece = |run: &str| RunPiece::Piece {
+                run: run.into(),
+                n,
+                text: "t".into(),
+            };
             let json = |piece: RunPiece| serde_json::to_string(&piece).expect("JSON");
             let text = match &line[..1] {
                 "p" => json(piece("r")) + "\n",
                 "o" => json(piece("other")) + "\n",
                 "t" => json(piece("r")),
-                "e" => json(RunPiece::End { run: "r".into(), end: true, pieces: n }) + "\n",
+                "e" => {
+                    json(RunPiece::End {
+                        run: "r".into(),
+                        end: true,
+                        pieces: n,
+                    }) + "\n"
+                }
                 _ => "{}\n".into(),
             };
             found.push(match reader.take(text.as_bytes()) {
--- a/crates/router/src/replay.rs
+++ b/crates/router/src/replay.rs
@@ -12,12 +12,18 @@
             continue;
         }
         if let Ok(head) = serde_json::from_str::<ReplayHead>(&line) {
-            scheduler = Some(Scheduler::new(head.own, head.incarnation, head.scheduler_rules));
+            scheduler = Some(Scheduler::new(
+                head.own,
+                head.incarnation,
+                head.scheduler_rules,
+            ));
             continue;
         }
         let dated: Dated = serde_json::from_str(&line).map_err(|why| fault(why.to_string()))?;
         let Some(scheduler) = &mut scheduler else {
-            return Err(fault("the head with own, incarnation and scheduler_rules is missing".into()));
+            return Err(fault(
+                "the head with own, incarnation and scheduler_rules is missing".into(),
+            ));
         };
         for decision in scheduler.take(dated) {
             let text = serde_json::to_string(&decision).expect("a decision is JSON");
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -159,7 +159,10 @@
         Entry { entry, cold_until }
     }
     fn told(&self, now: Moment) -> ServerEntry {
-        ServerEntry { cold_left: self.cold_until.map(|deadline| now.until(deadline)), ..self.entry.clone() }
+        ServerEntry {
+            cold_left: self.cold_until.map(|deadline| now.until(deadline)),
+            ..self.entry.clone()
+        }
     }
     /// Whether the other is the same, but that time has passed.
     fn is_like(&self, other: &Entry, now: Moment, tolerance: Span) -> bool {
@@ -230,7 +233,8 @@
 
     /// Whether a list is known whose reading began in this life, after the machine last slept.
     pub fn is_known(&self) -> bool {
-        self.read_at.is_some_and(|at| self.woken.is_none_or(|woken| at >= woken))
+        self.read_at
+            .is_some_and(|at| self.woken.is_none_or(|woken| at >= woken))
     }
     /// The version held.
     pub fn version(&self) -> ListVersion {
@@ -266,12 +270,19 @@
             // Members that miss the same collector must not read together.
             self.next_read = self.now + self.part_of(self.fleet_period());
         }
-        if self.reading.is_some_and(|asked| self.now.since(asked) >= READ_DEADLINE) {
+        if self
+            .reading
+            .is_some_and(|asked| self.now.since(asked) >= READ_DEADLINE)
+        {
             self.reading = None;
         }
         if self.reading.is_none() && self.reads_itself() && self.now >= self.next_read {
             self.reading = Some(self.now);
-            let effort = if self.is_collecting { ReadEffort::Persistent } else { ReadEffort::Once };
+            let effort = if self.is_collecting {
+                ReadEffort::Persistent
+            } else {
+                ReadEffort::Once
+            };
             self.outputs.push(ListOutput::Read(effort));
         }
         std::mem::take(&mut self.outputs)
@@ -318,7 +329,9 @@
     /// A letter came. Those that are not about the list are passed over.
     pub fn on_letter(&mut self, now: Moment, from: Address, letter: &Letter) -> Vec<ListOutput> {
         self.pass(now);
-        let is_deaf = self.woken.is_some_and(|woken| self.now < woken + self.timing.deafness);
+        let is_deaf = self
+            .woken
+            .is_some_and(|woken| self.now < woken + self.timing.deafness);
         if !is_deaf && from != self.own && self.zone.contains(&from) {
             match letter {
                 Letter::ListFresh { state } => self.on_fresh(from, state),
@@ -356,7 +369,10 @@
                 self.next_read = self.now;
             }
             self.is_collecting = true;
-        } else if let Some((teller, _)) = self.heard.filter(|_| self.is_collecting && !self.is_silent()) {
+        } else if let Some((teller, _)) = self
+            .heard
+            .filter(|_| self.is_collecting && !self.is_silent())
+        {
             // Of two that are not chosen any more, the first goes on.
             self.is_collecting = peers.collector != Some(teller) && teller > self.own;
         }
@@ -364,10 +380,13 @@
 
     /// Whether another is to read for this node's zone.
     fn has_teller(&self) -> bool {
-        !self.is_collecting && self.zone.contains(&self.own) && self.collector.0.is_some_and(|one| one != self.own)
+        !self.is_collecting
+            && self.zone.contains(&self.own)
+            && self.collector.0.is_some_and(|one| one != self.own)
     }
     fn is_silent(&self) -> bool {
-        self.heard.is_none_or(|(_, at)| self.now.since(at) >= self.timing.silence)
+        self.heard
+            .is_none_or(|(_, at)| self.now.since(at) >= self.timing.silence)
     }
     fn reads_itself(&self) -> bool {
         self.is_collecting || self.is_alone
@@ -392,23 +411,40 @@
 
     fn state(&self) -> ListState {
         let age = self.now.since(self.read_at.unwrap_or(self.now));
-        ListState { version: self.version, check: self.check, cold: self.cold(), age }
+        ListState {
+            version: self.version,
+            check: self.check,
+            cold: self.cold(),
+            age,
+        }
     }
     /// How long all servers together are still cold.
     fn cold(&self) -> Span {
-        let left =
-            self.entries.values().filter_map(|entry| entry.cold_until.map(|deadline| self.now.until(deadline).0));
+        let left = self
+            .entries
+            .values()
+            .filter_map(|entry| entry.cold_until.map(|deadline| self.now.until(deadline).0));
         Span(left.sum())
     }
     fn servers(&self) -> Vec<ServerEntry> {
-        self.entries.values().map(|entry| entry.told(self.now)).collect()
+        self.entries
+            .values()
+            .map(|entry| entry.told(self.now))
+            .collect()
     }
     fn send(&mut self, to: Address, letter: Letter) {
         self.outputs.push(ListOutput::Send { to, letter });
     }
     fn tell_zone(&mut self, letter: &Letter) {
-        let others: Vec<Address> = self.zone.iter().copied().filter(|one| *one != self.own).collect();
-        others.into_iter().for_each(|one| self.send(one, letter.clone()));
+        let others: Vec<Address> = self
+            .zone
+            .iter()
+            .copied()
+            .filter(|one| *one != self.own)
+            .collect();
+        others
+            .into_iter()
+            .for_each(|one| self.send(one, letter.clone()));
     }
 
     /// This node has read the whole list.
@@ -418,13 +454,26 @@
         }
         let is_first = self.read_at.replace(asked).is_none();
         let now = self.now;
-        let read = servers.into_iter().map(|entry| (entry.server.clone(), Entry::new(entry, now)));
+        let read = servers
+            .into_iter()
+            .map(|entry| (entry.server.clone(), Entry::new(entry, now)));
         let read: BTreeMap<ServerName, Entry> = read.collect();
         let is_held = |(name, entry): &(&ServerName, &Entry)| {
-            self.entries.get(*name).is_some_and(|held| held.is_like(entry, now, self.timing.cold_tolerance))
+            self.entries
+                .get(*name)
+                .is_some_and(|held| held.is_like(entry, now, self.timing.cold_tolerance))
         };
-        let set: Vec<Entry> = read.iter().filter(|one| !is_held(one)).map(|(_, entry)| entry.clone()).collect();
-        let gone: Vec<ServerName> = self.entries.keys().filter(|name| !read.contains_key(*name)).cloned().collect();
+        let set: Vec<Entry> = read
+            .iter()
+            .filter(|one| !is_held(one))
+            .map(|(_, entry)| entry.clone())
+            .collect();
+        let gone: Vec<ServerName> = self
+            .entries
+            .keys()
+            .filter(|name| !read.contains_key(*name))
+            .cloned()
+            .collect();
         if !is_first && set.is_empty() && gone.is_empty() {
             if self.is_collecting {
                 let state = self.state();
@@ -434,9 +483,18 @@
         }
         gone.iter().for_each(|name| drop(self.entries.remove(name)));
         let told: Vec<ServerEntry> = set.iter().map(|entry| entry.told(now)).collect();
-        self.entries.extend(set.into_iter().map(|entry| (entry.entry.server.clone(), entry)));
+        self.entries.extend(
+            set.into_iter()
+                .map(|entry| (entry.entry.server.clone(), entry)),
+        );
         self.number += 1;
-        let base = std::mem::replace(&mut self.version, ListVersion { life: self.life, number: self.number });
+        let base = std::mem::replace(
+            &mut self.version,
+            ListVersion {
+                life: self.life,
+                number: self.number,
+            },
+        );
         self.check = check_of(&self.entries);
         self.outputs.push(ListOutput::Servers(self.servers()));
         if self.is_collecting {
@@ -445,7 +503,14 @@
             self.tell_zone(&match is_first || is_long {
                 // Whoever holds something else asks for the whole.
                 true => Letter::ListFresh { state },
-                false => Letter::ListChange { change: Box::new(ListChange { state, base, set: told, gone }) },
+                false => Letter::ListChange {
+                    change: Box::new(ListChange {
+                        state,
+                        base,
+                        set: told,
+                        gone,
+                    }),
+                },
             });
         }
     }
@@ -453,7 +518,9 @@
     /// A collector that is silent for long should have told the list: reading here went well, or nothing is known
     /// here, and waiting for one that is gone would be for ever.
     fn doubt(&mut self) {
-        let (Some(collector), since) = self.collector else { return };
+        let (Some(collector), since) = self.collector else {
+            return;
+        };
         let is_long = self.now.since(since) >= self.timing.silence;
         if self.has_teller() && is_long && self.is_silent() {
             self.outputs.push(ListOutput::Unheard(collector));
@@ -468,7 +535,8 @@
     /// Whether what is held here is what the other holds: the same version, or the same entries, as cold.
     fn has(&self, state: &ListState) -> bool {
         let is_as_cold = || self.cold().0.abs_diff(state.cold.0) <= self.timing.cold_tolerance.0;
-        self.read_at.is_some() && (self.version == state.version || (self.check == state.check && is_as_cold()))
+        self.read_at.is_some()
+            && (self.version == state.version || (self.check == state.check && is_as_cold()))
     }
     /// A collector has told that what is held here now is what the list shows.
     fn confirm(&mut self, from: Address, state: &ListState, at: Moment) {
@@ -480,7 +548,9 @@
     }
 
     fn on_fresh(&mut self, from: Address, state: &ListState) {
-        let Some(at) = self.date(state, self.now) else { return };
+        let Some(at) = self.date(state, self.now) else {
+            return;
+        };
         match self.has(state) {
             true => self.confirm(from, state, at),
             false => self.ask(from, state),
@@ -488,14 +558,22 @@
     }
 
     fn on_change(&mut self, from: Address, change: &ListChange) {
-        let Some(at) = self.date(&change.state, self.now) else { return };
+        let Some(at) = self.date(&change.state, self.now) else {
+            return;
+        };
         if self.has(&change.state) {
             return self.confirm(from, &change.state, at);
         }
         if self.read_at.is_some() && self.version == change.base {
             let mut entries = self.entries.clone();
-            change.gone.iter().for_each(|name| drop(entries.remove(name)));
-            let set = change.set.iter().map(|entry| (entry.server.clone(), Entry::new(entry.clone(), self.now)));
+            change
+                .gone
+                .iter()
+                .for_each(|name| drop(entries.remove(name)));
+            let set = change
+                .set
+                .iter()
+                .map(|entry| (entry.server.clone(), Entry::new(entry.clone(), self.now)));
             entries.extend(set);
             if check_of(&entries) == change.state.check {
                 return self.take_entries(from, &change.state, at, entries);
@@ -504,7 +582,13 @@
         self.ask(from, &change.state);
     }
 
-    fn take_entries(&mut self, from: Address, state: &ListState, at: Moment, entries: BTreeMap<ServerName, Entry>) {
+    fn take_entries(
+        &mut self,
+        from: Address,
+        state: &ListState,
+        at: Moment,
+        entries: BTreeMap<ServerName, Entry>,
+    ) {
         self.entries = entries;
         self.check = state.check;
         self.confirm(from, state, at);
@@ -513,11 +597,20 @@
 
     /// Asks for the whole.
     fn ask(&mut self, from: Address, state: &ListState) {
-        if self.fetching.as_ref().is_some_and(|fetching| self.now.since(fetching.asked) < FETCH_DEADLINE) {
+        if self
+            .fetching
+            .as_ref()
+            .is_some_and(|fetching| self.now.since(fetching.asked) < FETCH_DEADLINE)
+        {
             return;
         }
         let (version, asked) = (state.version, self.now);
-        self.fetching = Some(Fetching { from, version, entries: vec![], asked });
+        self.fetching = Some(Fetching {
+            from,
+            version,
+            entries: vec![],
+            asked,
+        });
         self.send(from, Letter::ListAsk { version, offset: 0 });
     }
 
@@ -532,24 +625,52 @@
             bytes += bytes_of(entry);
             bytes <= PIECE
         };
-        let rest = self.entries.values().skip(offset as usize).map(|entry| entry.told(self.now));
+        let rest = self
+            .entries
+            .values()
+            .skip(offset as usize)
+            .map(|entry| entry.told(self.now));
         let entries = rest.take_while(fits).collect();
-        let piece = ListPiece { state: self.state(), offset, length: self.entries.len() as u32, entries };
-        self.send(from, Letter::ListPiece { piece: Box::new(piece) });
+        let piece = ListPiece {
+            state: self.state(),
+            offset,
+            length: self.entries.len() as u32,
+            entries,
+        };
+        self.send(
+            from,
+            Letter::ListPiece {
+                piece: Box::new(piece),
+            },
+        );
     }
 
     fn on_piece(&mut self, from: Address, piece: &ListPiece) {
-        let Some(mut fetching) = self.fetching.take_if(|fetching| fetching.from == from) else { return };
-        let ListPiece { state, offset, length, entries } = piece;
+        let Some(mut fetching) = self.fetching.take_if(|fetching| fetching.from == from) else {
+            return;
+        };
+        let ListPiece {
+            state,
+            offset,
+            length,
+            entries,
+        } = piece;
         if state.version != fetching.version {
             (fetching.version, fetching.entries) = (state.version, vec![]);
         }
         if *offset as usize == fetching.entries.len() {
-            fetching.entries.extend(entries.iter().map(|entry| Entry::new(entry.clone(), self.now)));
+            fetching.entries.extend(
+                entries
+                    .iter()
+                    .map(|entry| Entry::new(entry.clone(), self.now)),
+            );
             if fetching.entries.len() >= *length as usize {
                 // Read before this node asked, however long the letters took.
                 let at = self.date(state, fetching.asked);
-                let entries = fetching.entries.into_iter().map(|entry| (entry.entry.server.clone(), entry));
+                let entries = fetching
+                    .entries
+                    .into_iter()
+                    .map(|entry| (entry.entry.server.clone(), entry));
                 let entries: BTreeMap<ServerName, Entry> = entries.collect();
                 if let Some(at) = at.filter(|_| check_of(&entries) == state.check) {
                     self.take_entries(from, state, at, entries);
--- a/crates/router/src/server_list/tests.rs
+++ b/crates/router/src/server_list/tests.rs
@@ -41,7 +41,12 @@
     }
     fn of(count: u16, servers: u64, timing: ListTiming) -> Self {
         let members: BTreeSet<Address> = (1..=count).map(node).collect();
-        let fresh = |one: &Address| (*one, ServerList::new(*one, u64::from(one.0.port()), timing, Moment(10_000)));
+        let fresh = |one: &Address| {
+            (
+                *one,
+                ServerList::new(*one, u64::from(one.0.port()), timing, Moment(10_000)),
+            )
+        };
         Zone {
             now: 10_000,
             nodes: members.iter().map(fresh).collect(),
@@ -52,7 +57,9 @@
             dead: BTreeSet::new(),
             cut_off: BTreeSet::new(),
             unreached: BTreeSet::new(),
-            platform: (0..servers).map(|n| (format!("s{n:04}"), (0, false))).collect(),
+            platform: (0..servers)
+                .map(|n| (format!("s{n:04}"), (0, false)))
+                .collect(),
             calls: vec![],
             letters: vec![],
             readings: vec![],
@@ -72,7 +79,10 @@
         self.platform.iter().map(entry).collect()
     }
     fn collector(&self) -> Option<Address> {
-        self.members.iter().find(|one| !self.passed_over.contains(*one)).copied()
+        self.members
+            .iter()
+            .find(|one| !self.passed_over.contains(*one))
+            .copied()
     }
     fn take(&mut self, at: Address, outputs: Vec<ListOutput>) {
         for output in outputs {
@@ -80,7 +90,11 @@
                 ListOutput::Read(_) => {
                     self.calls.push((self.now, at));
                     let servers = (!self.cut_off.contains(&at)).then(|| self.listed());
-                    let reading = ListReading { asked: Moment(self.now), calls: 1, servers };
+                    let reading = ListReading {
+                        asked: Moment(self.now),
+                        calls: 1,
+                        servers,
+                    };
                     self.readings.push((self.now + 20, at, reading));
                 }
                 ListOutput::Send { to, letter } => {
@@ -111,31 +125,61 @@
         while self.now < until {
             self.now += 5;
             let now = self.now;
-            let (letters, later) = std::mem::take(&mut self.letters).into_iter().partition(|(at, ..)| *at <= now);
+            let (letters, later) = std::mem::take(&mut self.letters)
+                .into_iter()
+                .partition(|(at, ..)| *at <= now);
             self.letters = later;
             let letters: Vec<(u64, Address, Address, Letter)> = letters;
-            for (_, from, to, letter) in
-                letters.into_iter().filter(|letter| !self.dead.contains(&letter.2)).collect::<Vec<_>>()
+            for (_, from, to, letter) in letters
+                .into_iter()
+                .filter(|letter| !self.dead.contains(&letter.2))
+                .collect::<Vec<_>>()
             {
-                let outputs = self.nodes.get_mut(&to).expect("a node").on_letter(Moment(now), from, &letter);
+                let outputs =
+                    self.nodes
+                        .get_mut(&to)
+                        .expect("a node")
+                        .on_letter(Moment(now), from, &letter);
                 self.take(to, outputs);
             }
-            let (readings, later) = std::mem::take(&mut self.readings).into_iter().partition(|(at, ..)| *at <= now);
+            let (readings, later) = std::mem::take(&mut self.readings)
+                .into_iter()
+                .partition(|(at, ..)| *at <= now);
             self.readings = later;
             let readings: Vec<(u64, Address, ListReading)> = readings;
-            for (_, at, reading) in
-                readings.into_iter().filter(|reading| !self.dead.contains(&reading.1)).collect::<Vec<_>>()
+            for (_, at, reading) in readings
+                .into_iter()
+                .filter(|reading| !self.dead.contains(&reading.1))
+                .collect::<Vec<_>>()
             {
-                let outputs = self.nodes.get_mut(&at).expect("a node").on_reading(Moment(now), reading);
+                let outputs = self
+                    .nodes
+                    .get_mut(&at)
+                    .expect("a node")
+                    .on_reading(Moment(now), reading);
                 self.take(at, outputs);
             }
-            for at in self.members.iter().copied().filter(|one| !self.dead.contains(one)).collect::<Vec<_>>() {
-                let is_due =
-                    self.nodes[&at].next_timer().0 <= now || (now + u64::from(at.0.port()) * 35).is_multiple_of(250);
+            for at in self
+                .members
+                .iter()
+                .copied()
+                .filter(|one| !self.dead.contains(one))
+                .collect::<Vec<_>>()
+            {
+                let is_due = self.nodes[&at].next_timer().0 <= now
+                    || (now + u64::from(at.0.port()) * 35).is_multiple_of(250);
                 if is_due {
                     let members = self.members.clone();
-                    let peers = ListPeers { zone: Some(&members), collector: self.collector(), fleet: self.fleet };
-                    let outputs = self.nodes.get_mut(&at).expect("a node").on_clock(Moment(now), peers);
+                    let peers = ListPeers {
+                        zone: Some(&members),
+                        collector: self.collector(),
+                        fleet: self.fleet,
+                    };
+                    let outputs = self
+                        .nodes
+                        .get_mut(&at)
+                        .expect("a node")
+                        .on_clock(Moment(now), peers);
                     self.take(at, outputs);
                 }
             }
@@ -147,11 +191,16 @@
         self.calls.len() - before
     }
     fn knows(&self, at: Address, is_so: impl Fn(&ServerEntry) -> bool) -> bool {
-        self.lists.get(&at).is_some_and(|list| list.iter().any(is_so))
+        self.lists
+            .get(&at)
+            .is_some_and(|list| list.iter().any(is_so))
     }
     /// How many live nodes know of a server like this.
     fn knowing(&self, is_so: impl Fn(&ServerEntry) -> bool) -> usize {
-        self.members.iter().filter(|one| !self.dead.contains(*one) && self.knows(**one, &is_so)).count()
+        self.members
+            .iter()
+            .filter(|one| !self.dead.contains(*one) && self.knows(**one, &is_so))
+            .count()
     }
     /// Until the collector has just read the list.
     fn run_to_reading(&mut self) {
@@ -181,9 +230,14 @@
     assert_eq!(zone.lists.len(), 30);
     let (sent, changes) = (zone.sent, zone.changes);
     assert_eq!(zone.calls_in(60_000), 60);
-    assert_eq!((zone.sent[0] - sent[0], &zone.sent[1..]), (60 * 29, &sent[1..]));
+    assert_eq!(
+        (zone.sent[0] - sent[0], &zone.sent[1..]),
+        (60 * 29, &sent[1..])
+    );
     assert_eq!(zone.changes, changes);
-    let letter = Letter::ListFresh { state: zone.nodes[&node(1)].state() };
+    let letter = Letter::ListFresh {
+        state: zone.nodes[&node(1)].state(),
+    };
     assert!(letter.is_datagram() && seal(node(1), &letter).expect("sealed").len() < 120);
 }
 
@@ -207,9 +261,16 @@
     let sent = zone.sent;
     zone.run_to_reading();
     zone.run(10);
-    assert_eq!(zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving), 30);
+    assert_eq!(
+        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving),
+        30
+    );
     assert_eq!(zone.knowing(|entry| entry.server.as_str() == "t0001"), 30);
-    assert_eq!(zone.knowing(|entry| entry.server.as_str() == "s0009"), 0, "a life that is gone is gone");
+    assert_eq!(
+        zone.knowing(|entry| entry.server.as_str() == "s0009"),
+        0,
+        "a life that is gone is gone"
+    );
     assert_eq!((zone.sent[1] - sent[1], zone.sent[2]), (29, sent[2]));
 }
 
@@ -220,7 +281,11 @@
     zone.platform.insert("t".into(), (end, false));
     zone.run(3000);
     let (changes, left) = (zone.changes, |zone: &Zone, at| {
-        zone.nodes[&at].servers().iter().find(|one| one.server.as_str() == "t").and_then(|one| one.cold_left)
+        zone.nodes[&at]
+            .servers()
+            .iter()
+            .find(|one| one.server.as_str() == "t")
+            .and_then(|one| one.cold_left)
     });
     for _ in 0..10 {
         zone.run(1000);
@@ -245,7 +310,10 @@
     zone.dead.insert(node(1));
     zone.platform.get_mut("s0007").expect("listed").1 = true;
     zone.run(3100);
-    assert_eq!(zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving), 29);
+    assert_eq!(
+        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving),
+        29
+    );
     zone.run(3000);
     assert!(zone.nodes[&node(2)].is_collecting());
     assert_eq!(zone.calls_in(10_000), 10);
@@ -263,7 +331,14 @@
 
 #[test]
 fn a_collector_that_cannot_read_says_nothing_and_members_read_within_the_fleets_rate() {
-    let mut zone = Zone::of(30, 40, ListTiming { rate: 10, ..ListTiming::default() });
+    let mut zone = Zone::of(
+        30,
+        40,
+        ListTiming {
+            rate: 10,
+            ..ListTiming::default()
+        },
+    );
     // It goes on collecting digests.
     zone.does_pass_over = false;
     zone.run(5000);
@@ -272,8 +347,16 @@
     let calls = |zone: &Zone| zone.calls.iter().filter(|(_, at)| *at != node(1)).count();
     let (sent, before) = (zone.sent[0], calls(&zone));
     zone.run(20_000);
-    assert!(calls(&zone) - before <= 200, "{} calls", calls(&zone) - before);
-    assert!(calls(&zone) - before >= 60, "{} calls", calls(&zone) - before);
+    assert!(
+        calls(&zone) - before <= 200,
+        "{} calls",
+        calls(&zone) - before
+    );
+    assert!(
+        calls(&zone) - before >= 60,
+        "{} calls",
+        calls(&zone) - before
+    );
     assert_eq!(zone.sent[0], sent);
     zone.cut_off.clear();
     zone.run(3000);
@@ -292,15 +375,33 @@
     let (version, read_at) = (member.version(), member.read_at());
     let mut old = stale.clone();
     old.now = Moment(zone.now);
-    let change = ListChange { state: old.state(), base: version, set: old.servers(), gone: vec![] };
-    let piece = ListPiece { state: old.state(), offset: 0, length: 40, entries: old.servers() };
+    let change = ListChange {
+        state: old.state(),
+        base: version,
+        set: old.servers(),
+        gone: vec![],
+    };
+    let piece = ListPiece {
+        state: old.state(),
+        offset: 0,
+        length: 40,
+        entries: old.servers(),
+    };
     let letters = [
         Letter::ListFresh { state: old.state() },
-        Letter::ListChange { change: Box::new(change) },
-        Letter::ListPiece { piece: Box::new(piece) },
+        Letter::ListChange {
+            change: Box::new(change),
+        },
+        Letter::ListPiece {
+            piece: Box::new(piece),
+        },
     ];
     for letter in letters {
-        assert_eq!(member.on_letter(Moment(zone.now), node(1), &letter), vec![], "{letter:?}");
+        assert_eq!(
+            member.on_letter(Moment(zone.now), node(1), &letter),
+            vec![],
+            "{letter:?}"
+        );
         assert_eq!((member.version(), member.read_at()), (version, read_at));
     }
     assert!(member.servers().iter().any(is_leaving));
@@ -312,7 +413,11 @@
     zone.run(5000);
     let mut member = zone.nodes[&node(3)].clone();
     let (version, asked) = (member.version(), Moment(zone.now - 3000));
-    let reading = ListReading { asked, calls: 1, servers: Some(vec![]) };
+    let reading = ListReading {
+        asked,
+        calls: 1,
+        servers: Some(vec![]),
+    };
     member.on_reading(Moment(zone.now), reading);
     assert_eq!((member.version(), member.servers().len()), (version, 40));
 }
@@ -323,10 +428,13 @@
     zone.run(5000);
     zone.run_to_reading();
     zone.unreached.insert(node(4));
-    zone.platform.insert("s0007".into(), (zone.now + 60_000, false));
+    zone.platform
+        .insert("s0007".into(), (zone.now + 60_000, false));
     zone.run_to_reading();
     zone.unreached.clear();
-    let is_cold = |entry: &ServerEntry| entry.server.as_str() == "s0007" && entry.cold_left > Some(Span(50_000));
+    let is_cold = |entry: &ServerEntry| {
+        entry.server.as_str() == "s0007" && entry.cold_left > Some(Span(50_000))
+    };
     zone.run(10);
     assert_eq!(zone.knowing(is_cold), 4);
     zone.run(1050);
@@ -342,9 +450,13 @@
     zone.run(3000);
     assert!(zone.sent[3] >= 3, "{} pieces", zone.sent[3]);
     assert_eq!(zone.lists.get(&node(2)).map(Vec::len), Some(5000));
-    assert_eq!(zone.nodes[&node(1)].version(), zone.nodes[&node(2)].version());
+    assert_eq!(
+        zone.nodes[&node(1)].version(),
+        zone.nodes[&node(2)].version()
+    );
     let all: Vec<String> = zone.platform.keys().cloned().collect();
-    all.iter().for_each(|name| zone.platform.get_mut(name).expect("listed").1 = true);
+    all.iter()
+        .for_each(|name| zone.platform.get_mut(name).expect("listed").1 = true);
     zone.run(1500);
     assert!(zone.lists[&node(2)].iter().all(|entry| entry.is_leaving));
 }
@@ -353,7 +465,10 @@
 fn one_that_has_just_started_reads_at_once_and_then_no_more() {
     let mut zone = Zone::new(5);
     zone.run(5000);
-    zone.nodes.insert(node(5), ServerList::new(node(5), 77, ListTiming::default(), Moment(zone.now)));
+    zone.nodes.insert(
+        node(5),
+        ServerList::new(node(5), 77, ListTiming::default(), Moment(zone.now)),
+    );
     zone.lists.remove(&node(5));
     zone.run(50);
     assert_eq!(zone.lists.get(&node(5)).map(Vec::len), Some(40));
@@ -366,20 +481,44 @@
 fn after_a_sleep_only_what_was_read_since_counts() {
     let mut zone = Zone::new(3);
     zone.run(5000);
-    let told = Letter::ListFresh { state: zone.nodes[&node(1)].state() };
+    let told = Letter::ListFresh {
+        state: zone.nodes[&node(1)].state(),
+    };
     let mut member = zone.nodes[&node(3)].clone();
     let later = zone.now + 4000;
     assert!(member.is_known());
     member.on_letter(Moment(later), node(1), &told);
-    assert!(!member.is_known(), "a letter that came before the clock event");
-    let old = ListReading { asked: Moment(zone.now), calls: 1, servers: Some(zone.listed()) };
+    assert!(
+        !member.is_known(),
+        "a letter that came before the clock event"
+    );
+    let old = ListReading {
+        asked: Moment(zone.now),
+        calls: 1,
+        servers: Some(zone.listed()),
+    };
     member.on_reading(Moment(later + 1), old);
     assert!(!member.is_known(), "a reading that was under way");
     let members = zone.members.clone();
-    let peers = ListPeers { zone: Some(&members), collector: Some(node(1)), fleet: 3 };
-    assert_eq!(member.on_clock(Moment(later + 2), peers), vec![ListOutput::Read(ReadEffort::Once)]);
-    let new = ListReading { asked: Moment(later + 2), calls: 1, servers: Some(zone.listed()) };
-    assert_eq!(member.on_reading(Moment(later + 20), new), vec![], "nobody is passed over for its own sleep");
+    let peers = ListPeers {
+        zone: Some(&members),
+        collector: Some(node(1)),
+        fleet: 3,
+    };
+    assert_eq!(
+        member.on_clock(Moment(later + 2), peers),
+        vec![ListOutput::Read(ReadEffort::Once)]
+    );
+    let new = ListReading {
+        asked: Moment(later + 2),
+        calls: 1,
+        servers: Some(zone.listed()),
+    };
+    assert_eq!(
+        member.on_reading(Moment(later + 20), new),
+        vec![],
+        "nobody is passed over for its own sleep"
+    );
     assert!(member.is_known());
 }
 
@@ -391,7 +530,10 @@
     zone.nodes.get_mut(&node(3)).expect("a node").is_collecting = true;
     zone.platform.get_mut("s0007").expect("listed").1 = true;
     zone.run(1200);
-    assert_eq!(zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving), 10);
+    assert_eq!(
+        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving),
+        10
+    );
     zone.run(2000);
     assert_eq!(zone.calls_in(10_000), 10);
 }
@@ -406,14 +548,51 @@
     other.version.number += 1;
     other.check += 1;
     (other.age, zone.now) = (Span(0), zone.now + 300);
-    let asks = member.on_letter(Moment(zone.now), node(1), &Letter::ListFresh { state: other });
-    assert!(matches!(asks[..], [ListOutput::Send { letter: Letter::ListAsk { .. }, .. }]), "{asks:?}");
+    let asks = member.on_letter(
+        Moment(zone.now),
+        node(1),
+        &Letter::ListFresh { state: other },
+    );
+    assert!(
+        matches!(
+            asks[..],
+            [ListOutput::Send {
+                letter: Letter::ListAsk { .. },
+                ..
+            }]
+        ),
+        "{asks:?}"
+    );
     // Meanwhile it reads the list itself.
     let asked = Moment(zone.now + 400);
-    member.on_reading(asked, ListReading { asked, calls: 1, servers: Some(zone.listed()) });
+    member.on_reading(
+        asked,
+        ListReading {
+            asked,
+            calls: 1,
+            servers: Some(zone.listed()),
+        },
+    );
     let entries = BTreeMap::new();
-    let state = ListState { check: check_of(&entries), cold: Span(0), ..other };
-    let late = Letter::ListPiece { piece: Box::new(ListPiece { state, offset: 0, length: 0, entries: vec![] }) };
-    assert_eq!(member.on_letter(Moment(zone.now + 500), node(1), &late), vec![]);
-    assert_eq!((member.servers().len(), member.read_at()), (40, Some(asked)));
+    let state = ListState {
+        check: check_of(&entries),
+        cold: Span(0),
+        ..other
+    };
+    let late = Letter::ListPiece {
+        piece: Box::new(ListPiece {
+            state,
+            offset: 0,
+            length: 0,
+            entries: vec![],
+        }),
+    };
+    assert_eq!(
+        member.on_letter(Moment(zone.now + 500), node(1), &late),
+        vec![]
+    );
+    assert_eq!(
+        (member.servers().len(), member.read_at()),
+        (40, Some(asked))
+    );
 }
--- a/crates/router/src/server_list/tests/restart.rs
+++ b/crates/router/src/server_list/tests/restart.rs
@@ -62,16 +62,32 @@
 impl FleetStart {
     /// The processes start within `spread`.
     fn new(zones: usize, pages: usize, rate: u64, spread: u64, seed: u64) -> Self {
-        let timing = ListTiming { rate, ..ListTiming::default() };
+        let timing = ListTiming {
+            rate,
+            ..ListTiming::default()
+        };
         let life = |place: usize| mix(seed << 20 | place as u64);
-        let starts: Vec<u64> = (0..zones * ZONE_SIZE).map(|place| 10_000 + mix(life(place)) % spread).collect();
-        let fresh = |place: usize| ServerList::new(node(1 + place as u16), life(place), timing, Moment(starts[place]));
+        let starts: Vec<u64> = (0..zones * ZONE_SIZE)
+            .map(|place| 10_000 + mix(life(place)) % spread)
+            .collect();
+        let fresh = |place: usize| {
+            ServerList::new(
+                node(1 + place as u16),
+                life(place),
+                timing,
+                Moment(starts[place]),
+            )
+        };
         let count = starts.len();
         FleetStart {
             now: 10_000,
             nodes: (0..count).map(fresh).collect(),
             readers: (0..count).map(|_| None).collect(),
-            platform: Platform { rate: rate as usize, taken: VecDeque::new(), refused: 0 },
+            platform: Platform {
+                rate: rate as usize,
+                taken: VecDeque::new(),
+                refused: 0,
+            },
             pages,
             letters: vec![],
             knows_since: vec![None; count],
@@ -90,10 +106,16 @@
             match output {
                 ListOutput::Read(effort) => {
                     let (asked, next_page) = (self.now, self.now + PAGE);
-                    self.readers[place] = Some(Reader { asked, next_page, pages: 0, effort });
+                    self.readers[place] = Some(Reader {
+                        asked,
+                        next_page,
+                        pages: 0,
+                        effort,
+                    });
                 }
                 ListOutput::Send { to, letter } => {
-                    self.letters.push((self.now + LETTER, node(1 + place as u16), to, letter));
+                    self.letters
+                        .push((self.now + LETTER, node(1 + place as u16), to, letter));
                 }
                 ListOutput::Servers(_) => {
                     let now = self.now;
@@ -108,12 +130,17 @@
 
     /// One page for the reader of this node.
     fn read_page(&mut self, place: usize) {
-        let Some(reader) = &mut self.readers[place] else { return };
+        let Some(reader) = &mut self.readers[place] else {
+            return;
+        };
         if self.now < reader.next_page {
             return;
         }
         let is_taken = self.platform.takes(self.now);
-        if !is_taken && reader.effort == ReadEffort::Persistent && self.now < reader.asked + PERSISTS_FOR {
+        if !is_taken
+            && reader.effort == ReadEffort::Persistent
+            && self.now < reader.asked + PERSISTS_FOR
+        {
             reader.next_page = self.now + PAGE_PAUSE;
             return;
         }
@@ -122,9 +149,16 @@
         if is_taken && reader.pages < self.pages {
             return;
         }
-        let entry = |n: u64| ServerEntry { server: format!("s{n:04}").as_str().into(), ..ServerEntry::default() };
+        let entry = |n: u64| ServerEntry {
+            server: format!("s{n:04}").as_str().into(),
+            ..ServerEntry::default()
+        };
         let servers = is_taken.then(|| (0..160).map(entry).collect());
-        let reading = ListReading { asked: Moment(reader.asked), calls: reader.pages, servers };
+        let reading = ListReading {
+            asked: Moment(reader.asked),
+            calls: reader.pages,
+            servers,
+        };
         self.readers[place] = None;
         let outputs = self.nodes[place].on_reading(Moment(self.now), reading);
         self.take(place, outputs);
@@ -133,7 +167,9 @@
     fn step(&mut self) {
         self.now += 5;
         let now = self.now;
-        let (arrived, later) = std::mem::take(&mut self.letters).into_iter().partition(|(at, ..)| *at <= now);
+        let (arrived, later) = std::mem::take(&mut self.letters)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.letters = later;
         let arrived: Vec<(u64, Address, Address, Letter)> = arrived;
         for (_, from, to, letter) in arrived {
@@ -149,14 +185,20 @@
                 continue;
             }
             self.read_page(place);
-            let is_awaited = self.nodes[place].next_timer().0 <= now || (now + place as u64 * 35).is_multiple_of(250);
+            let is_awaited = self.nodes[place].next_timer().0 <= now
+                || (now + place as u64 * 35).is_multiple_of(250);
             if is_awaited {
                 let first = place / ZONE_SIZE * ZONE_SIZE;
-                let zone: BTreeSet<Address> = (first..first + ZONE_SIZE).map(|n| node(1 + n as u16)).collect();
+                let zone: BTreeSet<Address> = (first..first + ZONE_SIZE)
+                    .map(|n| node(1 + n as u16))
+                    .collect();
                 let is_leased = now >= self.starts[place] + LEASE;
                 let peers = ListPeers {
                     zone: is_leased.then_some(&zone),
-                    collector: zone.iter().find(|one| is_leased && !self.passed_over[place].contains(one)).copied(),
+                    collector: zone
+                        .iter()
+                        .find(|one| is_leased && !self.passed_over[place].contains(one))
+                        .copied(),
                     fleet: if is_leased { self.nodes.len() } else { 0 },
                 };
                 let outputs = self.nodes[place].on_clock(Moment(now), peers);
@@ -168,9 +210,15 @@
     /// Runs until all know the list; gives how long after the last start that is.
     fn run(mut self) -> u64 {
         let last_start = self.starts.iter().copied().max().unwrap_or_default();
-        let live: Vec<usize> = (0..self.nodes.len()).filter(|place| !self.is_dead(*place)).collect();
+        let live: Vec<usize> = (0..self.nodes.len())
+            .filter(|place| !self.is_dead(*place))
+            .collect();
         while live.iter().any(|place| self.knows_since[*place].is_none()) {
-            assert!(self.now < last_start + 30_000, "some know nothing: {} calls refused", self.platform.refused);
+            assert!(
+                self.now < last_start + 30_000,
+                "some know nothing: {} calls refused",
+                self.platform.refused
+            );
             self.step();
         }
         self.now.saturating_sub(last_start)
@@ -198,7 +246,10 @@
 #[parameterized(one = { 1, 10 }, one_late = { 1, 4000 }, two = { 2, 1000 })]
 fn a_fleet_whose_first_members_are_gone_knows_the_list_soon(dead: usize, spread: u64) {
     for seed in 1..=12 {
-        let fleet = FleetStart { dead, ..FleetStart::new(5, 4, 50, spread, seed) };
+        let fleet = FleetStart {
+            dead,
+            ..FleetStart::new(5, 4, 50, spread, seed)
+        };
         let took = fleet.run();
         assert!(took <= 8000, "seed {seed}: {took} ms");
     }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -52,8 +52,13 @@
 impl Drop for Place {
     fn drop(&mut self) {
         self.shared.tallies.in_hand.fetch_sub(1, Ordering::Relaxed);
-        let (request, number, may_have_run) = (self.request.clone(), self.number, self.may_have_run);
-        self.shared.tell(NodeInput::Close { request, number, may_have_run });
+        let (request, number, may_have_run) =
+            (self.request.clone(), self.number, self.may_have_run);
+        self.shared.tell(NodeInput::Close {
+            request,
+            number,
+            may_have_run,
+        });
     }
 }
 
@@ -80,7 +85,10 @@
         let _ = self.control.send(ControlEvent::Input(input));
     }
     pub fn tell_ended(&self, request: &RequestId, outcome: Outcome) {
-        self.tell(NodeInput::Event(Event::Ended { request: request.clone(), outcome }));
+        self.tell(NodeInput::Event(Event::Ended {
+            request: request.clone(),
+            outcome,
+        }));
     }
     pub fn may_act(&self) -> bool {
         Clock::now() < Moment(self.may_act_until.load(Ordering::SeqCst))
@@ -112,12 +120,14 @@
             NodeInput::Place(ask) => Some(ask.service.clone()),
             _ => None,
         };
-        let outcome = self.ask_control(input, ControlEvent::Place).unwrap_or_else(|| {
-            // Should it be placed after all, it has ended by then: it is never sent. A denial ends nothing:
-            // another request of this id may be in hand.
-            self.tell_ended(&place.request, Outcome::Refused);
-            Err(silence())
-        });
+        let outcome = self
+            .ask_control(input, ControlEvent::Place)
+            .unwrap_or_else(|| {
+                // Should it be placed after all, it has ended by then: it is never sent. A denial ends nothing:
+                // another request of this id may be in hand.
+                self.tell_ended(&place.request, Outcome::Refused);
+                Err(silence())
+            });
         // Before a connection to that server is opened.
         if let (Some(limits), Some(service), Ok(placing)) = (self.limits.get(), service, &outcome)
             && let Ok(address) = placing.address.parse()
@@ -130,11 +140,25 @@
     pub fn take_plan(&self, plan: Option<&Arc<Plan>>, tenants: &Arc<TenantTable>) {
         let Some(plan) = plan else { return };
         let is_same = |held: &PlanInForce| Arc::ptr_eq(&held.plan, plan);
-        if !self.plan.read().expect("no thread panics with it").as_ref().is_some_and(is_same) {
-            let (plan, routes, tenants) = (plan.clone(), Arc::new(plan.route_table()), tenants.clone());
-            let held = PlanInForce { plan: plan.clone(), routes, tenants };
+        if !self
+            .plan
+            .read()
+            .expect("no thread panics with it")
+            .as_ref()
+            .is_some_and(is_same)
+        {
+            let (plan, routes, tenants) =
+                (plan.clone(), Arc::new(plan.route_table()), tenants.clone());
+            let held = PlanInForce {
+                plan: plan.clone(),
+                routes,
+                tenants,
+            };
             *self.plan.write().expect("no thread panics with it") = Some(held);
-            self.limits.get().into_iter().for_each(|limits| limits.take_plan(&plan));
+            self.limits
+                .get()
+                .into_iter()
+                .for_each(|limits| limits.take_plan(&plan));
         }
     }
     /// Takes up a plan where no control thread holds one.
@@ -144,7 +168,10 @@
     }
     /// So many nodes share the servers.
     pub fn take_members(&self, count: usize) {
-        self.limits.get().into_iter().for_each(|limits| limits.take_members(count));
+        self.limits
+            .get()
+            .into_iter()
+            .for_each(|limits| limits.take_members(count));
     }
     /// Whether no request has come for a while.
     pub fn is_quiet(&self, now: Moment) -> bool {
@@ -157,8 +184,11 @@
     /// What stands for the key of a request of the own interface, none of which is public; `None`: the plan has no
     /// tenants, or there is no plan yet, which the control thread tells.
     pub fn authorize(&self, api_key: Option<&ApiKey>) -> Result<Option<KeyDigest>, Denial> {
-        let Some(plan) = self.plan_in_force() else { return Ok(None) };
-        authorize(&plan.tenants, false, api_key).map(|credentials| credentials.map(|tenant| tenant.key))
+        let Some(plan) = self.plan_in_force() else {
+            return Ok(None);
+        };
+        authorize(&plan.tenants, false, api_key)
+            .map(|credentials| credentials.map(|tenant| tenant.key))
     }
     /// A number for a request, that no other has in this life.
     pub fn next_number(&self) -> u64 {
@@ -170,7 +200,12 @@
             self.tallies.in_hand.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
-        Some(Place { shared: self.clone(), request, number, may_have_run: false })
+        Some(Place {
+            shared: self.clone(),
+            request,
+            number,
+            may_have_run: false,
+        })
     }
     pub fn refusal(&self, code: ResultCode, why: String, retry_after: Span) -> Response {
         self.tallies.refuse(code);
@@ -181,5 +216,9 @@
 /// The control thread gave no answer in time.
 pub(crate) fn silence() -> Denial {
     let why = "the control thread gave no answer".into();
-    Denial { code: ResultCode::Busy, why, retry_after: Span(1000) }
+    Denial {
+        code: ResultCode::Busy,
+        why,
+        retry_after: Span(1000),
+    }
 }
--- a/crates/router/src/tallies.rs
+++ b/crates/router/src/tallies.rs
@@ -65,7 +65,11 @@
 impl Tallies {
     /// A request is turned away, or its fate is unknown.
     pub fn refuse(&self, code: ResultCode) {
-        Tallies::more(if code.is_refusal() { &self.refused } else { &self.unknown });
+        Tallies::more(if code.is_refusal() {
+            &self.refused
+        } else {
+            &self.unknown
+        });
         match code {
             ResultCode::Unauthorized => Tallies::more(&self.unauthorized),
             ResultCode::OverQuota => Tallies::more(&self.over_quota),
--- a/crates/router/src/token.rs
+++ b/crates/router/src/token.rs
@@ -24,15 +24,22 @@
     pub fn seal(&self, key: &TokenKey) -> String {
         let json = serde_json::to_vec(self).expect("a token is JSON");
         let check = blake3::keyed_hash(&key.0, &json);
-        check.as_bytes().iter().chain(&json).map(|byte| format!("{byte:02x}")).collect()
+        check
+            .as_bytes()
+            .iter()
+            .chain(&json)
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
     }
     /// Back from text; `None` if it isn't one that this fleet made.
     pub fn open(text: &str, key: &TokenKey) -> Option<Token> {
         if text.len() > 4096 || !text.len().is_multiple_of(2) || !text.is_ascii() {
             return None;
         }
-        let bytes: Option<Vec<u8>> =
-            (0..text.len()).step_by(2).map(|place| u8::from_str_radix(&text[place..place + 2], 16).ok()).collect();
+        let bytes: Option<Vec<u8>> = (0..text.len())
+            .step_by(2)
+            .map(|place| u8::from_str_radix(&text[place..place + 2], 16).ok())
+            .collect();
         let bytes = bytes?;
         let (check, json) = bytes.split_first_chunk::<CHECK>()?;
         // The library compares in constant time.
@@ -53,7 +60,12 @@
     const KEY: TokenKey = TokenKey([7; 32]);
 
     fn token(server: &str, run: &str) -> Token {
-        Token { request: "o-1".into(), service: "drafts".into(), server: server.into(), run: run.into() }
+        Token {
+            request: "o-1".into(),
+            service: "drafts".into(),
+            server: server.into(),
+            run: run.into(),
+        }
     }
 
     #[test]
@@ -64,7 +76,11 @@
         for place in 0..text.len() {
             let mut bent = text.clone().into_bytes();
             bent[place] = if bent[place] == b'7' { b'8' } else { b'7' };
-            assert_eq!(Token::open(&String::from_utf8(bent).unwrap(), &KEY), None, "bent at {place}");
+            assert_eq!(
+                Token::open(&String::from_utf8(bent).unwrap(), &KEY),
+                None,
+                "bent at {place}"
+            );
             assert_eq!(Token::open(&text[..place], &KEY), None, "cut at {place}");
         }
         assert_eq!(Token::open("zz", &KEY), None);
@@ -79,7 +95,11 @@
         for other in [token("127.0.0.1:9001", "a-2"), token("10.0.0.1:80", "a-1")] {
             let text = other.seal(&KEY);
             let spliced = format!("{}{}", &own[..CHECK * 2], &text[CHECK * 2..]);
-            assert_eq!(Token::open(&spliced, &KEY), None, "its own check on another's words");
+            assert_eq!(
+                Token::open(&spliced, &KEY),
+                None,
+                "its own check on another's words"
+            );
         }
     }
 }
--- a/crates/router/src/trip.rs
+++ b/crates/router/src/trip.rs
@@ -32,7 +32,14 @@
         key: Option<KeyDigest>,
         hashes: Vec<PrefixHash>,
     ) -> Self {
-        Wanted { service, kind, route: None, key, hashes, demand: Demand::default() }
+        Wanted {
+            service,
+            kind,
+            route: None,
+            key,
+            hashes,
+            demand: Demand::default(),
+        }
     }
 }
 
@@ -58,7 +65,15 @@
     /// For a request that has its place; at most so many servers may get it.
     pub fn new(place: Place, wanted: Wanted, most: Option<u32>) -> (Trip, ErrandOutput) {
         let (errand, first) = most.map_or_else(Errand::begin, Errand::begin_bounded);
-        (Trip { shared: place.shared.clone(), place, errand, wanted }, first)
+        (
+            Trip {
+                shared: place.shared.clone(),
+                place,
+                errand,
+                wanted,
+            },
+            first,
+        )
     }
 
     /// Finds a server that takes the request, going on to others as far as the errand allows.
@@ -72,7 +87,11 @@
         let (mut output, mut taken) = (first, None);
         loop {
             output = match output {
-                ErrandOutput::AskScheduler { round, tried, may_have_run } => {
+                ErrandOutput::AskScheduler {
+                    round,
+                    tried,
+                    may_have_run,
+                } => {
                     let input = NodeInput::Place(PlaceAsk {
                         number: self.place.number,
                         request: request.clone(),
@@ -100,8 +119,13 @@
                     }
                     Err(NotTaken::Withheld) => {
                         self.shared.tell_ended(&request, Outcome::Refused);
-                        let is_superseded = self.shared.may_act() && self.shared.is_superseded(placing.epoch);
-                        self.errand.step(if is_superseded { ErrandInput::Supersede } else { ErrandInput::LoseLease })
+                        let is_superseded =
+                            self.shared.may_act() && self.shared.is_superseded(placing.epoch);
+                        self.errand.step(if is_superseded {
+                            ErrandInput::Supersede
+                        } else {
+                            ErrandInput::LoseLease
+                        })
                     }
                     Err(NotTaken::Failed(failure, why)) => {
                         self.shared.tell_ended(&request, failure.outcome());
@@ -110,7 +134,8 @@
                     Err(NotTaken::Elsewhere(why)) => {
                         self.shared.tell_ended(&request, Outcome::Refused);
                         let server = placing.server.clone();
-                        self.shared.tell(NodeInput::Event(Event::Unreachable { server }));
+                        self.shared
+                            .tell(NodeInput::Event(Event::Unreachable { server }));
                         self.errand.step(ErrandInput::Fail(Failure::Refused, why))
                     }
                     Err(NotTaken::ClientGone) => {
@@ -124,7 +149,10 @@
                         self.place.may_have_run = does_stream;
                         return Gone::Opened(placing, heard);
                     }
-                    None => self.errand.step(ErrandInput::Fail(Failure::Unknown, "nothing was heard".into())),
+                    None => self.errand.step(ErrandInput::Fail(
+                        Failure::Unknown,
+                        "nothing was heard".into(),
+                    )),
                 },
                 ErrandOutput::Tell(denial) => {
                     self.place.may_have_run = does_stream && self.errand.chart().may_have_run();
--- a/crates/router/tests/answers_fuzz.rs
+++ b/crates/router/tests/answers_fuzz.rs
@@ -7,7 +7,11 @@
 const CASES: u32 = 4000;
 
 fn runner() -> TestRunner {
-    let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: CASES,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
@@ -28,8 +32,18 @@
 
 #[test]
 fn events_are_the_same_however_the_bytes_arrive_and_none_is_lost_or_doubled() {
-    let parts =
-        part(&["id: 1\n", "id:2\r\n", "id: x\n", "data: a\n", "data: b\r\n", "\n", "\r\n", "\r", ": note\n", "é"]);
+    let parts = part(&[
+        "id: 1\n",
+        "id:2\r\n",
+        "id: x\n",
+        "data: a\n",
+        "data: b\r\n",
+        "\n",
+        "\r\n",
+        "\r",
+        ": note\n",
+        "é",
+    ]);
     let streams = (proptest::collection::vec(parts, 0..40), 1usize..9);
     let outcome = runner().run(&streams, |(parts, size)| {
         let bytes = parts.concat().into_bytes();
@@ -37,10 +51,18 @@
         let (at_once, rest_at_once) = split(&bytes, bytes.len().max(1));
         prop_assert_eq!(&events, &at_once);
         prop_assert_eq!(&rest, &rest_at_once);
-        let joined: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).chain(rest.clone()).collect();
+        let joined: Vec<u8> = events
+            .iter()
+            .flat_map(|event| event.bytes.to_vec())
+            .chain(rest.clone())
+            .collect();
         prop_assert_eq!(joined, bytes);
         for event in &events {
-            prop_assert!(event.bytes.ends_with(b"\n\n") || event.bytes.ends_with(b"\n\r\n"), "{:?}", event);
+            prop_assert!(
+                event.bytes.ends_with(b"\n\n") || event.bytes.ends_with(b"\n\r\n"),
+                "{:?}",
+                event
+            );
         }
         Ok(())
     });
@@ -49,44 +71,62 @@
 
 #[test]
 fn pieces_pass_only_in_their_request_and_of_their_own_run() {
-    let lines = (0u64..6, any::<bool>(), 0usize..6, proptest::option::weighted(0.1, any::<proptest::sample::Index>()));
-    let outcome = runner().run(&(0u64..3, proptest::collection::vec(lines, 0..12)), |(from, lines)| {
-        let mut reader = PieceReader::new("ours".into(), from);
-        let mut next = from;
-        for (number, is_ours, kind, cut) in lines {
-            let run = if is_ours { "ours" } else { "other" };
-            let line = match kind {
-                0 => serde_json::json!({"run": run, "end": true, "pieces": number}),
-                1 => serde_json::json!({"run": run, "n": number}),
-                _ => serde_json::json!({"run": run, "n": number, "text": "t"}),
-            };
-            let mut line = format!("{line}\n").into_bytes();
-            let is_cut = cut.is_some();
-            if let Some(place) = cut {
-                line.truncate(place.index(line.len()));
-            }
-            match reader.take(&line) {
-                Passed::Piece(_) => {
-                    prop_assert!(is_ours && kind > 1 && number == next && !is_cut);
-                    next += 1;
+    let lines = (
+        0u64..6,
+        any::<bool>(),
+        0usize..6,
+        proptest::option::weighted(0.1, any::<proptest::sample::Index>()),
+    );
+    let outcome = runner().run(
+        &(0u64..3, proptest::collection::vec(lines, 0..12)),
+        |(from, lines)| {
+            let mut reader = PieceReader::new("ours".into(), from);
+            let mut next = from;
+            for (number, is_ours, kind, cut) in lines {
+                let run = if is_ours { "ours" } else { "other" };
+                let line = match kind {
+                    0 => serde_json::json!({"run": run, "end": true, "pieces": number}),
+                    1 => serde_json::json!({"run": run, "n": number}),
+                    _ => serde_json::json!({"run": run, "n": number, "text": "t"}),
+                };
+                let mut line = format!("{line}\n").into_bytes();
+                let is_cut = cut.is_some();
+                if let Some(place) = cut {
+                    line.truncate(place.index(line.len()));
                 }
-                Passed::End(_) => {
-                    prop_assert!(is_ours && kind == 0 && number == next && !is_cut);
-                    return Ok(());
+                match reader.take(&line) {
+                    Passed::Piece(_) => {
+                        prop_assert!(is_ours && kind > 1 && number == next && !is_cut);
+                        next += 1;
+                    }
+                    Passed::End(_) => {
+                        prop_assert!(is_ours && kind == 0 && number == next && !is_cut);
+                        return Ok(());
+                    }
+                    Passed::Cut(..) => return Ok(()),
                 }
-                Passed::Cut(..) => return Ok(()),
             }
-        }
-        Ok(())
-    });
+            Ok(())
+        },
+    );
     outcome.unwrap();
 }
 
 #[test]
 fn a_token_of_another_key_server_or_run_never_opens_as_this_one() {
-    let token = Token { request: "o-1".into(), service: "s".into(), server: "10.0.0.1:80".into(), run: "r".into() };
+    let token = Token {
+        request: "o-1".into(),
+        service: "s".into(),
+        server: "10.0.0.1:80".into(),
+        run: "r".into(),
+    };
     let text = token.seal(&TokenKey([7; 32]));
-    let bends = (any::<proptest::sample::Index>(), "[0-9a-f]", any::<u8>(), 0usize..3);
+    let bends = (
+        any::<proptest::sample::Index>(),
+        "[0-9a-f]",
+        any::<u8>(),
+        0usize..3,
+    );
     let outcome = runner().run(&bends, |(place, digit, key, how)| {
         let mut bent = text.clone();
         let place = place.index(text.len());
@@ -102,7 +142,10 @@
             _ => TokenKey([key; 32]),
         };
         let is_same = bent == text && opening_key == TokenKey([7; 32]);
-        prop_assert_eq!(Token::open(&bent, &opening_key), is_same.then(|| token.clone()));
+        prop_assert_eq!(
+            Token::open(&bent, &opening_key),
+            is_same.then(|| token.clone())
+        );
         Ok(())
     });
     outcome.unwrap();
--- a/crates/storage/src/write_ahead_log.rs
+++ b/crates/storage/src/write_ahead_log.rs
@@ -93,7 +93,9 @@
 fn open_log(log: &Path, recovered: Recovered) -> io::Result<(WriteAheadLog, Recovered)> {
     let shared = Arc::new(Mutex::new(recovered));
     // The library's own way with long logs renames segments; a snapshot begins a new log instead.
-    let wal = Configuration::default_for(log).checkpoint_after_bytes(u64::MAX).open(Manager(shared.clone()))?;
+    let wal = Configuration::default_for(log)
+        .checkpoint_after_bytes(u64::MAX)
+        .open(Manager(shared.clone()))?;
     sync_files(log)?;
     let mut recovered = shared.lock().expect("recovery has ended");
     Ok((wal, std::mem::take(&mut *recovered)))
@@ -125,11 +127,19 @@
     /// The record that these bytes begin with, if they do.
     fn open(bytes: &[u8]) -> Option<(RecordHead, &[u8])> {
         let (head, rest) = bytes.split_at_checked(RECORD_HEAD)?;
-        let number = |from: usize| u64::from_be_bytes(head[from..from + 8].try_into().unwrap_or_default());
-        let word = |from: usize| u32::from_be_bytes(head[from..from + 4].try_into().unwrap_or_default());
+        let number =
+            |from: usize| u64::from_be_bytes(head[from..from + 8].try_into().unwrap_or_default());
+        let word =
+            |from: usize| u32::from_be_bytes(head[from..from + 4].try_into().unwrap_or_default());
         let record = rest.get(..word(20) as usize)?;
         let is_good = head[..4] == MAGIC && word(24) == RecordHead::check(&head[..24], record);
-        is_good.then_some((RecordHead { generation: number(4), entry: number(12) }, record))
+        is_good.then_some((
+            RecordHead {
+                generation: number(4),
+                entry: number(12),
+            },
+            record,
+        ))
     }
     fn check(head: &[u8], record: &[u8]) -> u32 {
         let mut check = crc32fast::Hasher::new();
@@ -145,10 +155,14 @@
 fn has_later_entry(log: &Path, generation: u64, last: u64) -> io::Result<bool> {
     for file in fs::read_dir(log)? {
         let bytes = fs::read(file?.path())?;
-        let starts = bytes.windows(MAGIC.len()).enumerate().filter(|(_, window)| *window == MAGIC);
+        let starts = bytes
+            .windows(MAGIC.len())
+            .enumerate()
+            .filter(|(_, window)| *window == MAGIC);
         for (start, _) in starts {
             let found = RecordHead::open(&bytes[start..]);
-            if found.is_some_and(|(head, _)| head.generation == generation && head.entry > last + 1) {
+            if found.is_some_and(|(head, _)| head.generation == generation && head.entry > last + 1)
+            {
                 return Ok(true);
             }
         }
@@ -161,13 +175,21 @@
     pub fn open(folder: &Path, new_id: DiskId) -> Result<Opened, StorageFault> {
         fs::create_dir_all(folder)?;
         if has_files(&folder.join(EARLIER_LOG)) {
-            return Err(StorageFault::Damaged("an earlier build, whose log this one does not read, wrote it".into()));
+            return Err(StorageFault::Damaged(
+                "an earlier build, whose log this one does not read, wrote it".into(),
+            ));
         }
         let id = read_file(folder, ID)?;
-        let snapshot = read_file(folder, SNAPSHOT)?.map(|snapshot| parse_snapshot(&snapshot)).transpose()?;
+        let snapshot = read_file(folder, SNAPSHOT)?
+            .map(|snapshot| parse_snapshot(&snapshot))
+            .transpose()?;
         let (disk, generation, mut records) = match (id, snapshot) {
-            (Some(id), Some((generation, records))) if has_files(&folder.join(log_name(generation))) => {
-                let id: [u8; 16] = id.try_into().map_err(|_| StorageFault::Damaged("the disk id is not one".into()))?;
+            (Some(id), Some((generation, records)))
+                if has_files(&folder.join(log_name(generation))) =>
+            {
+                let id: [u8; 16] = id
+                    .try_into()
+                    .map_err(|_| StorageFault::Damaged("the disk id is not one".into()))?;
                 (DiskId(u128::from_be_bytes(id)), generation, records)
             }
             _ => {
@@ -178,7 +200,13 @@
         };
         remove_other_logs(folder, generation)?;
         let log = folder.join(log_name(generation));
-        let (wal, mut recovered) = open_log(&log, Recovered { generation, ..Recovered::default() })?;
+        let (wal, mut recovered) = open_log(
+            &log,
+            Recovered {
+                generation,
+                ..Recovered::default()
+            },
+        )?;
         sync_folder(folder)?;
         if let Some(damage) = recovered.damage.take() {
             return Err(StorageFault::Damaged(damage));
@@ -186,15 +214,31 @@
         records.append(&mut recovered.records);
         let entry = recovered.entry;
         if has_later_entry(&log, generation, entry)? {
-            return Err(StorageFault::Damaged(format!("entry {} can't be read, and later ones are there", entry + 1)));
+            return Err(StorageFault::Damaged(format!(
+                "entry {} can't be read, and later ones are there",
+                entry + 1
+            )));
         }
-        let storage = Storage { folder: folder.to_owned(), disk, generation, entry, wal: Some(wal) };
-        Ok(Opened { storage, disk, records })
+        let storage = Storage {
+            folder: folder.to_owned(),
+            disk,
+            generation,
+            entry,
+            wal: Some(wal),
+        };
+        Ok(Opened {
+            storage,
+            disk,
+            records,
+        })
     }
 
     /// Appends records, all or none, and syncs.
     pub fn write(&mut self, records: &[Vec<u8>]) -> Result<(), StorageFault> {
-        let head = RecordHead { generation: self.generation, entry: self.entry + 1 };
+        let head = RecordHead {
+            generation: self.generation,
+            entry: self.entry + 1,
+        };
         self.guarded(|wal| {
             let mut entry = wal.begin_entry()?;
             for record in records {
@@ -209,8 +253,14 @@
     /// Puts these records in place of all before, at once, and syncs.
     pub fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), StorageFault> {
         let generation = self.generation + 1;
-        let heads: Vec<[u8; 8]> = records.iter().map(|record| (record.len() as u64).to_be_bytes()).collect();
-        let (generation_bytes, count) = (generation.to_be_bytes(), (records.len() as u64).to_be_bytes());
+        let heads: Vec<[u8; 8]> = records
+            .iter()
+            .map(|record| (record.len() as u64).to_be_bytes())
+            .collect();
+        let (generation_bytes, count) = (
+            generation.to_be_bytes(),
+            (records.len() as u64).to_be_bytes(),
+        );
         let mut parts: Vec<&[u8]> = vec![&generation_bytes, &count];
         for (head, record) in heads.iter().zip(records) {
             parts.push(head);
@@ -230,10 +280,19 @@
 
     /// Runs a write. The log panics when even taking a failed write back fails; that too is a fault
     /// of the disk. After a fault the folder must be opened anew.
-    fn guarded(&mut self, write: impl FnOnce(&WriteAheadLog) -> io::Result<()>) -> Result<(), StorageFault> {
-        let Some(wal) = self.wal.as_ref() else { return Err(StorageFault::Gone) };
+    fn guarded(
+        &mut self,
+        write: impl FnOnce(&WriteAheadLog) -> io::Result<()>,
+    ) -> Result<(), StorageFault> {
+        let Some(wal) = self.wal.as_ref() else {
+            return Err(StorageFault::Gone);
+        };
         let outcome = catch_unwind(AssertUnwindSafe(|| write(wal)));
-        let outcome = outcome.unwrap_or_else(|_| Err(io::Error::other("the log could not take a failed write back")));
+        let outcome = outcome.unwrap_or_else(|_| {
+            Err(io::Error::other(
+                "the log could not take a failed write back",
+            ))
+        });
         if outcome.is_err() {
             self.wal = None;
         }
@@ -260,7 +319,13 @@
 fn begin_log(folder: &Path, generation: u64) -> io::Result<WriteAheadLog> {
     let log = folder.join(log_name(generation));
     remove_if_there(&log)?;
-    let (wal, _) = open_log(&log, Recovered { generation, ..Recovered::default() })?;
+    let (wal, _) = open_log(
+        &log,
+        Recovered {
+            generation,
+            ..Recovered::default()
+        },
+    )?;
     sync_folder(folder)?;
     Ok(wal)
 }
@@ -275,7 +340,11 @@
     }
     sync_folder(folder)?;
     drop(begin_log(folder, FIRST)?);
-    write_file(folder, SNAPSHOT, &[&FIRST.to_be_bytes(), &0u64.to_be_bytes()])?;
+    write_file(
+        folder,
+        SNAPSHOT,
+        &[&FIRST.to_be_bytes(), &0u64.to_be_bytes()],
+    )?;
     write_file(folder, ID, &[&id.0.to_be_bytes()])
 }
 
@@ -323,9 +392,13 @@
         for chunk in chunks {
             match RecordHead::open(&chunk) {
                 Some((head, record)) if head.generation == recovered.generation => {
-                    let is_next = head.entry == recovered.entry || head.entry == recovered.entry + 1;
+                    let is_next =
+                        head.entry == recovered.entry || head.entry == recovered.entry + 1;
                     if !is_next {
-                        recovered.damage = Some(format!("entry {} follows entry {}", head.entry, recovered.entry));
+                        recovered.damage = Some(format!(
+                            "entry {} follows entry {}",
+                            head.entry, recovered.entry
+                        ));
                     }
                     recovered.entry = head.entry;
                     recovered.records.push(record.to_vec());
@@ -338,7 +411,12 @@
     }
 
     /// Only called for a segment that is followed by another: there is one, as the log is never cut.
-    fn checkpoint_to(&mut self, _: EntryId, _: &mut SegmentReader, _: &WriteAheadLog) -> io::Result<()> {
+    fn checkpoint_to(
+        &mut self,
+        _: EntryId,
+        _: &mut SegmentReader,
+        _: &WriteAheadLog,
+    ) -> io::Result<()> {
         Ok(())
     }
 }
@@ -360,12 +438,18 @@
         opened.storage.write(&records(&["c"])).unwrap();
         drop(opened);
         let mut opened = Storage::open(folder.path(), DiskId(8)).unwrap();
-        assert_eq!((opened.disk, opened.records), (DiskId(7), records(&["a", "b", "c"])));
+        assert_eq!(
+            (opened.disk, opened.records),
+            (DiskId(7), records(&["a", "b", "c"]))
+        );
         opened.storage.replace(&records(&["abc"])).unwrap();
         opened.storage.write(&records(&["d"])).unwrap();
         drop(opened.storage);
         let opened = Storage::open(folder.path(), DiskId(9)).unwrap();
-        assert_eq!((opened.disk, opened.records), (DiskId(7), records(&["abc", "d"])));
+        assert_eq!(
+            (opened.disk, opened.records),
+            (DiskId(7), records(&["abc", "d"]))
+        );
     }
 
     #[test]
@@ -373,7 +457,9 @@
         let folder = tempfile::tempdir().unwrap();
         let large: Vec<Vec<u8>> = (0..6u8).map(|n| vec![n; 700_000]).collect();
         let mut opened = Storage::open(folder.path(), DiskId(7)).unwrap();
-        large.iter().for_each(|record| opened.storage.write(std::slice::from_ref(record)).unwrap());
+        large
+            .iter()
+            .for_each(|record| opened.storage.write(std::slice::from_ref(record)).unwrap());
         drop(opened);
         let opened = Storage::open(folder.path(), DiskId(8)).unwrap();
         assert_eq!(opened.records, large);
@@ -383,7 +469,9 @@
     fn three_entries() -> (tempfile::TempDir, PathBuf, Vec<u8>) {
         let folder = tempfile::tempdir().unwrap();
         let mut opened = Storage::open(folder.path(), DiskId(7)).unwrap();
-        ["first", "second", "third"].iter().for_each(|word| opened.storage.write(&records(&[word])).unwrap());
+        ["first", "second", "third"]
+            .iter()
+            .for_each(|word| opened.storage.write(&records(&[word])).unwrap());
         drop(opened);
         let mut files = fs::read_dir(folder.path().join(log_name(FIRST))).unwrap();
         let path = files.next().unwrap().unwrap().path();
@@ -396,7 +484,11 @@
     fn a_bent_log_is_never_served_as_good_but_for_the_last_entry_as_torn() {
         let (folder, path, whole) = three_entries();
         let used = whole.iter().rposition(|byte| *byte != 0).unwrap() + 1;
-        let third = whole.windows(5).position(|window| window == b"third").unwrap() - RECORD_HEAD;
+        let third = whole
+            .windows(5)
+            .position(|window| window == b"third")
+            .unwrap()
+            - RECORD_HEAD;
         let good = records(&["first", "second", "third"]);
         for place in 0..used {
             let mut bent = whole.clone();
@@ -408,7 +500,11 @@
                 let is_torn_last = place + 40 >= third && opened.records == good[..2];
                 // The log's own head: a log that is not one of ours is another disk.
                 let is_new_disk = opened.disk == DiskId(8) && opened.records.is_empty();
-                assert!(is_harmless || is_torn_last || is_new_disk, "bent at {place}: {:?}", opened.records);
+                assert!(
+                    is_harmless || is_torn_last || is_new_disk,
+                    "bent at {place}: {:?}",
+                    opened.records
+                );
             }
         }
     }
@@ -416,13 +512,19 @@
     #[test]
     fn a_log_torn_in_its_last_entry_gives_all_before_it() {
         let (folder, path, whole) = three_entries();
-        let third = whole.windows(5).position(|window| window == b"third").unwrap();
+        let third = whole
+            .windows(5)
+            .position(|window| window == b"third")
+            .unwrap();
         for cut in third - RECORD_HEAD - 8..third + 5 {
             let mut torn = whole.clone();
             torn[cut..].fill(0);
             fs::write(&path, &torn).unwrap();
             let mut opened = Storage::open(folder.path(), DiskId(8)).unwrap();
-            assert_eq!((opened.disk, opened.records), (DiskId(7), records(&["first", "second"])));
+            assert_eq!(
+                (opened.disk, opened.records),
+                (DiskId(7), records(&["first", "second"]))
+            );
             opened.storage.write(&records(&["another"])).unwrap();
             drop(opened.storage);
             let opened = Storage::open(folder.path(), DiskId(8)).unwrap();
@@ -443,11 +545,18 @@
                 fs::remove_file(path).unwrap()
             }
             if gone == ID {
-                assert!(matches!(opened.storage.write(&records(&["b"])), Err(StorageFault::Gone)));
+                assert!(matches!(
+                    opened.storage.write(&records(&["b"])),
+                    Err(StorageFault::Gone)
+                ));
             }
             drop(opened);
             let opened = Storage::open(folder.path(), DiskId(8)).unwrap();
-            assert_eq!((opened.disk, opened.records.len()), (DiskId(8), 0), "without {gone}");
+            assert_eq!(
+                (opened.disk, opened.records.len()),
+                (DiskId(8), 0),
+                "without {gone}"
+            );
         }
     }
 }
--- a/crates/storage/tests/fuzz.rs
+++ b/crates/storage/tests/fuzz.rs
@@ -26,9 +26,17 @@
     prop_oneof![
         (0.0..1.0, 1u8..).prop_map(|(place, mask)| Bend::Flip { place, mask }),
         (0.0..1.0).prop_map(|place| Bend::Cut { place }),
-        (0.0..1.0, 1usize..80, any::<u8>()).prop_map(|(place, length, byte)| Bend::Fill { place, length, byte }),
+        (0.0..1.0, 1usize..80, any::<u8>()).prop_map(|(place, length, byte)| Bend::Fill {
+            place,
+            length,
+            byte
+        }),
         (0.0..1.0, bytes()).prop_map(|(place, bytes)| Bend::Insert { place, bytes }),
-        (0.0..1.0, 0.0..1.0, 1usize..80).prop_map(|(from, to, length)| Bend::Copy { from, to, length }),
+        (0.0..1.0, 0.0..1.0, 1usize..80).prop_map(|(from, to, length)| Bend::Copy {
+            from,
+            to,
+            length
+        }),
         bytes().prop_map(|bytes| Bend::Replace { bytes }),
         Just(Bend::Remove),
     ]
@@ -37,16 +45,27 @@
 fn bend(path: &Path, how: &Bend) {
     let mut bytes = fs::read(path).expect("it's there");
     // The rest of a segment is zeros.
-    let used = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1).max(1).min(bytes.len());
+    let used = bytes
+        .iter()
+        .rposition(|byte| *byte != 0)
+        .map_or(0, |last| last + 1)
+        .max(1)
+        .min(bytes.len());
     let at = |place: &f64| (place * used as f64) as usize;
     match how {
         Bend::Flip { place, mask } => bytes[at(place)] ^= mask,
         Bend::Cut { place } => bytes.truncate(at(place)),
-        Bend::Fill { place, length, byte } => {
+        Bend::Fill {
+            place,
+            length,
+            byte,
+        } => {
             let end = (at(place) + length).min(bytes.len());
             bytes[at(place)..end].fill(*byte);
         }
-        Bend::Insert { place, bytes: new } => drop(bytes.splice(at(place)..at(place), new.iter().copied())),
+        Bend::Insert { place, bytes: new } => {
+            drop(bytes.splice(at(place)..at(place), new.iter().copied()))
+        }
         Bend::Copy { from, to, length } => {
             let length = (*length).min(bytes.len() - at(from).max(at(to)));
             bytes.copy_within(at(from)..at(from) + length, at(to));
@@ -60,7 +79,11 @@
 fn files(folder: &Path) -> Vec<PathBuf> {
     let mut found = vec![];
     for file in fs::read_dir(folder).expect("a folder").flatten() {
-        if file.path().is_dir() { found.extend(files(&file.path())) } else { found.push(file.path()) }
+        if file.path().is_dir() {
+            found.extend(files(&file.path()))
+        } else {
+            found.push(file.path())
+        }
     }
     found.sort();
     found
@@ -68,7 +91,11 @@
 
 #[test]
 fn a_folder_bent_anywhere_is_never_served_as_something_else() {
-    let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 500,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[19; 32]);
     let mut runner = TestRunner::new_with_rng(config, random);
     let folder = tempfile::tempdir().expect("a folder");
@@ -77,11 +104,17 @@
     let word = |text: &str| vec![text.as_bytes().to_vec()];
     opened.storage.write(&word("before")).expect("written");
     opened.storage.replace(&word("folded")).expect("replaced");
-    ["first", "second", "third"].iter().for_each(|text| opened.storage.write(&word(text)).expect("written"));
+    ["first", "second", "third"]
+        .iter()
+        .for_each(|text| opened.storage.write(&word(text)).expect("written"));
     drop(opened);
-    let whole: Vec<Vec<u8>> = ["folded", "first", "second", "third"].map(|text| text.as_bytes().to_vec()).to_vec();
-    let held: Vec<(PathBuf, Vec<u8>)> =
-        files(&original).into_iter().map(|path| (path.clone(), fs::read(path).expect("read"))).collect();
+    let whole: Vec<Vec<u8>> = ["folded", "first", "second", "third"]
+        .map(|text| text.as_bytes().to_vec())
+        .to_vec();
+    let held: Vec<(PathBuf, Vec<u8>)> = files(&original)
+        .into_iter()
+        .map(|path| (path.clone(), fs::read(path).expect("read")))
+        .collect();
     let strategy = (0..held.len(), proptest::collection::vec(bends(), 1..3));
     let outcome = runner.run(&strategy, |(place, how)| {
         let bent = folder.path().join("bent");
@@ -100,10 +133,16 @@
         if let Ok(opened) = Storage::open(&bent, DiskId(8)) {
             let is_whole = opened.disk == DiskId(7) && opened.records == whole;
             let is_mild = matches!(how[..], [Bend::Flip { .. } | Bend::Insert { .. }]);
-            let is_earlier = !is_mild && opened.disk == DiskId(7) && whole.starts_with(&opened.records);
+            let is_earlier =
+                !is_mild && opened.disk == DiskId(7) && whole.starts_with(&opened.records);
             let lacks_last = opened.disk == DiskId(7) && opened.records == whole[..3];
             let is_new = opened.disk == DiskId(8) && opened.records.is_empty();
-            prop_assert!(is_whole || lacks_last || is_earlier || is_new, "{:?} {:?}", opened.disk, opened.records);
+            prop_assert!(
+                is_whole || lacks_last || is_earlier || is_new,
+                "{:?} {:?}",
+                opened.disk,
+                opened.records
+            );
         }
         Ok(())
     });
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -56,7 +56,9 @@
 static TURN: Mutex<()> = Mutex::new(());
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn scan(root: &Path) -> (Names, Contents) {
@@ -73,7 +75,10 @@
                 let mut bytes = fs::read(file.path()).unwrap_or_default();
                 // Segments are preallocated with zeros: some are kept.
                 if file.file_name().to_string_lossy().starts_with("wal-") {
-                    let used = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+                    let used = bytes
+                        .iter()
+                        .rposition(|byte| *byte != 0)
+                        .map_or(0, |last| last + 1);
                     bytes.truncate(used + 64);
                 }
                 contents.insert(meta.ino(), bytes);
@@ -84,8 +89,14 @@
 }
 
 fn changes_between(durable: &Names, now: &Names) -> Vec<NameChange> {
-    let gone: Vec<_> = durable.iter().filter(|(path, inode)| now.get(*path) != Some(*inode)).collect();
-    let new: Vec<_> = now.iter().filter(|(path, inode)| durable.get(*path) != Some(*inode)).collect();
+    let gone: Vec<_> = durable
+        .iter()
+        .filter(|(path, inode)| now.get(*path) != Some(*inode))
+        .collect();
+    let new: Vec<_> = now
+        .iter()
+        .filter(|(path, inode)| durable.get(*path) != Some(*inode))
+        .collect();
     let mut changes = vec![];
     for (path, inode) in &new {
         changes.push(match gone.iter().find(|(_, was)| was == inode) {
@@ -112,8 +123,19 @@
         }
         self.written.extend(written);
         let pending = changes_between(&self.durable, &names);
-        let (durable, synced, written) = (self.durable.clone(), self.synced.clone(), self.written.clone());
-        self.moments.push(Moment { what, durable, pending, synced, written, acked: self.acked });
+        let (durable, synced, written) = (
+            self.durable.clone(),
+            self.synced.clone(),
+            self.written.clone(),
+        );
+        self.moments.push(Moment {
+            what,
+            durable,
+            pending,
+            synced,
+            written,
+            acked: self.acked,
+        });
     }
 
     /// Whether the sync succeeds.
@@ -129,21 +151,39 @@
             *left -= 1;
         }
         self.note(format!("before the sync of {}", path.display()));
-        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
-        if self.skipped.is_some_and(|skipped| path.is_dir() && name.starts_with(skipped)) {
+        let name = path
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        if self
+            .skipped
+            .is_some_and(|skipped| path.is_dir() && name.starts_with(skipped))
+        {
             return true;
         }
         let (names, contents) = scan(&self.root);
         if path.is_dir() {
             let is_in = |name: &PathBuf| name.parent() == Some(path);
             self.durable.retain(|name, _| !is_in(name));
-            self.durable
-                .extend(names.iter().filter(|(name, _)| is_in(name)).map(|(name, inode)| (name.clone(), *inode)));
+            self.durable.extend(
+                names
+                    .iter()
+                    .filter(|(name, _)| is_in(name))
+                    .map(|(name, inode)| (name.clone(), *inode)),
+            );
             // What was in a folder that is gone for good is gone with it.
-            let has_folder = |name: &PathBuf| name.parent().is_some_and(|f| f == self.root || names.contains_key(f));
-            self.durable.retain(|name, _| path != self.root || has_folder(name));
+            let has_folder = |name: &PathBuf| {
+                name.parent()
+                    .is_some_and(|f| f == self.root || names.contains_key(f))
+            };
+            self.durable
+                .retain(|name, _| path != self.root || has_folder(name));
         } else if let Ok(meta) = fs::metadata(path) {
-            self.synced.insert(meta.ino(), contents.get(&meta.ino()).cloned().unwrap_or_default());
+            self.synced.insert(
+                meta.ino(),
+                contents.get(&meta.ino()).cloned().unwrap_or_default(),
+            );
         }
         true
     }
@@ -152,8 +192,12 @@
 /// Runs instead of the C library's; nothing real is synced, as no real power is lost.
 fn sync(descriptor: c_int) -> c_int {
     let mut watch = locked(&WATCH);
-    let Some(watch) = watch.as_mut() else { return 0 };
-    let Ok(path) = fs::read_link(format!("/proc/self/fd/{descriptor}")) else { return 0 };
+    let Some(watch) = watch.as_mut() else {
+        return 0;
+    };
+    let Ok(path) = fs::read_link(format!("/proc/self/fd/{descriptor}")) else {
+        return 0;
+    };
     if watch.on_sync(&path) {
         return 0;
     }
@@ -206,9 +250,20 @@
     fn new(root: &Path, skipped: Option<&'static str>) -> Play {
         fs::create_dir_all(root).expect("made");
         let (durable, _) = scan(root);
-        *locked(&WATCH) = Some(Watch { root: root.to_owned(), durable, skipped, ..Watch::default() });
+        *locked(&WATCH) = Some(Watch {
+            root: root.to_owned(),
+            durable,
+            skipped,
+            ..Watch::default()
+        });
         let opened = Some(Storage::open(root, DiskId(7)).expect("it opens"));
-        Play { root: root.to_owned(), opened, records: vec![], expected: vec![vec![]], count: 0 }
+        Play {
+            root: root.to_owned(),
+            opened,
+            records: vec![],
+            expected: vec![vec![]],
+            count: 0,
+        }
     }
 
     /// Does a step; whether the disk took it.
@@ -218,7 +273,9 @@
             Write(many) => {
                 let first = self.count + 1;
                 self.count += many;
-                let new: Vec<Vec<u8>> = (first..=self.count).map(|n| format!("record-{n}").into_bytes()).collect();
+                let new: Vec<Vec<u8>> = (first..=self.count)
+                    .map(|n| format!("record-{n}").into_bytes())
+                    .collect();
                 self.records.extend(new.iter().cloned());
                 self.expected.push(self.records.clone());
                 opened.storage.write(&new)
@@ -231,7 +288,10 @@
             Reopen => {
                 self.expected.push(self.records.clone());
                 self.reopen();
-                assert_eq!(self.opened.as_ref().map(|opened| &opened.records), Some(&self.records));
+                assert_eq!(
+                    self.opened.as_ref().map(|opened| &opened.records),
+                    Some(&self.records)
+                );
                 Ok(())
             }
         };
@@ -290,7 +350,9 @@
     fs::create_dir_all(at).expect("made");
     for (path, inode) in names {
         let place = at.join(path.strip_prefix(root).expect("in it"));
-        let has_folder = path.parent().is_some_and(|folder| folder == root || names.contains_key(folder));
+        let has_folder = path
+            .parent()
+            .is_some_and(|folder| folder == root || names.contains_key(folder));
         match contents.get(inode) {
             _ if !has_folder => {}
             None if is_log(path) => fs::create_dir(&place).expect("made"),
@@ -300,7 +362,8 @@
 }
 
 fn is_log(path: &Path) -> bool {
-    path.file_name().is_some_and(|name| name.to_string_lossy().starts_with("log"))
+    path.file_name()
+        .is_some_and(|name| name.to_string_lossy().starts_with("log"))
 }
 
 /// What is wrong with what a loss of power left, if anything.
@@ -315,7 +378,11 @@
     if is_new || (opened.disk == DiskId(7) && is_known) {
         return None;
     }
-    let records: Vec<_> = opened.records.iter().map(|record| String::from_utf8_lossy(record)).collect();
+    let records: Vec<_> = opened
+        .records
+        .iter()
+        .map(|record| String::from_utf8_lossy(record))
+        .collect();
     Some(format!("disk {:?} with {records:?}", opened.disk))
 }
 
@@ -328,14 +395,19 @@
         for kept in 0..1u32 << moment.pending.len() {
             let names = names_left(moment, kept);
             for (how, contents) in [("synced", &moment.synced), ("written", &moment.written)] {
-                let left: Vec<_> = names.iter().map(|(path, inode)| (path, contents.get(inode))).collect();
+                let left: Vec<_> = names
+                    .iter()
+                    .map(|(path, inode)| (path, contents.get(inode)))
+                    .collect();
                 if !seen.insert((format!("{left:?}"), moment.acked)) {
                     continue;
                 }
                 build(root, &at, &names, contents);
                 if let Some(fault) = fault_of(&at, moment, expected) {
                     let (what, pending, acked) = (&moment.what, &moment.pending, moment.acked);
-                    let state = format!("{what}, {acked} acknowledged, {how}, kept {kept:b} of {pending:?}");
+                    let state = format!(
+                        "{what}, {acked} acknowledged, {how}, kept {kept:b} of {pending:?}"
+                    );
                     wrong.push(format!("{state}: {fault}"));
                 }
             }
@@ -357,7 +429,12 @@
     let (count, wrong) = judge(&root, &moments, &expected);
     println!("{count} folders of {} moments", moments.len());
     assert!(count > 60, "only {count} folders were left");
-    assert!(wrong.is_empty(), "{} of {count}:\n{}", wrong.len(), wrong[..wrong.len().min(12)].join("\n"));
+    assert!(
+        wrong.is_empty(),
+        "{} of {count}:\n{}",
+        wrong.len(),
+        wrong[..wrong.len().min(12)].join("\n")
+    );
 }
 
 /// The mutant `skip-folder-sync`: the judge sees a folder whose syncs do nothing.
@@ -373,7 +450,10 @@
         }
         let (moments, expected) = play.end();
         let (_, wrong) = judge(&root, &moments, &expected);
-        assert!(!wrong.is_empty(), "{skipped} was never synced, and nothing was lost");
+        assert!(
+            !wrong.is_empty(),
+            "{skipped} was never synced, and nothing was lost"
+        );
     }
 }
 
@@ -397,7 +477,10 @@
             failures += 1;
             play.reopen();
             let found = play.opened.as_ref().expect("it's open").records.clone();
-            assert!(found == before || found == play.records, "after failure {fails_after}: {found:?}");
+            assert!(
+                found == before || found == play.records,
+                "after failure {fails_after}: {found:?}"
+            );
             // What was found counts as held from here on.
             let last = play.expected.len() - 1;
             play.expected[last].clone_from(&found);
@@ -423,6 +506,9 @@
     let segment = folder.path().join("log").join("wal-1");
     fs::create_dir(folder.path().join("log")).expect("made");
     fs::write(&segment, b"entries").expect("written");
-    assert!(matches!(Storage::open(folder.path(), DiskId(8)), Err(StorageFault::Damaged(_))));
+    assert!(matches!(
+        Storage::open(folder.path(), DiskId(8)),
+        Err(StorageFault::Damaged(_))
+    ));
     assert_eq!(fs::read(&segment).expect("it's there"), b"entries");
 }
--- a/crates/testbed/src/answers.rs
+++ b/crates/testbed/src/answers.rs
@@ -87,7 +87,11 @@
         for (fate, count) in &self.fates {
             writeln!(out, "  {fate:?}: {count}")?;
         }
-        writeln!(out, "{} arrivals at servers, by what they did", self.plays.values().sum::<u64>())?;
+        writeln!(
+            out,
+            "{} arrivals at servers, by what they did",
+            self.plays.values().sum::<u64>()
+        )?;
         for (play, count) in &self.plays {
             writeln!(out, "  {play:?}: {count}")?;
         }
@@ -123,7 +127,9 @@
             });
         }
     });
-    report.into_inner().map_err(|_| "a lane panicked".to_owned())?
+    report
+        .into_inner()
+        .map_err(|_| "a lane panicked".to_owned())?
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/answers/dialect.rs
+++ b/crates/testbed/src/answers/dialect.rs
@@ -2,7 +2,9 @@
 
 use crate::prelude::*;
 use bytes::Bytes;
-use router::prelude::{AnswerClaim, AnswerIdentity, Call, CallDialect, Denial, Sending, ServerLoad};
+use router::prelude::{
+    AnswerClaim, AnswerIdentity, Call, CallDialect, Denial, Sending, ServerLoad,
+};
 
 /// The header that names a call.
 pub const ID: &str = "x-call";
@@ -25,7 +27,11 @@
 
 impl CallDialect for Dialect {
     fn read(&self, request: Request) -> Result<Call, Denial> {
-        let deny = || Denial { code: ResultCode::BadRequest, why: "no id".into(), retry_after: Span(0) };
+        let deny = || Denial {
+            code: ResultCode::BadRequest,
+            why: "no id".into(),
+            retry_after: Span(0),
+        };
         let number = |name: &str| request.header(name).and_then(|value| value.parse().ok());
         let id = RequestId::from(request.header(ID).ok_or_else(deny)?);
         let host = request.header("host").unwrap_or_default().to_owned();
@@ -49,7 +55,11 @@
         })
     }
     fn refuse(&self, id: Option<&RequestId>, denial: &Denial) -> Response {
-        let response = Response::passed(denial.code.http_status(), http::HeaderMap::new(), denial.code.word());
+        let response = Response::passed(
+            denial.code.http_status(),
+            http::HeaderMap::new(),
+            denial.code.word(),
+        );
         response.with_header(ID, id.map_or("", RequestId::as_str))
     }
     fn request(&self, call: &Call, sending: &Sending<'_>) -> http::Request<Bytes> {
@@ -66,7 +76,10 @@
         request
     }
     fn identity(&self, call: &Call, head: &http::response::Parts) -> AnswerIdentity {
-        let is_refusal = matches!(self.claim(head), AnswerClaim::NotRun | AnswerClaim::Elsewhere);
+        let is_refusal = matches!(
+            self.claim(head),
+            AnswerClaim::NotRun | AnswerClaim::Elsewhere
+        );
         let mut ids = head.headers.get_all(ID).iter();
         match (ids.next(), ids.next()) {
             (None, _) if self.believes_unnamed && is_refusal => AnswerIdentity::Own,
@@ -90,7 +103,12 @@
     }
     fn passed(&self, head: &http::response::Parts) -> http::HeaderMap {
         let mut headers = head.headers.clone();
-        for name in ["connection", "keep-alive", "transfer-encoding", "content-length"] {
+        for name in [
+            "connection",
+            "keep-alive",
+            "transfer-encoding",
+            "content-length",
+        ] {
             headers.remove(name);
         }
         headers
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -58,9 +58,15 @@
     let tell = |fault: std::io::Error| fault.to_string();
     let ledger: Arc<Mutex<Ledger>> = Arc::default();
     let start = |place: usize| Server::start(server_name(place), rules.seed, &ledger);
-    let servers: Vec<Server> = (0..SERVERS).map(start).collect::<Result<_, _>>().map_err(tell)?;
+    let servers: Vec<Server> = (0..SERVERS)
+        .map(start)
+        .collect::<Result<_, _>>()
+        .map_err(tell)?;
     let forwarder = forwarder(rules, &servers, &ledger)?;
-    let bounds = GateBounds { keep_alive: true, ..GateBounds::default() };
+    let bounds = GateBounds {
+        keep_alive: true,
+        ..GateBounds::default()
+    };
     let gate = Gate::open("127.0.0.1:0".parse::<Address>()?.0, bounds).map_err(tell)?;
     let (address, closer) = (gate.address().0, gate.closer());
     let replying = forwarder.clone();
@@ -68,7 +74,13 @@
         .name("gate".into())
         .spawn(move || gate.serve(move |request| replying.respond(request)))
         .map_err(tell)?;
-    let mut lane = Lane { number, rules, ledger: ledger.clone(), address, connection: None };
+    let mut lane = Lane {
+        number,
+        rules,
+        ledger: ledger.clone(),
+        address,
+        connection: None,
+    };
     let mut fates = BTreeMap::new();
     for call in 0..calls {
         *fates.entry(lane.call(call)).or_default() += 1;
@@ -77,7 +89,11 @@
     servers.iter().for_each(Server::stop);
     let ledger = lock(&ledger);
     let told = |what: &String| format!("seed {} lane {number}: {what}", rules.seed);
-    Ok(LaneReport { fates, plays: ledger.plays.clone(), violations: ledger.violations.iter().map(told).collect() })
+    Ok(LaneReport {
+        fates,
+        plays: ledger.plays.clone(),
+        violations: ledger.violations.iter().map(told).collect(),
+    })
 }
 
 fn forwarder(
@@ -100,15 +116,22 @@
     let plan = serde_json::json!({"services": {"s": {"kind": "stream"}}, "routes": routes});
     let plan = parse_plan(plan.to_string().as_bytes()).map_err(|faults| format!("{faults:?}"))?;
     let plan = Arc::new(plan);
-    let bounds = LinesBounds { per_address: 8, idle_per_address: 4, idle_span: Span::seconds(20) };
-    let dialect = Arc::new(Dialect { believes_unnamed: rules.mutant == Some(AnswersMutant::BelieveUnnamed) });
+    let bounds = LinesBounds {
+        per_address: 8,
+        idle_per_address: 4,
+        idle_span: Span::seconds(20),
+    };
+    let dialect = Arc::new(Dialect {
+        believes_unnamed: rules.mutant == Some(AnswersMutant::BelieveUnnamed),
+    });
     let (servers, ledger) = (servers.to_vec(), ledger.clone());
     let (mut asked, mut epoch) = (rules.seed, Epoch(1));
     let placer = move |ask: &PlaceAsk| {
         asked = mix(asked);
         place(rules, &servers, &ledger, ask, asked, &mut epoch)
     };
-    DetachedForwarder::start(dialect, &plan, bounds, Box::new(placer)).map_err(|fault| fault.to_string())
+    DetachedForwarder::start(dialect, &plan, bounds, Box::new(placer))
+        .map_err(|fault| fault.to_string())
 }
 
 /// Chooses a server; now and then a newer epoch comes into force before the call leaves.
@@ -122,15 +145,28 @@
 ) -> Placed {
     let mut ledger = lock(ledger);
     ledger.outdated = None;
-    let left: Vec<&Server> =
-        servers.iter().filter(|server| !ask.tried.iter().any(|tried| tried.as_str() == server.name)).collect();
+    let left: Vec<&Server> = servers
+        .iter()
+        .filter(|server| !ask.tried.iter().any(|tried| tried.as_str() == server.name))
+        .collect();
     let Some(server) = left.get((drawn % left.len().max(1) as u64) as usize) else {
-        let denial = Denial { code: ResultCode::NoServer, why: "all were tried".into(), retry_after: Span(50) };
-        return Placed { outcome: Err(denial), in_force: *epoch };
+        let denial = Denial {
+            code: ResultCode::NoServer,
+            why: "all were tried".into(),
+            retry_after: Span(50),
+        };
+        return Placed {
+            outcome: Err(denial),
+            in_force: *epoch,
+        };
     };
     let kind = ledger.call(ask.request.as_str()).map(|record| record.kind);
     let repeats_anything = rules.mutant == Some(AnswersMutant::RepeatAfterReset);
-    let placed_under = if rules.mutant == Some(AnswersMutant::ForgetEpoch) { Epoch(u64::MAX) } else { *epoch };
+    let placed_under = if rules.mutant == Some(AnswersMutant::ForgetEpoch) {
+        Epoch(u64::MAX)
+    } else {
+        *epoch
+    };
     let placing = Placing {
         server: server.name.as_str().into(),
         address: server.address.to_string(),
@@ -147,21 +183,28 @@
         *epoch = Epoch(epoch.0 + 1);
         ledger.outdated = Some((ask.request.as_str().to_owned(), server.name.clone()));
     }
-    Placed { outcome: Ok(placing), in_force: *epoch }
+    Placed {
+        outcome: Ok(placing),
+        in_force: *epoch,
+    }
 }
 
 impl Lane {
     /// Sends one call and judges what comes.
     fn call(&mut self, number: u64) -> Fate {
         let id = format!("{:x}-{}-{number}", self.rules.seed, self.number);
-        let kind = CallKind::ALL[(mix(mix(self.rules.seed ^ number)) % CallKind::ALL.len() as u64) as usize];
+        let kind = CallKind::ALL
+            [(mix(mix(self.rules.seed ^ number)) % CallKind::ALL.len() as u64) as usize];
         lock(&self.ledger).sent(&id, kind);
         let play = |place, arrivals| play_of(self.rules.seed, &server_name(place), &id, arrivals);
-        let may_be_silent = (0..SERVERS).any(|place| (0..TRIES).any(|arrivals| play(place, arrivals) == Play::Silence));
+        let may_be_silent = (0..SERVERS)
+            .any(|place| (0..TRIES).any(|arrivals| play(place, arrivals) == Play::Silence));
         let wait = if may_be_silent { SHORT_WAIT } else { LONG_WAIT };
         let answer = self.exchange(&id, kind, wait);
         let record = lock(&self.ledger).call(&id).cloned();
-        let Some(record) = record else { return Fate::Broken };
+        let Some(record) = record else {
+            return Fate::Broken;
+        };
         let outcome = judge(&id, &record, answer.as_ref(), may_be_silent);
         match outcome {
             Ok(Fate::Refused(status)) => lock(&self.ledger).refused(&id, status),
@@ -177,7 +220,11 @@
 
     /// Sends a call and reads its answer, on the connection of the call before if that stayed.
     fn exchange(&mut self, id: &str, kind: CallKind, wait: Span) -> Option<Message> {
-        let mut connection = self.connection.take().filter(|held| self.is_clean(held)).or_else(|| self.connect())?;
+        let mut connection = self
+            .connection
+            .take()
+            .filter(|held| self.is_clean(held))
+            .or_else(|| self.connect())?;
         let body = format!("body of {id}");
         let request = format!(
             "POST {}{id}?q=a%20b HTTP/1.1\r\nhost: h\r\n{ID}: {id}\r\n{WAIT}: {}\r\ncontent-length: {}\r\n\r\n{body}",
@@ -188,7 +235,10 @@
         connection.get_mut().write_all(request.as_bytes()).ok()?;
         let mut answer = read_head(&mut connection).ok()??;
         read_body(&mut connection, &mut answer);
-        let stays = answer.is_whole && answer.header("connection").is_none_or(|word| word != "close");
+        let stays = answer.is_whole
+            && answer
+                .header("connection")
+                .is_none_or(|word| word != "close");
         self.connection = stays.then_some(connection);
         Some(answer)
     }
@@ -197,7 +247,9 @@
         let stream = TcpStream::connect(self.address).ok()?;
         stream.set_nodelay(true).ok()?;
         // Ends a call that would hang.
-        stream.set_read_timeout(Some(Duration::from_secs(60))).ok()?;
+        stream
+            .set_read_timeout(Some(Duration::from_secs(60)))
+            .ok()?;
         Some(BufReader::new(stream))
     }
 
@@ -216,9 +268,19 @@
 }
 
 /// What an answer is, or why it must never be.
-fn judge(id: &str, record: &CallRecord, answer: Option<&Message>, may_be_silent: bool) -> Result<Fate, String> {
-    let is_due = record.runs.first().is_some_and(|run| run.play.answers_whole() && !run.is_displaced);
-    let Some(answer) = answer else { return Err("no answer came".into()) };
+fn judge(
+    id: &str,
+    record: &CallRecord,
+    answer: Option<&Message>,
+    may_be_silent: bool,
+) -> Result<Fate, String> {
+    let is_due = record
+        .runs
+        .first()
+        .is_some_and(|run| run.play.answers_whole() && !run.is_displaced);
+    let Some(answer) = answer else {
+        return Err("no answer came".into());
+    };
     if record.arrivals > TRIES {
         return Err(format!("it was sent to {} servers", record.arrivals));
     }
@@ -229,7 +291,11 @@
     let fate = match status {
         200..300 => {
             judge_success(id, record, answer)?;
-            if answer.is_whole { Fate::Served } else { Fate::Cut }
+            if answer.is_whole {
+                Fate::Served
+            } else {
+                Fate::Cut
+            }
         }
         status if PROMISES.contains(&status) => Fate::Refused(status),
         500 if record.runs.iter().any(|run| run.play == Play::Failed) => Fate::Failed,
@@ -237,7 +303,9 @@
         status => return Err(format!("nobody answers {status}: {answer:?}")),
     };
     if is_due && fate != Fate::Served && !may_be_silent {
-        return Err(format!("its server answered it whole, and the client has {fate:?}"));
+        return Err(format!(
+            "its server answered it whole, and the client has {fate:?}"
+        ));
     }
     Ok(fate)
 }
@@ -251,7 +319,12 @@
     let is_cut_stream = record.kind.is_stream()
         && matches!(
             run.play,
-            Play::TornBody | Play::TornChunks | Play::BadChunk | Play::TornStream | Play::EndByClose | Play::OldHttp
+            Play::TornBody
+                | Play::TornChunks
+                | Play::BadChunk
+                | Play::TornStream
+                | Play::EndByClose
+                | Play::OldHttp
         );
     let is_both_framed = record.kind.is_stream() && run.play == Play::LengthAndChunks;
     if !run.play.answers_whole() && !is_cut_stream && !is_both_framed {
@@ -260,14 +333,21 @@
     let expected = body_of(record.kind, id, 0);
     let body = String::from_utf8_lossy(&answer.body);
     if answer.is_whole && body != expected {
-        return Err(format!("a whole answer that is not the server's: {answer:?}"));
+        return Err(format!(
+            "a whole answer that is not the server's: {answer:?}"
+        ));
     }
     if !expected.starts_with(body.as_ref()) {
-        return Err(format!("a part of an answer that is not the server's: {answer:?}"));
+        return Err(format!(
+            "a part of an answer that is not the server's: {answer:?}"
+        ));
     }
-    let is_whole_stream = !record.kind.is_stream() || body.matches("data: ").count() as u64 == EVENTS;
+    let is_whole_stream =
+        !record.kind.is_stream() || body.matches("data: ").count() as u64 == EVENTS;
     if answer.is_whole && !is_whole_stream {
-        return Err(format!("a stream that looks complete and is not: {answer:?}"));
+        return Err(format!(
+            "a stream that looks complete and is not: {answer:?}"
+        ));
     }
     Ok(())
 }
--- a/crates/testbed/src/answers/ledger.rs
+++ b/crates/testbed/src/answers/ledger.rs
@@ -19,8 +19,12 @@
 
 impl CallKind {
     /// All of them.
-    pub const ALL: [CallKind; 4] =
-        [CallKind::Idempotent, CallKind::Mutating, CallKind::Resumable, CallKind::OnceStream];
+    pub const ALL: [CallKind; 4] = [
+        CallKind::Idempotent,
+        CallKind::Mutating,
+        CallKind::Resumable,
+        CallKind::OnceStream,
+    ];
 
     /// The prefix of its route, and the route's name.
     pub fn prefix(self) -> &'static str {
@@ -47,9 +51,14 @@
 /// The body that a server gives to a call, behind this event of a stream.
 pub fn body_of(kind: CallKind, id: &str, after: u64) -> String {
     if kind.is_stream() {
-        (after + 1..=EVENTS).map(|number| format!("id: {number}\ndata: {id} {number}\n\n")).collect()
+        (after + 1..=EVENTS)
+            .map(|number| format!("id: {number}\ndata: {id} {number}\n\n"))
+            .collect()
     } else {
-        format!("the answer to {id}, {}", "x".repeat((mix(id.len() as u64) % 64) as usize))
+        format!(
+            "the answer to {id}, {}",
+            "x".repeat((mix(id.len() as u64) % 64) as usize)
+        )
     }
 }
 
@@ -92,7 +101,12 @@
 impl Ledger {
     /// A client sends a call.
     pub fn sent(&mut self, id: &str, kind: CallKind) {
-        let record = CallRecord { kind, runs: vec![], arrivals: 0, refused_with: None };
+        let record = CallRecord {
+            kind,
+            runs: vec![],
+            arrivals: 0,
+            refused_with: None,
+        };
         self.calls.insert(id.to_owned(), record);
     }
     /// A call, if a client sent it.
@@ -105,8 +119,14 @@
     }
     /// A call came to a server; tells how often it had come before.
     pub fn arrived(&mut self, id: &str, server: &str) -> u64 {
-        if self.outdated.as_ref().is_some_and(|(call, at)| call == id && at == server) {
-            self.violate(format!("{id} was sent to {server} under an epoch that is in force no more"));
+        if self
+            .outdated
+            .as_ref()
+            .is_some_and(|(call, at)| call == id && at == server)
+        {
+            self.violate(format!(
+                "{id} was sent to {server} under an epoch that is in force no more"
+            ));
         }
         let Some(record) = self.calls.get_mut(id) else {
             self.violate(format!("{id} came to {server}, and no client sent it"));
@@ -116,15 +136,29 @@
         record.arrivals - 1
     }
     /// A server treats a call like this; gives the run's mark if it runs it.
-    pub fn treated(&mut self, id: &str, server: &str, play: Play, is_displaced: bool) -> Option<String> {
+    pub fn treated(
+        &mut self,
+        id: &str,
+        server: &str,
+        play: Play,
+        is_displaced: bool,
+    ) -> Option<String> {
         *self.plays.entry(play).or_default() += 1;
         if !play.runs() {
             return None;
         }
         let record = self.calls.get_mut(id)?;
         let mark = format!("{server}-{}", record.runs.len());
-        record.runs.push(Run { mark: mark.clone(), play, is_displaced });
-        let (count, may_repeat, refused_with) = (record.runs.len(), record.kind.may_repeat(), record.refused_with);
+        record.runs.push(Run {
+            mark: mark.clone(),
+            play,
+            is_displaced,
+        });
+        let (count, may_repeat, refused_with) = (
+            record.runs.len(),
+            record.kind.may_repeat(),
+            record.refused_with,
+        );
         if count > 1 && !may_repeat {
             self.violate(format!("{id} may run once and ran {count} times"));
         }
@@ -135,11 +169,15 @@
     }
     /// A client was told that its call never ran and never will.
     pub fn refused(&mut self, id: &str, status: u16) {
-        let Some(record) = self.calls.get_mut(id) else { return };
+        let Some(record) = self.calls.get_mut(id) else {
+            return;
+        };
         record.refused_with = Some(status);
         let count = record.runs.len();
         if count > 0 {
-            self.violate(format!("{id} ran {count} times, and its client was told {status}"));
+            self.violate(format!(
+                "{id} ran {count} times, and its client was told {status}"
+            ));
         }
     }
 }
--- a/crates/testbed/src/answers/play.rs
+++ b/crates/testbed/src/answers/play.rs
@@ -87,14 +87,19 @@
 impl Play {
     /// Whether the server runs the request.
     pub fn runs(self) -> bool {
-        use Play::{Elsewhere, ElsewhereUnnamed, Refused, RefusedEarly, RefusedUnnamed, ResetUnread};
-        !matches!(self, Elsewhere | ElsewhereUnnamed | Refused | RefusedEarly | RefusedUnnamed | ResetUnread)
+        use Play::{
+            Elsewhere, ElsewhereUnnamed, Refused, RefusedEarly, RefusedUnnamed, ResetUnread,
+        };
+        !matches!(
+            self,
+            Elsewhere | ElsewhereUnnamed | Refused | RefusedEarly | RefusedUnnamed | ResetUnread
+        )
     }
     /// Whether the client is to get the server's whole answer, if nothing stood in its place.
     pub fn answers_whole(self) -> bool {
         use Play::{
-            CloseSaid, CloseUnsaid, Interim, LateElsewhere, LateOwn, LateRefusal, SurplusForeign, SurplusGarbage,
-            SurplusOwn, SurplusRefusal, Whole, WholeInChunks,
+            CloseSaid, CloseUnsaid, Interim, LateElsewhere, LateOwn, LateRefusal, SurplusForeign,
+            SurplusGarbage, SurplusOwn, SurplusRefusal, Whole, WholeInChunks,
         };
         matches!(
             self,
@@ -115,7 +120,13 @@
     /// One by which the server doesn't run the request and says so, drawn by this number.
     pub fn draw_refusal(number: u64) -> Play {
         use Play::{Elsewhere, ElsewhereUnnamed, Refused, RefusedEarly, RefusedUnnamed};
-        let all = [Refused, RefusedUnnamed, RefusedEarly, Elsewhere, ElsewhereUnnamed];
+        let all = [
+            Refused,
+            RefusedUnnamed,
+            RefusedEarly,
+            Elsewhere,
+            ElsewhereUnnamed,
+        ];
         all[(mix(number) % all.len() as u64) as usize]
     }
     /// Drawn by this number: plain answers half of the time, silence seldom, as it takes time.
@@ -126,6 +137,10 @@
             return Play::Whole;
         }
         let play = all[(mix(drawn) % all.len() as u64) as usize];
-        if play == Play::Silence && !mix(drawn ^ 1).is_multiple_of(16) { Play::LateRefusal } else { play }
+        if play == Play::Silence && !mix(drawn ^ 1).is_multiple_of(16) {
+            Play::LateRefusal
+        } else {
+            play
+        }
     }
 }
--- a/crates/testbed/src/answers/server.rs
+++ b/crates/testbed/src/answers/server.rs
@@ -40,19 +40,33 @@
     /// Starts one at a free port.
     pub fn start(name: String, seed: u64, ledger: &Arc<Mutex<Ledger>>) -> io::Result<Server> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let server = Server { name: name.clone(), address: listener.local_addr()?, is_stopped: Arc::default() };
-        let (serving, is_stopped) =
-            (Arc::new(Serving { name, seed, ledger: ledger.clone() }), server.is_stopped.clone());
-        std::thread::Builder::new().name("server".into()).spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                if is_stopped.load(Ordering::SeqCst) {
-                    return;
+        let server = Server {
+            name: name.clone(),
+            address: listener.local_addr()?,
+            is_stopped: Arc::default(),
+        };
+        let (serving, is_stopped) = (
+            Arc::new(Serving {
+                name,
+                seed,
+                ledger: ledger.clone(),
+            }),
+            server.is_stopped.clone(),
+        );
+        std::thread::Builder::new()
+            .name("server".into())
+            .spawn(move || {
+                for stream in listener.incoming().map_while(Result::ok) {
+                    if is_stopped.load(Ordering::SeqCst) {
+                        return;
+                    }
+                    let serving = serving.clone();
+                    // A connection that can't be served is closed.
+                    let _ = std::thread::Builder::new()
+                        .name("connection".into())
+                        .spawn(move || serving.serve(stream));
                 }
-                let serving = serving.clone();
-                // A connection that can't be served is closed.
-                let _ = std::thread::Builder::new().name("connection".into()).spawn(move || serving.serve(stream));
-            }
-        })?;
+            })?;
         Ok(server)
     }
     /// Stops listening.
@@ -79,7 +93,9 @@
         let _ = stream.set_nodelay(true);
         // Ends the thread of a connection that nobody uses.
         let _ = stream.set_read_timeout(Some(Duration::from_secs(60)));
-        let Ok(reading) = stream.try_clone() else { return };
+        let Ok(reading) = stream.try_clone() else {
+            return;
+        };
         let mut reader = BufReader::new(reading);
         let mut displaced = None;
         while let Ok(Some(request)) = read_head(&mut reader) {
@@ -121,23 +137,43 @@
             return Ok(After::Close);
         }
         self.check_request(&id, &request);
-        let Some(kind) = self.ledger().call(&id).map(|record| record.kind) else { return Ok(After::Close) };
-        let mark = self.ledger().treated(&id, &self.name, play, displaced.is_some()).unwrap_or_default();
-        let after = request.header(AFTER).and_then(|after| after.parse().ok()).unwrap_or(0);
+        let Some(kind) = self.ledger().call(&id).map(|record| record.kind) else {
+            return Ok(After::Close);
+        };
+        let mark = self
+            .ledger()
+            .treated(&id, &self.name, play, displaced.is_some())
+            .unwrap_or_default();
+        let after = request
+            .header(AFTER)
+            .and_then(|after| after.parse().ok())
+            .unwrap_or(0);
         let body = body_of(kind, &id, after);
         if let Some(displaced) = displaced {
             stream.write_all(displaced.as_bytes())?;
         }
-        perform(stream, reader, play, &Said { id: &id, body: &body, mark: &mark })
+        perform(
+            stream,
+            reader,
+            play,
+            &Said {
+                id: &id,
+                body: &body,
+                mark: &mark,
+            },
+        )
     }
 
     /// Each request is as its client sent it, and meant for this server.
     fn check_request(&self, id: &str, request: &Message) {
         let is_ours = request.header(SERVER) == Some(&self.name);
         let is_whole = request.body == format!("body of {id}").as_bytes();
-        let is_at_path = CallKind::ALL.iter().any(|kind| request.target() == format!("{}{id}?q=a%20b", kind.prefix()));
+        let is_at_path = CallKind::ALL
+            .iter()
+            .any(|kind| request.target() == format!("{}{id}?q=a%20b", kind.prefix()));
         if !is_ours || !is_whole || !is_at_path {
-            self.ledger().violate(format!("{id} came to {} changed: {request:?}", self.name));
+            self.ledger()
+                .violate(format!("{id} came to {} changed: {request:?}", self.name));
         }
     }
 
@@ -151,10 +187,17 @@
 
 /// What this server does with a call that came so often to any before.
 pub fn play_of(seed: u64, server: &str, id: &str, arrivals: u64) -> Play {
-    let hash = |number: u64, text: &str| text.bytes().fold(number, |number, byte| mix(number ^ u64::from(byte)));
+    let hash = |number: u64, text: &str| {
+        text.bytes()
+            .fold(number, |number, byte| mix(number ^ u64::from(byte)))
+    };
     let of_call = hash(seed, id);
     let drawn = hash(of_call, server).wrapping_add(arrivals);
-    if of_call.is_multiple_of(REFUSED_BY_ALL) { Play::draw_refusal(drawn) } else { Play::draw(drawn) }
+    if of_call.is_multiple_of(REFUSED_BY_ALL) {
+        Play::draw_refusal(drawn)
+    } else {
+        Play::draw(drawn)
+    }
 }
 
 fn refusal(status: u16, id: Option<&str>) -> String {
@@ -167,13 +210,20 @@
         format!("{ID}: {}\r\n{MARK}: {}\r\n", self.id, self.mark)
     }
     fn with(&self, headers: &str) -> String {
-        format!("HTTP/1.1 200 OK\r\n{headers}content-length: {}\r\n\r\n{}", self.body.len(), self.body)
+        format!(
+            "HTTP/1.1 200 OK\r\n{headers}content-length: {}\r\n\r\n{}",
+            self.body.len(),
+            self.body
+        )
     }
     fn whole(&self) -> String {
         self.with(&self.marked())
     }
     fn chunked_head(&self) -> String {
-        format!("HTTP/1.1 200 OK\r\n{}transfer-encoding: chunked\r\n\r\n", self.marked())
+        format!(
+            "HTTP/1.1 200 OK\r\n{}transfer-encoding: chunked\r\n\r\n",
+            self.marked()
+        )
     }
     fn half(&self) -> &str {
         &self.body[..self.body.len() / 2]
@@ -193,12 +243,19 @@
     let foreign = format!("{ID}: other\r\n{MARK}: other\r\n");
     let (text, after) = match play {
         Play::Whole => (said.whole(), After::Stay),
-        Play::WholeInChunks => (said.chunked_head() + &chunk(said.body) + "0\r\n\r\n", After::Stay),
+        Play::WholeInChunks => (
+            said.chunked_head() + &chunk(said.body) + "0\r\n\r\n",
+            After::Stay,
+        ),
         Play::Interim => {
-            let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\n".to_owned();
+            let interim =
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\n".to_owned();
             (interim + &said.whole(), After::Stay)
         }
-        Play::CloseSaid => (said.with(&(said.marked() + "connection: close\r\n")), After::Close),
+        Play::CloseSaid => (
+            said.with(&(said.marked() + "connection: close\r\n")),
+            After::Close,
+        ),
         Play::CloseUnsaid => (said.whole(), After::Close),
         Play::SurplusOwn => (said.whole() + &said.whole(), After::Stay),
         Play::SurplusRefusal => (said.whole() + &refusal(503, None), After::Stay),
@@ -207,32 +264,68 @@
         Play::LateRefusal => (said.whole(), After::StayWith(refusal(503, None))),
         Play::LateElsewhere => (said.whole(), After::StayWith(refusal(421, None))),
         Play::LateOwn => (said.whole(), After::StayWith(said.whole())),
-        Play::Failed => (format!("HTTP/1.1 500 Ill\r\n{ID}: {}\r\ncontent-length: 3\r\n\r\nill", said.id), After::Stay),
+        Play::Failed => (
+            format!(
+                "HTTP/1.1 500 Ill\r\n{ID}: {}\r\ncontent-length: 3\r\n\r\nill",
+                said.id
+            ),
+            After::Stay,
+        ),
         Play::ResetRun | Play::ResetUnread => (String::new(), After::Reset),
         Play::CloseRun => (String::new(), After::Close),
         Play::HalfClose => {
             stream.shutdown(Shutdown::Write)?;
             return await_end(reader);
         }
-        Play::TornHead => (format!("HTTP/1.1 200 OK\r\n{ID}: {}", said.id), After::Close),
+        Play::TornHead => (
+            format!("HTTP/1.1 200 OK\r\n{ID}: {}", said.id),
+            After::Close,
+        ),
         Play::TornBody => {
             let length = said.body.len();
-            let head = format!("HTTP/1.1 200 OK\r\n{}content-length: {length}\r\n\r\n", said.marked());
+            let head = format!(
+                "HTTP/1.1 200 OK\r\n{}content-length: {length}\r\n\r\n",
+                said.marked()
+            );
             (head + said.half(), After::Close)
         }
         Play::TornChunks => (said.chunked_head() + &chunk(said.half()), After::Close),
-        Play::BadChunk => (said.chunked_head() + &chunk(said.half()) + "no size\r\n", After::Close),
-        Play::TwoLengths => (said.with(&(said.marked() + "content-length: 1\r\n")), After::Close),
+        Play::BadChunk => (
+            said.chunked_head() + &chunk(said.half()) + "no size\r\n",
+            After::Close,
+        ),
+        Play::TwoLengths => (
+            said.with(&(said.marked() + "content-length: 1\r\n")),
+            After::Close,
+        ),
         Play::LengthAndChunks => {
-            let head = format!("{}transfer-encoding: chunked\r\ncontent-length: 3\r\n", said.marked());
-            (format!("HTTP/1.1 200 OK\r\n{head}\r\n{}0\r\n\r\n", chunk(said.body)), After::Stay)
+            let head = format!(
+                "{}transfer-encoding: chunked\r\ncontent-length: 3\r\n",
+                said.marked()
+            );
+            (
+                format!("HTTP/1.1 200 OK\r\n{head}\r\n{}0\r\n\r\n", chunk(said.body)),
+                After::Stay,
+            )
         }
-        Play::EndByClose => (format!("HTTP/1.1 200 OK\r\n{}\r\n{}", said.marked(), said.half()), After::Close),
-        Play::OldHttp => (format!("HTTP/1.0 200 OK\r\n{}\r\n{}", said.marked(), said.half()), After::Close),
+        Play::EndByClose => (
+            format!("HTTP/1.1 200 OK\r\n{}\r\n{}", said.marked(), said.half()),
+            After::Close,
+        ),
+        Play::OldHttp => (
+            format!("HTTP/1.0 200 OK\r\n{}\r\n{}", said.marked(), said.half()),
+            After::Close,
+        ),
         Play::Garbage => ("certainly not\r\n\r\n".to_owned(), After::Close),
         Play::ForeignId => (said.with(&foreign), After::Stay),
-        Play::MissingId => (said.with(&format!("{MARK}: {}\r\n", said.mark)), After::Stay),
-        Play::TwoIds => (said.with(&format!("{}{ID}: other\r\n", said.marked())), After::Stay),
+        Play::MissingId => (
+            said.with(&format!("{MARK}: {}\r\n", said.mark)),
+            After::Stay,
+        ),
+        Play::TwoIds => (
+            said.with(&format!("{}{ID}: other\r\n", said.marked())),
+            After::Stay,
+        ),
         Play::MissingMark => (said.with(&format!("{ID}: {}\r\n", said.id)), After::Stay),
         Play::SwitchProtocol => {
             let head = format!("{}connection: upgrade\r\nupgrade: other\r\n", said.marked());
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -19,7 +19,10 @@
         match self {
             Question::Btb => [("plain", false, ""), ("btb", true, "")],
             Question::Merge => [("apart", true, "merge = false\n"), ("merged", true, "")],
-            Question::Admit => [("all taken", true, "admit = false\n"), ("admission", true, "")],
+            Question::Admit => [
+                ("all taken", true, "admit = false\n"),
+                ("admission", true, ""),
+            ],
         }
     }
 }
@@ -46,13 +49,27 @@
 }
 
 /// One side of a pair, as figures by name.
-fn play(rules: &CompareRules, seed: u64, is_btb_on: bool, settings: &str) -> Result<BTreeMap<String, f64>, String> {
+fn play(
+    rules: &CompareRules,
+    seed: u64,
+    is_btb_on: bool,
+    settings: &str,
+) -> Result<BTreeMap<String, f64>, String> {
     let shape = rules.deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules { block_micros: rules.block_micros, ..ScheduleRules::default() })
-        .map_err(|fault| fault.to_string())?;
-    let options = FleetOptions { router_settings: settings.to_owned(), ..FleetOptions::default() };
-    let mut fleet =
-        Fleet::start(&shape, crew.platform.address, None, &options).map_err(|fault| format!("no fleet: {fault}"))?;
+    let crew = Crew::start(
+        &shape,
+        &ScheduleRules {
+            block_micros: rules.block_micros,
+            ..ScheduleRules::default()
+        },
+    )
+    .map_err(|fault| fault.to_string())?;
+    let options = FleetOptions {
+        router_settings: settings.to_owned(),
+        ..FleetOptions::default()
+    };
+    let mut fleet = Fleet::start(&shape, crew.platform.address, None, &options)
+        .map_err(|fault| format!("no fleet: {fault}"))?;
     fleet.await_core(Span::seconds(20))?;
     let plan = plan_of(rules.deployment, is_btb_on);
     fleet.put_plan("first", 0, &plan)?;
@@ -61,7 +78,12 @@
     let mut mix = Mix::new(rules.deployment.mix(), seed);
     mix.hot_share = rules.hot_share;
     let span = Span::seconds(rules.seconds);
-    let campaign = CampaignRules { routers: fleet.clients_addresses(), span, scale: rules.scale, in_hand: 1500 };
+    let campaign = CampaignRules {
+        routers: fleet.clients_addresses(),
+        span,
+        scale: rules.scale,
+        in_hand: 1500,
+    };
     let (asked, late) = Campaign::new(mix, campaign).run();
     let mut report = Report::of(&asked, late);
     join_logs(&mut report, &asked, &crew.logs(), &plan);
@@ -72,14 +94,24 @@
     let (mut sent, mut complete) = (0, 0);
     for (name, service) in &report.services {
         for (place, part) in ["p50", "p95", "p99"].iter().enumerate() {
-            figures.insert(format!("{name} first piece {part} ms"), service.first_ms[place]);
+            figures.insert(
+                format!("{name} first piece {part} ms"),
+                service.first_ms[place],
+            );
         }
         sent += service.sent;
         complete += service.complete;
     }
-    figures.insert("complete, percent".into(), 100.0 * complete as f64 / sent.max(1) as f64);
+    figures.insert(
+        "complete, percent".into(),
+        100.0 * complete as f64 / sent.max(1) as f64,
+    );
     for metric in ["router_copies", "router_placed_warm"] {
-        let sum: u64 = fleet.routers.iter().map(|router| router.metric(metric)).sum();
+        let sum: u64 = fleet
+            .routers
+            .iter()
+            .map(|router| router.metric(metric))
+            .sum();
         figures.insert(metric.into(), sum as f64);
     }
     fleet.stop();
@@ -104,7 +136,13 @@
     }
     println!(
         "{:?}, {:?}, {} pairs of {} s, scale {}, hot share {}, {} us a block",
-        rules.deployment, rules.question, rules.pairs, rules.seconds, rules.scale, rules.hot_share, rules.block_micros
+        rules.deployment,
+        rules.question,
+        rules.pairs,
+        rules.seconds,
+        rules.scale,
+        rules.hot_share,
+        rules.block_micros
     );
     println!(
         "| figure | {} mean (least to most) | {} mean (least to most) | second lower in |",
@@ -120,8 +158,17 @@
     let [first, second] = &found;
     for (name, ones) in first {
         let others = second.get(name).cloned().unwrap_or_default();
-        let lower = ones.iter().zip(&others).filter(|(one, other)| other < one).count();
-        println!("| {name} | {} | {} | {lower} of {} |", show(ones), show(&others), ones.len());
+        let lower = ones
+            .iter()
+            .zip(&others)
+            .filter(|(one, other)| other < one)
+            .count();
+        println!(
+            "| {name} | {} | {} | {lower} of {} |",
+            show(ones),
+            show(&others),
+            ones.len()
+        );
     }
     Ok(())
 }
--- a/crates/testbed/src/crew.rs
+++ b/crates/testbed/src/crew.rs
@@ -29,12 +29,20 @@
     /// Its shape: a dozen machines.
     pub fn shape(self) -> Shape {
         match self {
-            Deployment::Pahana => {
-                Shape { zones: vec!["east", "middle", "west"], controllers: 3, routers: 9, models: 9, apps: 3 }
-            }
-            Deployment::Valodu => {
-                Shape { zones: vec!["hill", "river", "shore", "town"], controllers: 4, routers: 8, models: 9, apps: 4 }
-            }
+            Deployment::Pahana => Shape {
+                zones: vec!["east", "middle", "west"],
+                controllers: 3,
+                routers: 9,
+                models: 9,
+                apps: 3,
+            },
+            Deployment::Valodu => Shape {
+                zones: vec!["hill", "river", "shore", "town"],
+                controllers: 4,
+                routers: 8,
+                models: 9,
+                apps: 4,
+            },
         }
     }
     /// Its traffic.
@@ -65,7 +73,12 @@
             (0..count)
                 .map(|place| {
                     let age = Span::seconds(600);
-                    let server = StandIn::start(Address::loopback(0), rules.clone(), first + place as u64, age)?;
+                    let server = StandIn::start(
+                        Address::loopback(0),
+                        rules.clone(),
+                        first + place as u64,
+                        age,
+                    )?;
                     let (zone, pool) = (zone(place), pool.to_owned());
                     server_list.push(ServerEntry {
                         server: server.name(),
@@ -81,17 +94,29 @@
         let models = start(shape.models, "model", 1)?;
         let apps = start(shape.apps, "app", 101)?;
         let platform = Platform::start(Address::loopback(0), Span(700), server_list)?;
-        Ok(Crew { platform, models, apps })
+        Ok(Crew {
+            platform,
+            models,
+            apps,
+        })
     }
     /// For each service: how often servers were asked, whatever they made of it, and for how many requests.
     pub fn asks(&self) -> BTreeMap<String, (u64, u64)> {
         let mut requests: BTreeMap<String, (u64, BTreeSet<u64>)> = BTreeMap::new();
-        for (service, print) in self.models.iter().chain(&self.apps).flat_map(StandIn::asked) {
+        for (service, print) in self
+            .models
+            .iter()
+            .chain(&self.apps)
+            .flat_map(StandIn::asked)
+        {
             let (asks, prints) = requests.entry(service).or_default();
             *asks += 1;
             prints.insert(print);
         }
-        requests.into_iter().map(|(service, (asks, prints))| (service, (asks, prints.len() as u64))).collect()
+        requests
+            .into_iter()
+            .map(|(service, (asks, prints))| (service, (asks, prints.len() as u64)))
+            .collect()
     }
     /// All that model servers took.
     pub fn logs(&self) -> Vec<RunLog> {
--- a/crates/testbed/src/explorer/cluster.rs
+++ b/crates/testbed/src/explorer/cluster.rs
@@ -135,7 +135,15 @@
 impl Cluster {
     /// A core that was founded, confirmed one command and rests.
     pub fn founded(rules: &ClusterRules) -> Cluster {
-        let operator = |id| Operator { id, base: None, via: 0, tries: 0, asks_at: None, asked: 0, is_done: false };
+        let operator = |id| Operator {
+            id,
+            base: None,
+            via: 0,
+            tries: 0,
+            asks_at: None,
+            asked: 0,
+            is_done: false,
+        };
         let mut cluster = Cluster {
             rules: rules.clone(),
             now: 1_000_000,
@@ -153,11 +161,18 @@
         for _ in 0..80 {
             cluster.tick(&vec![]);
         }
-        cluster.tick(&vec![Deviation::Propose { operator: 0, via: 0 }]);
+        cluster.tick(&vec![Deviation::Propose {
+            operator: 0,
+            via: 0,
+        }]);
         for _ in 0..80 {
             cluster.tick(&vec![]);
         }
-        assert_eq!(cluster.history.confirmed.len(), 1, "the first command is confirmed");
+        assert_eq!(
+            cluster.history.confirmed.len(),
+            1,
+            "the first command is confirmed"
+        );
         cluster
     }
 
@@ -191,7 +206,11 @@
     }
 
     fn timing(&self) -> Timing {
-        let mut timing = Timing { copies: self.rules.copies, voters: self.rules.voters, ..Timing::default() };
+        let mut timing = Timing {
+            copies: self.rules.copies,
+            voters: self.rules.voters,
+            ..Timing::default()
+        };
         if self.rules.fault == Some(DeliberateFault::SkipFencing) {
             timing.lease = Span(0);
         }
@@ -200,19 +219,31 @@
 
     fn start(&mut self, place: usize) {
         let timing = self.timing();
-        let founders: Vec<Address> = (1..=self.rules.voters as u16).map(Address::loopback).collect();
+        let founders: Vec<Address> = (1..=self.rules.voters as u16)
+            .map(Address::loopback)
+            .collect();
         let is_founding = self.history.views.is_empty();
         let machine = &mut self.machines[place];
-        let me = Voter { address: machine.address, disk: machine.disk };
-        let known = founders.into_iter().filter(|address| is_founding || *address != me.address).collect();
+        let me = Voter {
+            address: machine.address,
+            disk: machine.disk,
+        };
+        let known = founders
+            .into_iter()
+            .filter(|address| is_founding || *address != me.address)
+            .collect();
         let mut born = Moment(self.now);
         if self.rules.fault == Some(DeliberateFault::GrantAfterRestart) {
             born = Moment(self.now - timing.lease.0);
         }
-        let kept = Kept { records: machine.stored.records() };
+        let kept = Kept {
+            records: machine.stored.records(),
+        };
         match Replica::new(me, known, timing, kept, Register::default(), born) {
             Ok(replica) => machine.replica = Some(replica),
-            Err(fault) => self.history.violate(format!("a disk can't be used: {fault}")),
+            Err(fault) => self
+                .history
+                .violate(format!("a disk can't be used: {fault}")),
         }
         self.machines[place].life += 1;
         self.machines[place].starts_at = None;
@@ -249,17 +280,27 @@
         let lost = self.lost();
         match *deviation {
             Deviation::Wipe(place, _) | Deviation::Replace(place, _) => {
-                let is_lost = self.machines.get(place).is_some_and(|m| m.lost_until > self.now);
-                self.is_running(place) && lost + usize::from(!is_lost) <= budget && self.now >= self.unbound_until
+                let is_lost = self
+                    .machines
+                    .get(place)
+                    .is_some_and(|m| m.lost_until > self.now);
+                self.is_running(place)
+                    && lost + usize::from(!is_lost) <= budget
+                    && self.now >= self.unbound_until
             }
             Deviation::PlannedReplace(place) | Deviation::PlannedRestart(place) => {
                 let is_planned = |m: &Machine| m.stops_at.is_some() || m.is_asked_to_leave;
                 self.is_running(place) && lost == 0 && !self.machines.iter().any(is_planned)
             }
             Deviation::Crash(place, _) | Deviation::Pause(place, _) => self.is_running(place),
-            Deviation::Cut(place, ..) => self.is_running(place) && self.machines[place].cut.is_none(),
+            Deviation::Cut(place, ..) => {
+                self.is_running(place) && self.machines[place].cut.is_none()
+            }
             Deviation::Propose { operator, via } => {
-                let is_idle = self.operators.get(operator).is_some_and(|operator| operator.base.is_none());
+                let is_idle = self
+                    .operators
+                    .get(operator)
+                    .is_some_and(|operator| operator.base.is_none());
                 is_idle && self.is_running(via)
             }
             Deviation::AtStep { .. } => true,
@@ -268,7 +309,10 @@
 
     /// Machines that count as lost.
     fn lost(&self) -> usize {
-        self.machines.iter().filter(|m| m.lost_until > self.now).count()
+        self.machines
+            .iter()
+            .filter(|m| m.lost_until > self.now)
+            .count()
     }
 
     fn is_running(&self, place: usize) -> bool {
@@ -317,7 +361,9 @@
     fn open_step(&self, step: &Step) -> Option<OpenStep> {
         match step {
             Step::Sync { machine, .. } => Some(OpenStep::Write(*machine)),
-            Step::Deliver(packet) if !matches!(packet.note, Note::Beat { .. } | Note::Follow { .. }) => {
+            Step::Deliver(packet)
+                if !matches!(packet.note, Note::Beat { .. } | Note::Follow { .. }) =>
+            {
                 let place = self.machines.iter().position(|m| m.address == packet.to)?;
                 Some(OpenStep::Message(place))
             }
@@ -333,7 +379,11 @@
             if machine.lost_until <= now {
                 machine.has_lost_disk = false;
             }
-            while machine.unsynced.front().is_some_and(|write| write.synced_at.is_some_and(|at| at <= now)) {
+            while machine
+                .unsynced
+                .front()
+                .is_some_and(|write| write.synced_at.is_some_and(|at| at <= now))
+            {
                 if let Some(write) = machine.unsynced.pop_front() {
                     machine.stored.store(write.records, write.is_whole);
                 }
@@ -343,10 +393,16 @@
             }
             self.take_leave(place);
         }
-        let (deadline, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
+        let (deadline, late) = std::mem::take(&mut self.late)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.late = late;
         let deadline: Vec<(u64, Packet)> = deadline;
-        self.steps.extend(deadline.into_iter().map(|(_, packet)| Step::Deliver(packet)));
+        self.steps.extend(
+            deadline
+                .into_iter()
+                .map(|(_, packet)| Step::Deliver(packet)),
+        );
         for operator in 0..self.operators.len() {
             if self.operators[operator].asks_at.is_some_and(|at| at <= now) {
                 self.ask(operator);
@@ -365,7 +421,10 @@
             self.machines[place].is_asked_to_leave = true;
             return self.drive(place, Input::Leave);
         }
-        let has_handed_over = machine.replica.as_ref().is_some_and(Replica::has_handed_over);
+        let has_handed_over = machine
+            .replica
+            .as_ref()
+            .is_some_and(Replica::has_handed_over);
         if !has_handed_over && self.now < at + HAND_OVER {
             return;
         }
@@ -377,7 +436,12 @@
             }
             None => {
                 // It counts until its successor has had its time, and while that stands in for one that is lost.
-                let lost_until = self.machines.iter().map(|m| m.lost_until).max().unwrap_or_default();
+                let lost_until = self
+                    .machines
+                    .iter()
+                    .map(|m| m.lost_until)
+                    .max()
+                    .unwrap_or_default();
                 let machine = &mut self.machines[place];
                 machine.is_removed = true;
                 machine.has_lost_disk = true;
@@ -456,23 +520,45 @@
         operator.tries += 1;
         operator.asks_at = Some(self.now + ANSWER_WAIT);
         operator.asked = operator.tries << 8 | place as u64;
-        let (number, command) = (operator.asked, Command { base, id: operator.id });
+        let (number, command) = (
+            operator.asked,
+            Command {
+                base,
+                id: operator.id,
+            },
+        );
         let via = operator.via;
         operator.via = (via + 1) % self.machines.len();
         if self.is_running(via) {
-            self.drive(via, Input::Propose { number, body: command.encode() });
+            self.drive(
+                via,
+                Input::Propose {
+                    number,
+                    body: command.encode(),
+                },
+            );
         }
     }
 
     fn on_answer(&mut self, number: u64, is_final: bool, body: &[u8]) {
-        let Some(operator) = self.operators.get_mut((number & 0xFF) as usize) else { return };
-        let Some(base) = operator.base.filter(|_| operator.asked == number && !operator.is_done) else { return };
+        let Some(operator) = self.operators.get_mut((number & 0xFF) as usize) else {
+            return;
+        };
+        let Some(base) = operator
+            .base
+            .filter(|_| operator.asked == number && !operator.is_done)
+        else {
+            return;
+        };
         if !is_final {
             operator.asks_at = Some(self.now + ANSWER_PAUSE);
             return;
         }
         operator.is_done = true;
-        let command = Command { base, id: operator.id };
+        let command = Command {
+            base,
+            id: operator.id,
+        };
         self.history.on_answer(command, body);
     }
 
@@ -508,7 +594,10 @@
             return;
         }
         if self.rules.fault == Some(DeliberateFault::SkipSync) {
-            let late = machine.unsynced.iter_mut().filter(|write| write.id <= id && write.synced_at.is_none());
+            let late = machine
+                .unsynced
+                .iter_mut()
+                .filter(|write| write.id <= id && write.synced_at.is_none());
             late.for_each(|write| write.synced_at = Some(now + 400));
         } else {
             while machine.unsynced.front().is_some_and(|write| write.id <= id) {
@@ -521,7 +610,9 @@
     }
 
     fn deliver(&mut self, mut packet: Packet) {
-        let Some(place) = self.machines.iter().position(|m| m.address == packet.to) else { return };
+        let Some(place) = self.machines.iter().position(|m| m.address == packet.to) else {
+            return;
+        };
         if self.machines[place].replica.is_none() {
             return;
         }
@@ -530,12 +621,20 @@
             return;
         }
         self.spoil(place, &mut packet);
-        self.drive(place, Input::Note { from: packet.from, note: packet.note });
+        self.drive(
+            place,
+            Input::Note {
+                from: packet.from,
+                note: packet.note,
+            },
+        );
     }
 
     /// Has deliberate faults their way with a message.
     fn spoil(&mut self, place: usize, packet: &mut Packet) {
-        let Some(replica) = &self.machines[place].replica else { return };
+        let Some(replica) = &self.machines[place].replica else {
+            return;
+        };
         match (&mut packet.note, self.rules.fault) {
             (Note::Level { last, .. }, Some(DeliberateFault::LeadBeforeLevel)) => *last = Seq(0),
             (Note::Decided { view }, Some(DeliberateFault::CountEmptyMember)) => {
@@ -552,20 +651,41 @@
 
     fn drive(&mut self, place: usize, input: Input) {
         let now = Moment(self.now);
-        let Some(replica) = &mut self.machines[place].replica else { return };
+        let Some(replica) = &mut self.machines[place].replica else {
+            return;
+        };
         let mut outputs: VecDeque<Output> = replica.step(now, input).into();
         while let Some(output) = outputs.pop_front() {
             match output {
                 Output::Send { to, note } => self.send(place, to, note),
-                Output::Write { id, records, is_whole } => {
+                Output::Write {
+                    id,
+                    records,
+                    is_whole,
+                } => {
                     let machine = &mut self.machines[place];
-                    machine.unsynced.push_back(PendingWrite { id, records, is_whole, synced_at: None });
+                    machine.unsynced.push_back(PendingWrite {
+                        id,
+                        records,
+                        is_whole,
+                        synced_at: None,
+                    });
                     let life = machine.life;
-                    self.steps.push_back(Step::Sync { machine: place, life, id });
+                    self.steps.push_back(Step::Sync {
+                        machine: place,
+                        life,
+                        id,
+                    });
                 }
-                Output::Response { number, is_replied, body } => self.on_answer(number, is_replied, &body),
+                Output::Response {
+                    number,
+                    is_replied,
+                    body,
+                } => self.on_answer(number, is_replied, &body),
                 Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
-                    let Some(replica) = &mut self.machines[place].replica else { return };
+                    let Some(replica) = &mut self.machines[place].replica else {
+                        return;
+                    };
                     outputs.extend(replica.respond(now, ticket, body));
                 }
                 Output::ViewChanged(view) => {
@@ -581,17 +701,26 @@
     fn send(&mut self, place: usize, to: Address, note: Note) {
         let from = self.machines[place].address;
         let to = self.true_target(to, &note);
-        let cut_at = |address: Address| self.machines.iter().find(|m| m.address == address).and_then(|m| m.cut);
-        let is_kept_in = cut_at(from).is_some_and(|(direction, _)| direction != CutDirection::Inward);
-        let is_kept_out = cut_at(to).is_some_and(|(direction, _)| direction != CutDirection::Outward);
+        let cut_at = |address: Address| {
+            self.machines
+                .iter()
+                .find(|m| m.address == address)
+                .and_then(|m| m.cut)
+        };
+        let is_kept_in =
+            cut_at(from).is_some_and(|(direction, _)| direction != CutDirection::Inward);
+        let is_kept_out =
+            cut_at(to).is_some_and(|(direction, _)| direction != CutDirection::Outward);
         if !is_kept_in && !is_kept_out {
-            self.steps.push_back(Step::Deliver(Packet { from, to, note }));
+            self.steps
+                .push_back(Step::Deliver(Packet { from, to, note }));
         }
     }
 
     /// Where a deliberate fault had a voter take a ballot for the tail's, its answer goes to the proposer.
     fn true_target(&self, to: Address, note: &Note) -> Address {
-        let (Note::Accepted { round, .. }, Some(DeliberateFault::AcceptWithLiveLease)) = (note, self.rules.fault)
+        let (Note::Accepted { round, .. }, Some(DeliberateFault::AcceptWithLiveLease)) =
+            (note, self.rules.fault)
         else {
             return to;
         };
@@ -601,7 +730,11 @@
 
     fn replying(&self) -> usize {
         let now = Moment(self.now);
-        let may_respond = |m: &&Machine| m.replica.as_ref().is_some_and(|replica| replica.may_respond(now));
+        let may_respond = |m: &&Machine| {
+            m.replica
+                .as_ref()
+                .is_some_and(|replica| replica.may_respond(now))
+        };
         self.machines.iter().filter(may_respond).count()
     }
 
@@ -609,18 +742,28 @@
     fn check_readable(&mut self) {
         let now = Moment(self.now);
         if self.replying() > 1 {
-            self.history.violate("two replicas may answer at once".into());
+            self.history
+                .violate("two replicas may answer at once".into());
         }
         let checks_refusals = self.rules.checks_refusals;
         for machine in &self.machines {
-            let Some(replica) = machine.replica.as_ref().filter(|replica| replica.may_respond(now)) else { continue };
-            self.history.on_readable(&replica.state_machine().taken, checks_refusals);
+            let Some(replica) = machine
+                .replica
+                .as_ref()
+                .filter(|replica| replica.may_respond(now))
+            else {
+                continue;
+            };
+            self.history
+                .on_readable(&replica.state_machine().taken, checks_refusals);
         }
     }
 
     /// Between ticks: what is lost may be lost, and as much more as the budget has left.
     fn check_quiet(&mut self) {
-        let Some(view) = self.history.views.values().next_back().cloned() else { return };
+        let Some(view) = self.history.views.values().next_back().cloned() else {
+            return;
+        };
         let lost = self.lost();
         if lost >= self.rules.copies {
             self.unbound_until = self.now + EXCESS_SETTLE;
@@ -628,17 +771,31 @@
         if self.now < self.unbound_until {
             return;
         }
-        let is_to_be_had = |voter: &&Voter| self.machines.iter().any(|m| self.is_to_be_had(m, voter));
-        let missing = view.voters.iter().filter(|voter| !is_to_be_had(voter)).count();
+        let is_to_be_had =
+            |voter: &&Voter| self.machines.iter().any(|m| self.is_to_be_had(m, voter));
+        let missing = view
+            .voters
+            .iter()
+            .filter(|voter| !is_to_be_had(voter))
+            .count();
         if missing > lost {
             let voters: Vec<u128> = view.voters.iter().map(|voter| voter.disk.0).collect();
-            self.history.violate(format!("{missing} of the votes {voters:?} can't be had, {lost} machines are lost"));
+            self.history.violate(format!(
+                "{missing} of the votes {voters:?} can't be had, {lost} machines are lost"
+            ));
         }
         for command in self.history.confirmed.clone() {
             let counts = |m: &&Machine| view.voters.iter().any(|voter| self.is_to_be_had(m, voter));
-            let holders = self.machines.iter().filter(counts).filter(|m| m.stored.holds(command.id)).count();
+            let holders = self
+                .machines
+                .iter()
+                .filter(counts)
+                .filter(|m| m.stored.holds(command.id))
+                .count();
             if holders + lost < self.rules.copies {
-                self.history.violate(format!("{command:?} is on {holders} disks that count, {lost} machines are lost"));
+                self.history.violate(format!(
+                    "{command:?} is on {holders} disks that count, {lost} machines are lost"
+                ));
             }
         }
     }
@@ -656,27 +813,55 @@
         for machine in &self.machines {
             self.fingerprint_machine(machine, &mut hasher);
         }
-        let mut late: Vec<u64> = self.late.iter().map(|(at, packet)| self.fingerprint_late(*at, packet)).collect();
+        let mut late: Vec<u64> = self
+            .late
+            .iter()
+            .map(|(at, packet)| self.fingerprint_late(*at, packet))
+            .collect();
         late.sort();
         late.hash(&mut hasher);
         for operator in &self.operators {
             let asks_in = operator.asks_at.map(|at| at.saturating_sub(self.now));
-            (operator.id, operator.base, operator.tries, asks_in, operator.is_done).hash(&mut hasher);
+            (
+                operator.id,
+                operator.base,
+                operator.tries,
+                asks_in,
+                operator.is_done,
+            )
+                .hash(&mut hasher);
             if asks_in.is_some() {
                 operator.via.hash(&mut hasher);
             }
         }
         self.history.hash(&mut hasher);
-        self.unbound_until.saturating_sub(self.now).hash(&mut hasher);
+        self.unbound_until
+            .saturating_sub(self.now)
+            .hash(&mut hasher);
         hasher.finish()
     }
 
     fn fingerprint_machine(&self, machine: &Machine, hasher: &mut DefaultHasher) {
         let ahead = |moment: u64| moment.saturating_sub(self.now);
-        (machine.address, machine.disk, &machine.stored, machine.is_removed, machine.has_lost_disk).hash(hasher);
-        (machine.starts_at.map(ahead), machine.stops_at.map(ahead), machine.is_asked_to_leave).hash(hasher);
+        (
+            machine.address,
+            machine.disk,
+            &machine.stored,
+            machine.is_removed,
+            machine.has_lost_disk,
+        )
+            .hash(hasher);
+        (
+            machine.starts_at.map(ahead),
+            machine.stops_at.map(ahead),
+            machine.is_asked_to_leave,
+        )
+            .hash(hasher);
         machine.restarts_after.hash(hasher);
-        machine.cut.map(|(direction, until)| (direction, ahead(until))).hash(hasher);
+        machine
+            .cut
+            .map(|(direction, until)| (direction, ahead(until)))
+            .hash(hasher);
         (ahead(machine.paused_until), ahead(machine.lost_until)).hash(hasher);
         for write in &machine.unsynced {
             (&write.records, write.is_whole, write.synced_at.map(ahead)).hash(hasher);
@@ -695,10 +880,14 @@
         (at.saturating_sub(self.now), packet.from, packet.to).hash(&mut hasher);
         let newest = |address: Address| {
             let machine = self.machines.iter().find(|m| m.address == address);
-            machine.and_then(|m| m.replica.as_ref()).map(Replica::lease_round)
+            machine
+                .and_then(|m| m.replica.as_ref())
+                .map(Replica::lease_round)
         };
         match &packet.note {
-            Note::LeaseAsk { view, round } => (1u8, view, newest(packet.from) == Some(*round)).hash(&mut hasher),
+            Note::LeaseAsk { view, round } => {
+                (1u8, view, newest(packet.from) == Some(*round)).hash(&mut hasher)
+            }
             Note::LeaseGrant { view, round, disk } => {
                 (2u8, view, newest(packet.to) == Some(*round), disk).hash(&mut hasher);
             }
