--- a/crates/testbed/src/explorer/properties.rs
+++ b/crates/testbed/src/explorer/properties.rs
@@ -45,7 +45,11 @@
         if self.confirmed.contains(&command) {
             return;
         }
-        if let Some(rival) = self.confirmed.iter().find(|other| other.base == command.base) {
+        if let Some(rival) = self
+            .confirmed
+            .iter()
+            .find(|other| other.base == command.base)
+        {
             let what = format!("two commands confirmed on one base: {rival:?} and {command:?}");
             self.violate(what);
         }
@@ -54,7 +58,9 @@
 
     fn on_refused(&mut self, command: Command) {
         if self.confirmed.contains(&command) {
-            self.violate(format!("{command:?} was confirmed, and refused when it came again"));
+            self.violate(format!(
+                "{command:?} was confirmed, and refused when it came again"
+            ));
         }
         if !self.refused.contains(&command) {
             self.refused.push(command);
@@ -63,12 +69,21 @@
 
     /// A replica may answer with these commands taken.
     pub fn on_readable(&mut self, taken: &[u8], checks_refusals: bool) {
-        if let Some(lost) = self.confirmed.iter().find(|command| !taken.contains(&command.id)) {
+        if let Some(lost) = self
+            .confirmed
+            .iter()
+            .find(|command| !taken.contains(&command.id))
+        {
             let what = format!("{lost:?} was confirmed and is not read back: {taken:?}");
             self.violate(what);
         }
         let is_taken = |command: &&Command| taken.contains(&command.id);
-        if let Some(refused) = self.refused.iter().find(is_taken).filter(|_| checks_refusals) {
+        if let Some(refused) = self
+            .refused
+            .iter()
+            .find(is_taken)
+            .filter(|_| checks_refusals)
+        {
             let what = format!("{refused:?} was refused for good and was taken");
             self.violate(what);
         }
--- a/crates/testbed/src/explorer/register.rs
+++ b/crates/testbed/src/explorer/register.rs
@@ -44,12 +44,16 @@
 impl StateMachine for Register {
     fn preview(&self, body: &[u8]) -> Preview {
         match Command::decode(body) {
-            Some(command) if self.taken.contains(&command.id) || self.fits(command) => Preview::Enter,
+            Some(command) if self.taken.contains(&command.id) || self.fits(command) => {
+                Preview::Enter
+            }
             _ => Preview::TurnAway(vec![REFUSED]),
         }
     }
     fn apply(&mut self, body: &[u8]) -> Vec<u8> {
-        let Some(command) = Command::decode(body) else { return vec![REFUSED] };
+        let Some(command) = Command::decode(body) else {
+            return vec![REFUSED];
+        };
         if !self.taken.contains(&command.id) {
             if !self.fits(command) {
                 return vec![REFUSED];
@@ -62,6 +66,8 @@
         self.taken.clone()
     }
     fn restore(snapshot: &[u8]) -> Option<Self> {
-        Some(Register { taken: snapshot.to_vec() })
+        Some(Register {
+            taken: snapshot.to_vec(),
+        })
     }
 }
--- a/crates/testbed/src/explorer/search.rs
+++ b/crates/testbed/src/explorer/search.rs
@@ -10,7 +10,11 @@
 const LONGEST_PATH: usize = 2000;
 const OUTAGES: [Outage; 2] = [Outage::Short, Outage::Long];
 const LATENESS: [Lateness; 2] = [Lateness::Little, Lateness::Lease];
-const DIRECTIONS: [CutDirection; 3] = [CutDirection::Both, CutDirection::Inward, CutDirection::Outward];
+const DIRECTIONS: [CutDirection; 3] = [
+    CutDirection::Both,
+    CutDirection::Inward,
+    CutDirection::Outward,
+];
 /// The set of visited states is kept in so many parts, each with its lock.
 const SHARDS: usize = 64;
 
@@ -106,7 +110,9 @@
 impl Search {
     fn is_new(&self, fingerprint: u64) -> bool {
         let shard = &self.visited[fingerprint as usize % SHARDS];
-        shard.lock().is_ok_and(|mut visited| visited.insert(fingerprint))
+        shard
+            .lock()
+            .is_ok_and(|mut visited| visited.insert(fingerprint))
     }
 
     /// This node's path by the default schedule, and all that branches off it, depth first.
@@ -125,11 +131,16 @@
             if node.cluster.may_respond() {
                 last_readable = Some(place);
             }
-            let fingerprint = node.cluster.fingerprint(node.faults_left, node.proposals_left);
+            let fingerprint = node
+                .cluster
+                .fingerprint(node.faults_left, node.proposals_left);
             if !self.is_new(fingerprint) {
                 let since = path.get(&fingerprint);
                 if since.is_some_and(|since| last_readable.is_none_or(|at| at < *since)) {
-                    self.report(&node, "the core goes round and nobody may ever answer".into());
+                    self.report(
+                        &node,
+                        "the core goes round and nobody may ever answer".into(),
+                    );
                 }
                 return;
             }
@@ -149,7 +160,10 @@
     fn report(&self, node: &Node, violation: String) {
         self.is_over.store(true, Ordering::Relaxed);
         if let Ok(mut found) = self.found.lock() {
-            found.get_or_insert(Counterexample { violation, trace: node.trace.clone() });
+            found.get_or_insert(Counterexample {
+                violation,
+                trace: node.trace.clone(),
+            });
         }
     }
 
@@ -178,13 +192,18 @@
         if self.is_over.load(Ordering::Relaxed) {
             return;
         }
-        let proposals = plan.iter().filter(|deviation| deviation.is_proposal()).count();
+        let proposals = plan
+            .iter()
+            .filter(|deviation| deviation.is_proposal())
+            .count();
         let faults = plan.len() - proposals;
         let mut after = node.clone();
         after.faults_left -= faults;
         after.proposals_left -= proposals;
         let (faults_left, proposals_left) = (after.faults_left, after.proposals_left);
-        let Some((after, open)) = self.tick(after, plan.clone()) else { return };
+        let Some((after, open)) = self.tick(after, plan.clone()) else {
+            return;
+        };
         if !plan.is_empty() {
             branch(after);
         }
@@ -192,7 +211,11 @@
             return;
         }
         for deviation in later_deviations(&node.cluster, &plan, &open) {
-            let left = if deviation.is_proposal() { proposals_left } else { faults_left };
+            let left = if deviation.is_proposal() {
+                proposals_left
+            } else {
+                faults_left
+            };
             if left > 0 {
                 let mut longer = plan.clone();
                 longer.push(deviation);
@@ -208,15 +231,26 @@
     let mut found = vec![];
     if !matches!(last, Some(Deviation::AtStep { .. })) {
         let starts = at_start(cluster);
-        let first = last.and_then(|last| starts.iter().position(|other| other == last)).map_or(0, |at| at + 1);
-        found.extend(starts.into_iter().skip(first).filter(|deviation| cluster.allows(deviation)));
+        let first = last
+            .and_then(|last| starts.iter().position(|other| other == last))
+            .map_or(0, |at| at + 1);
+        found.extend(
+            starts
+                .into_iter()
+                .skip(first)
+                .filter(|deviation| cluster.allows(deviation)),
+        );
     }
     let next = match last {
         Some(Deviation::AtStep { index, .. }) => index + 1,
         _ => 0,
     };
     for (index, step) in open.iter().enumerate().skip(next) {
-        found.extend(at_step(*step).into_iter().map(|fault| Deviation::AtStep { index, fault }));
+        found.extend(
+            at_step(*step)
+                .into_iter()
+                .map(|fault| Deviation::AtStep { index, fault }),
+        );
     }
     found
 }
@@ -226,7 +260,11 @@
     let machines = 0..cluster.machine_count();
     let mut found = vec![];
     for operator in 1..3 {
-        found.extend(machines.clone().map(|via| Deviation::Propose { operator, via }));
+        found.extend(
+            machines
+                .clone()
+                .map(|via| Deviation::Propose { operator, via }),
+        );
     }
     for place in machines {
         found.push(Deviation::PlannedReplace(place));
--- a/crates/testbed/src/explorer/stored_disk.rs
+++ b/crates/testbed/src/explorer/stored_disk.rs
@@ -36,13 +36,20 @@
     /// The records in an order that gives the same state again.
     pub fn records(&self) -> Vec<Record> {
         let fixed = [&self.accepted, &self.view, &self.promised];
-        fixed.into_iter().flatten().chain(&self.changes).cloned().collect()
+        fixed
+            .into_iter()
+            .flatten()
+            .chain(&self.changes)
+            .cloned()
+            .collect()
     }
 
     /// Whether it holds this command.
     pub fn holds(&self, id: u8) -> bool {
         self.changes.iter().any(|record| match record {
-            Record::Change { change } => Command::decode(&change.body).is_some_and(|command| command.id == id),
+            Record::Change { change } => {
+                Command::decode(&change.body).is_some_and(|command| command.id == id)
+            }
             Record::Snapshot { body, .. } => body.contains(&id),
             _ => false,
         })
--- a/crates/testbed/src/explorer/tests.rs
+++ b/crates/testbed/src/explorer/tests.rs
@@ -6,11 +6,21 @@
 use yare::parameterized;
 
 fn rules(voters: usize, copies: usize, fault: Option<DeliberateFault>) -> ClusterRules {
-    ClusterRules { voters, copies, checks_refusals: true, fault }
+    ClusterRules {
+        voters,
+        copies,
+        checks_refusals: true,
+        fault,
+    }
 }
 
 fn limits(faults: usize, proposals: usize) -> Limits {
-    Limits { faults, proposals, threads: 2, most_states: u64::MAX }
+    Limits {
+        faults,
+        proposals,
+        threads: 2,
+        most_states: u64::MAX,
+    }
 }
 
 #[parameterized(
@@ -18,7 +28,13 @@
     one_fault_of_three = { 3, 2, 1, 0, 3000 },
     one_fault_of_five = { 5, 3, 1, 0, 5000 },
 )]
-fn no_state_within_reach_must_never_be(voters: usize, copies: usize, faults: usize, proposals: usize, least: u64) {
+fn no_state_within_reach_must_never_be(
+    voters: usize,
+    copies: usize,
+    faults: usize,
+    proposals: usize,
+    least: u64,
+) {
     let found = explore(&rules(voters, copies, None), limits(faults, proposals));
     assert_eq!(found.counterexample, None);
     assert!(found.is_complete && found.states >= least, "{found:?}");
@@ -30,7 +46,17 @@
 )]
 fn walks_show_nothing_that_must_never_be(voters: usize, copies: usize) {
     for seed in 1..=60 {
-        assert_eq!(walk(&rules(voters, copies, None), Walk { seed, deviations: 8 }), None, "seed {seed}");
+        assert_eq!(
+            walk(
+                &rules(voters, copies, None),
+                Walk {
+                    seed,
+                    deviations: 8
+                }
+            ),
+            None,
+            "seed {seed}"
+        );
     }
 }
 
@@ -43,7 +69,11 @@
 fn the_search_finds_a_deliberate_fault(fault: DeliberateFault) {
     let found = explore(&rules(3, 2, Some(fault)), limits(1, 1));
     let example = found.counterexample.expect("it is found");
-    assert_eq!(replay(&rules(3, 2, None), &example.trace), None, "without the fault: {example:?}");
+    assert_eq!(
+        replay(&rules(3, 2, None), &example.trace),
+        None,
+        "without the fault: {example:?}"
+    );
 }
 
 /// The three faults of the tail's lease, where one voter is away for a moment, the tail for long, and the
@@ -57,11 +87,21 @@
     let mut seen = None;
     for (away, tail, restart) in moments() {
         let trace = vec![
-            (away, vec![Deviation::Cut(0, CutDirection::Inward, Outage::Short)]),
-            (tail, vec![Deviation::Cut(2, CutDirection::Both, Outage::Long)]),
+            (
+                away,
+                vec![Deviation::Cut(0, CutDirection::Inward, Outage::Short)],
+            ),
+            (
+                tail,
+                vec![Deviation::Cut(2, CutDirection::Both, Outage::Long)],
+            ),
             (restart, vec![Deviation::Crash(1, Outage::Brief)]),
         ];
-        assert_eq!(replay(&rules(3, 2, None), &trace), None, "without the fault: {trace:?}");
+        assert_eq!(
+            replay(&rules(3, 2, None), &trace),
+            None,
+            "without the fault: {trace:?}"
+        );
         seen = seen.or_else(|| replay(&rules(3, 2, Some(fault)), &trace));
     }
     assert!(seen.is_some_and(|what| what.contains("two replicas may answer at once")));
--- a/crates/testbed/src/explorer/walk.rs
+++ b/crates/testbed/src/explorer/walk.rs
@@ -30,7 +30,11 @@
         let is_burst = last.is_some_and(|last| tick - last < BURST_TICKS);
         let left = walk.deviations - trace.len().min(walk.deviations);
         let is_quiet = left == 0 || draws.below(if is_burst { 3 } else { 24 }) > 0;
-        let plan = if is_quiet { vec![] } else { draw_plan(&cluster, &mut draws) };
+        let plan = if is_quiet {
+            vec![]
+        } else {
+            draw_plan(&cluster, &mut draws)
+        };
         cluster.tick(&plan);
         if !plan.is_empty() {
             trace.push((tick, plan));
@@ -48,7 +52,11 @@
     let choices = later_deviations(cluster, &vec![], &open);
     let is_step = |deviation: &&Deviation| matches!(deviation, Deviation::AtStep { .. });
     let (steps, starts): (Vec<&Deviation>, Vec<&Deviation>) = choices.iter().partition(is_step);
-    let pool = if draws.below(2) == 0 || steps.is_empty() { starts } else { steps };
+    let pool = if draws.below(2) == 0 || steps.is_empty() {
+        starts
+    } else {
+        steps
+    };
     match pool.get(draws.below(pool.len().max(1) as u64) as usize) {
         Some(deviation) => vec![**deviation],
         None => vec![],
@@ -61,8 +69,15 @@
     let end = trace.last().map_or(0, |(tick, _)| *tick) + REST_TICKS;
     let mut is_readable = false;
     for tick in 1..=end {
-        let planned = trace.iter().find(|(at, _)| *at == tick).map(|(_, plan)| plan.clone()).unwrap_or_default();
-        let plan = planned.into_iter().filter(|deviation| cluster.allows(deviation)).collect();
+        let planned = trace
+            .iter()
+            .find(|(at, _)| *at == tick)
+            .map(|(_, plan)| plan.clone())
+            .unwrap_or_default();
+        let plan = planned
+            .into_iter()
+            .filter(|deviation| cluster.allows(deviation))
+            .collect();
         cluster.tick(&plan);
         if let Some(violation) = cluster.violation() {
             return Some(format!("tick {tick}: {violation}"));
@@ -79,7 +94,12 @@
         let mut shorter = found.trace.clone();
         shorter.remove(place);
         match replay(rules, &shorter) {
-            Some(violation) => found = Counterexample { violation, trace: shorter },
+            Some(violation) => {
+                found = Counterexample {
+                    violation,
+                    trace: shorter,
+                }
+            }
             None => place += 1,
         }
     }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -36,8 +36,15 @@
         let own = std::env::current_exe().unwrap_or_default();
         // A test's program lies one folder further down than the daemons'.
         let folder = own.parent().map(Path::to_owned).unwrap_or_default();
-        let programs = if folder.ends_with("deps") { folder.join("..") } else { folder };
-        FleetOptions { router_settings: String::new(), programs }
+        let programs = if folder.ends_with("deps") {
+            folder.join("..")
+        } else {
+            folder
+        };
+        FleetOptions {
+            router_settings: String::new(),
+            programs,
+        }
     }
 }
 
@@ -56,9 +63,13 @@
 
 /// Ports that are free now.
 pub fn free_ports(count: usize) -> std::io::Result<Vec<u16>> {
-    let listeners: Vec<TcpListener> =
-        (0..count).map(|_| TcpListener::bind(("127.0.0.1", 0))).collect::<std::io::Result<_>>()?;
-    listeners.iter().map(|listener| Ok(listener.local_addr()?.port())).collect()
+    let listeners: Vec<TcpListener> = (0..count)
+        .map(|_| TcpListener::bind(("127.0.0.1", 0)))
+        .collect::<std::io::Result<_>>()?;
+    listeners
+        .iter()
+        .map(|listener| Ok(listener.local_addr()?.port()))
+        .collect()
 }
 
 /// The plan that a deployment starts with.
@@ -70,8 +81,7 @@
             "first_token_ms": first_token_ms, "slots": 16, "btb": btb,
         })
     };
-    let fetch =
-        serde_json::json!({"kind": "fetch", "pool": "app", "idempotent": true, "first_token_ms": 1000, "slots": 64});
+    let fetch = serde_json::json!({"kind": "fetch", "pool": "app", "idempotent": true, "first_token_ms": 1000, "slots": 64});
     let services = match deployment {
         Deployment::Pahana => {
             serde_json::json!({"drafts": stream(true, 4000), "questions": stream(false, 2000), "pages": fetch})
@@ -100,7 +110,9 @@
     }
     /// Whether it runs.
     pub fn is_running(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
     /// Its process.
     pub fn pid(&self) -> Option<u32> {
@@ -160,21 +172,33 @@
     /// Asks it over HTTP.
     pub fn ask(&self, method: &str, path: &str, body: Vec<u8>) -> Result<(u16, Vec<u8>), String> {
         let url = format!("http://{}{path}", self.listen);
-        let response = ask_with(method, &url, body, Span(1000), Span(15_000)).map_err(|fault| fault.to_string())?;
+        let response = ask_with(method, &url, body, Span(1000), Span(15_000))
+            .map_err(|fault| fault.to_string())?;
         let status = response.status();
-        read_all(response, 64 << 20).map(|body| (status, body)).map_err(|fault| fault.to_string())
+        read_all(response, 64 << 20)
+            .map(|body| (status, body))
+            .map_err(|fault| fault.to_string())
     }
     /// What it believes.
     pub fn believes(&self) -> serde_json::Value {
-        let body = self.get("/v1/believes").map(|(_, body)| body).unwrap_or_default();
+        let body = self
+            .get("/v1/believes")
+            .map(|(_, body)| body)
+            .unwrap_or_default();
         serde_json::from_slice(&body).unwrap_or_default()
     }
     /// One of its counters.
     pub fn metric(&self, name: &str) -> u64 {
-        let text = self.get("/metrics").map(|(_, body)| body).unwrap_or_default();
+        let text = self
+            .get("/metrics")
+            .map(|(_, body)| body)
+            .unwrap_or_default();
         let text = String::from_utf8_lossy(&text).into_owned();
-        let line = text.lines().find(|line| line.split(' ').next() == Some(name));
-        line.and_then(|line| line.split(' ').nth(1)?.parse().ok()).unwrap_or(0)
+        let line = text
+            .lines()
+            .find(|line| line.split(' ').next() == Some(name));
+        line.and_then(|line| line.split(' ').nth(1)?.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -204,22 +228,42 @@
         };
         let ports = free_ports((shape.controllers + shape.routers) * 2)?;
         let address = |place: usize| Address::loopback(ports[place]);
-        let founders: Vec<String> = (0..shape.controllers).map(|n| address(n * 2 + 1).to_string()).collect();
-        let quoted = |list: &[String]| list.iter().map(|a| format!("\"{a}\"")).collect::<Vec<_>>().join(", ");
+        let founders: Vec<String> = (0..shape.controllers)
+            .map(|n| address(n * 2 + 1).to_string())
+            .collect();
+        let quoted = |list: &[String]| {
+            list.iter()
+                .map(|a| format!("\"{a}\""))
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
         let seeds = quoted(&founders[..founders.len().min(3)]);
         let mut daemons = vec![];
         for place in 0..shape.controllers + shape.routers {
             let is_controller = place < shape.controllers;
-            let number = if is_controller { place } else { place - shape.controllers };
-            let kind = if is_controller { "controller" } else { "router" };
+            let number = if is_controller {
+                place
+            } else {
+                place - shape.controllers
+            };
+            let kind = if is_controller {
+                "controller"
+            } else {
+                "router"
+            };
             let name = format!("{kind}-{number}");
             let zone = shape.zones[number % shape.zones.len()].to_owned();
             let (listen, inner) = (address(place * 2), address(place * 2 + 1));
-            let mut text =
-                format!("listen = \"{listen}\"\ninner = \"{inner}\"\nzone = \"{zone}\"\nseeds = [{seeds}]\n");
+            let mut text = format!(
+                "listen = \"{listen}\"\ninner = \"{inner}\"\nzone = \"{zone}\"\nseeds = [{seeds}]\n"
+            );
             if is_controller {
                 let data = folder.join(&name);
-                text += &format!("folder = \"{}\"\nfounders = [{}]\n", data.display(), quoted(&founders));
+                text += &format!(
+                    "folder = \"{}\"\nfounders = [{}]\n",
+                    data.display(),
+                    quoted(&founders)
+                );
             } else {
                 text += &format!("platform = \"{platform}\"\n{}", options.router_settings);
             }
@@ -227,11 +271,26 @@
             std::fs::write(&settings, text)?;
             let log = folder.join(format!("{name}.log"));
             let program = options.programs.join(kind);
-            daemons.push(Daemon { name, listen, inner, zone, program, settings, log, child: None });
+            daemons.push(Daemon {
+                name,
+                listen,
+                inner,
+                zone,
+                program,
+                settings,
+                log,
+                child: None,
+            });
         }
         daemons.iter_mut().try_for_each(Daemon::start)?;
         let routers = daemons.split_off(shape.controllers);
-        Ok(Fleet { controllers: daemons, relays: vec![], routers, folder, _temporary: temporary })
+        Ok(Fleet {
+            controllers: daemons,
+            relays: vec![],
+            routers,
+            folder,
+            _temporary: temporary,
+        })
     }
 
     /// Starts an empty controller at new addresses that knows only the seeds; gives its place.
@@ -253,7 +312,12 @@
     fn start_controller(&self, name: String, data: &str) -> std::io::Result<Daemon> {
         let ports = free_ports(2)?;
         let (listen, inner) = (Address::loopback(ports[0]), Address::loopback(ports[1]));
-        let seeds: Vec<Address> = self.controllers.iter().take(3).map(|controller| controller.inner).collect();
+        let seeds: Vec<Address> = self
+            .controllers
+            .iter()
+            .take(3)
+            .map(|controller| controller.inner)
+            .collect();
         let zone = self.controllers[0].zone.clone();
         let text = format!(
             "listen = \"{listen}\"\ninner = \"{inner}\"\nzone = \"{zone}\"\n{}\nfolder = \"{data}\"\n",
@@ -263,16 +327,36 @@
         std::fs::write(&settings, text)?;
         let log = self.folder.join(format!("{name}.log"));
         let program = self.controllers[0].program.clone();
-        let mut daemon = Daemon { name, listen, inner, zone, program, settings, log, child: None };
+        let mut daemon = Daemon {
+            name,
+            listen,
+            inner,
+            zone,
+            program,
+            settings,
+            log,
+            child: None,
+        };
         daemon.start()?;
         Ok(daemon)
     }
 
     /// Has the settings of all daemons name these seeds, from their next start on.
     pub fn name_seeds(&self, seeds: &[Address]) -> std::io::Result<()> {
-        for daemon in self.controllers.iter().chain(&self.relays).chain(&self.routers) {
+        for daemon in self
+            .controllers
+            .iter()
+            .chain(&self.relays)
+            .chain(&self.routers)
+        {
             let text = std::fs::read_to_string(&daemon.settings)?;
-            let line = |line: &str| if line.starts_with("seeds = ") { seeds_line(seeds) } else { line.to_owned() };
+            let line = |line: &str| {
+                if line.starts_with("seeds = ") {
+                    seeds_line(seeds)
+                } else {
+                    line.to_owned()
+                }
+            };
             let lines: Vec<String> = text.lines().map(line).collect();
             std::fs::write(&daemon.settings, lines.join("\n") + "\n")?;
         }
@@ -290,7 +374,11 @@
     }
 
     /// Waits until this holds, or the deadline passes.
-    pub fn await_that(patience: Span, what: &str, mut holds: impl FnMut() -> bool) -> Result<Span, String> {
+    pub fn await_that(
+        patience: Span,
+        what: &str,
+        mut holds: impl FnMut() -> bool,
+    ) -> Result<Span, String> {
         let began = Clock::now();
         while Clock::now().since(began) < patience {
             if holds() {
@@ -303,18 +391,38 @@
 
     /// Waits until the controllers form the chain.
     pub fn await_core(&self, patience: Span) -> Result<Span, String> {
-        Self::await_that(patience, "all controllers in the chain", || self.controllers.iter().all(Daemon::is_ready))
+        Self::await_that(patience, "all controllers in the chain", || {
+            self.controllers.iter().all(Daemon::is_ready)
+        })
     }
     /// Waits until all routers take requests.
     pub fn await_routers(&self, patience: Span) -> Result<Span, String> {
-        Self::await_that(patience, "all routers ready", || self.routers.iter().all(Daemon::is_ready))
+        Self::await_that(patience, "all routers ready", || {
+            self.routers.iter().all(Daemon::is_ready)
+        })
     }
     /// Puts a plan in force, asking controllers in turn.
-    pub fn put_plan(&self, id: &str, builds_on: u64, plan: &str) -> Result<serde_json::Value, String> {
+    pub fn put_plan(
+        &self,
+        id: &str,
+        builds_on: u64,
+        plan: &str,
+    ) -> Result<serde_json::Value, String> {
         let mut last = String::new();
-        for controller in self.controllers.iter().cycle().take(self.controllers.len() * 3) {
-            match controller.ask("PUT", &format!("/v1/plan?id={id}&builds_on={builds_on}"), plan.as_bytes().to_vec()) {
-                Ok((200, body)) => return serde_json::from_slice(&body).map_err(|fault| fault.to_string()),
+        for controller in self
+            .controllers
+            .iter()
+            .cycle()
+            .take(self.controllers.len() * 3)
+        {
+            match controller.ask(
+                "PUT",
+                &format!("/v1/plan?id={id}&builds_on={builds_on}"),
+                plan.as_bytes().to_vec(),
+            ) {
+                Ok((200, body)) => {
+                    return serde_json::from_slice(&body).map_err(|fault| fault.to_string());
+                }
                 Ok((status, body)) => last = format!("{status} {}", String::from_utf8_lossy(&body)),
                 Err(fault) => last = fault,
             }
@@ -349,16 +457,27 @@
 pub fn join_logs(report: &mut Report, asked: &[Asked], logs: &[RunLog], plan: &str) {
     let plan = parse_plan(plan.as_bytes()).expect("the fleet took it");
     let mut runs: HashMap<u64, u64> = HashMap::new();
-    logs.iter().for_each(|log| *runs.entry(log.print).or_default() += 1);
+    logs.iter()
+        .for_each(|log| *runs.entry(log.print).or_default() += 1);
     let mut repeats = 0;
     for one in asked.iter().filter(|one| !one.service.is_empty()) {
         let count = runs.get(&one.print).copied().unwrap_or(0);
         repeats += count.saturating_sub(1);
         if matches!(one.fate, Fate::Refused(_)) && count > 0 {
-            report.violations.push(format!("{}: told refused, and a server ran it", one.service));
+            report.violations.push(format!(
+                "{}: told refused, and a server ran it",
+                one.service
+            ));
         }
-        if count > 1 && !plan.services.get(&one.service).is_some_and(ServicePlan::may_repeat) {
-            report.violations.push(format!("{}: ran {count} times", one.service));
+        if count > 1
+            && !plan
+                .services
+                .get(&one.service)
+                .is_some_and(ServicePlan::may_repeat)
+        {
+            report
+                .violations
+                .push(format!("{}: ran {count} times", one.service));
         }
     }
     report.at_servers.insert("runs".into(), logs.len() as u64);
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -73,28 +73,45 @@
         NODE_BYTES + u64::from(self.servers) * SERVER_BYTES
     }
     fn processes(&self) -> u32 {
-        self.nodes.saturating_sub(self.zones).div_ceil(self.per_process.max(1)) + self.zones + self.controllers
+        self.nodes
+            .saturating_sub(self.zones)
+            .div_ceil(self.per_process.max(1))
+            + self.zones
+            + self.controllers
     }
     /// Why it can't fit this machine, with what would; `None` if it can.
     pub fn misfit(&self, free_bytes: u64, free_threads: u64) -> Option<String> {
         if self.nodes < self.zones || self.zones == 0 || self.zones > 200 || self.controllers < 2 {
-            return Some("wanted are at least one node a zone, 1 to 200 zones and two controllers".into());
+            return Some(
+                "wanted are at least one node a zone, 1 to 200 zones and two controllers".into(),
+            );
         }
         let may = MEMORY.min(free_bytes / 2);
-        let bytes = u64::from(self.nodes) * self.node_bytes() + u64::from(self.processes()) * PROCESS_BYTES;
+        let bytes =
+            u64::from(self.nodes) * self.node_bytes() + u64::from(self.processes()) * PROCESS_BYTES;
         let fixed = u64::from(self.controllers + self.zones + 1) * PROCESS_BYTES;
         let each = self.node_bytes() + PROCESS_BYTES / u64::from(self.per_process.max(1));
         let fit = may.saturating_sub(fixed) / each;
         if bytes > may {
             let (bytes, may) = (bytes >> 20, may >> 20);
-            return Some(format!("about {bytes} MiB are needed and {may} MiB may be used: --nodes {fit} would fit"));
+            return Some(format!(
+                "about {bytes} MiB are needed and {may} MiB may be used: --nodes {fit} would fit"
+            ));
         }
         if self.processes() > PROCESSES {
-            let per = self.nodes.div_ceil(PROCESSES - self.zones - self.controllers - 1);
-            return Some(format!("{} processes: --per-process {per} would fit", self.processes()));
+            let per = self
+                .nodes
+                .div_ceil(PROCESSES - self.zones - self.controllers - 1);
+            return Some(format!(
+                "{} processes: --per-process {per} would fit",
+                self.processes()
+            ));
         }
         if u64::from(self.nodes) * NODE_THREADS > free_threads {
-            return Some(format!("too many threads: --nodes {} would fit", free_threads / NODE_THREADS));
+            return Some(format!(
+                "too many threads: --nodes {} would fit",
+                free_threads / NODE_THREADS
+            ));
         }
         None
     }
@@ -158,9 +175,16 @@
 impl Spread {
     fn of(values: &[u64]) -> Spread {
         let mut histogram: Histogram<u64> = Histogram::new(3).expect("three digits are possible");
-        values.iter().for_each(|value| histogram.saturating_record(*value));
+        values
+            .iter()
+            .for_each(|value| histogram.saturating_record(*value));
         let at = |quantile: f64| histogram.value_at_quantile(quantile);
-        Spread { count: histogram.len(), p50: at(0.5), p99: at(0.99), max: values.iter().copied().max().unwrap_or(0) }
+        Spread {
+            count: histogram.len(),
+            p50: at(0.5),
+            p99: at(0.99),
+            max: values.iter().copied().max().unwrap_or(0),
+        }
     }
 }
 
@@ -264,12 +288,21 @@
     let process = procfs::process::Process::new(pid as i32).ok()?;
     let stat = process.stat().ok()?;
     let seconds = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
-    Some((seconds, stat.rss * procfs::page_size(), process.fd_count().ok()?))
+    Some((
+        seconds,
+        stat.rss * procfs::page_size(),
+        process.fd_count().ok()?,
+    ))
 }
 
 fn plan(number: u64) -> String {
     let services: BTreeMap<String, serde_json::Value> = (0..13)
-        .map(|n| (format!("model-{n}"), serde_json::json!({"pool": "model", "resumable": true, "slots": 64})))
+        .map(|n| {
+            (
+                format!("model-{n}"),
+                serde_json::json!({"pool": "model", "resumable": true, "slots": 64}),
+            )
+        })
         .collect();
     serde_json::json!({"services": services, "note": format!("change {number}")}).to_string()
 }
@@ -287,31 +320,64 @@
     let began = Clock::now();
     let say = |what: String| eprintln!("{:>7} ms  {what}", Clock::now().since(began).0);
     let zones: Vec<&'static str> = vec!["core-a", "core-b", "core-c", "core-d"];
-    let shape = Shape { zones, controllers: rules.controllers as usize, routers: 0, models: 0, apps: 0 };
-    let fleet = Fleet::start(&shape, Address::loopback(1), folder, &FleetOptions::default())
-        .map_err(|fault| format!("the controllers can't be started (build the workspace first): {fault}"))?;
+    let shape = Shape {
+        zones,
+        controllers: rules.controllers as usize,
+        routers: 0,
+        models: 0,
+        apps: 0,
+    };
+    let fleet = Fleet::start(
+        &shape,
+        Address::loopback(1),
+        folder,
+        &FleetOptions::default(),
+    )
+    .map_err(|fault| {
+        format!("the controllers can't be started (build the workspace first): {fault}")
+    })?;
     let core = fleet.await_core(Span::seconds(30))?;
-    say(format!("core of {} formed after {} ms", rules.controllers, core.0));
+    say(format!(
+        "core of {} formed after {} ms",
+        rules.controllers, core.0
+    ));
     fleet.put_plan("first", 0, &plan(0))?;
-    let seeds: Vec<Address> = fleet.controllers.iter().take(3).map(|controller| controller.inner).collect();
+    let seeds: Vec<Address> = fleet
+        .controllers
+        .iter()
+        .take(3)
+        .map(|controller| controller.inner)
+        .collect();
 
     let zone_of = |zone: u32| ZoneName(format!("zone-{zone}"));
     let mut collectors = vec![];
     let mut others = vec![];
     for n in 0..rules.nodes {
         let (zone, place) = (n % rules.zones, n / rules.zones);
-        let of = if place == 0 { &mut collectors } else { &mut others };
+        let of = if place == 0 {
+            &mut collectors
+        } else {
+            &mut others
+        };
         of.push((node_address(zone, place), zone_of(zone)));
     }
     let groups = collectors.chunks(1).map(|group| (Role::Collector, group));
-    let groups = groups.chain(others.chunks(rules.per_process.max(1) as usize).map(|group| (Role::Node, group)));
+    let groups = groups.chain(
+        others
+            .chunks(rules.per_process.max(1) as usize)
+            .map(|group| (Role::Node, group)),
+    );
     let (words, heard) = flume::bounded::<HostWord>(65_536);
     let mut hosts = vec![];
     for (role, group) in groups {
         hosts.push(start_host(rules, role, group, &seeds, &words)?);
         std::thread::sleep(Duration::from_millis(20));
     }
-    say(format!("{} nodes start in {} processes", rules.nodes, hosts.len()));
+    say(format!(
+        "{} nodes start in {} processes",
+        rules.nodes,
+        hosts.len()
+    ));
 
     let mut epochs: BTreeMap<Address, BTreeMap<u64, u64>> = BTreeMap::new();
     let mut sent: BTreeMap<Address, (u64, u64, u64)> = BTreeMap::new();
@@ -319,27 +385,42 @@
     let mut note = |word: HostWord, epochs: &mut BTreeMap<Address, BTreeMap<u64, u64>>| match word {
         HostWord::Epoch(node, epoch, at) => drop(epochs.entry(node).or_default().insert(epoch, at)),
         HostWord::Sent(rows, placed, refused) => {
-            sent.extend(rows.into_iter().map(|(node, letters, bytes, far)| (node, (letters, bytes, far))));
+            sent.extend(
+                rows.into_iter()
+                    .map(|(node, letters, bytes, far)| (node, (letters, bytes, far))),
+            );
             placings.push((placed, refused));
         }
     };
     let latest = |fleet: &Fleet| -> Option<(u64, usize, u64)> {
-        let found =
-            fleet.controllers.iter().find_map(|one| one.get("/v1/latest").ok().filter(|(code, _)| *code == 200));
+        let found = fleet
+            .controllers
+            .iter()
+            .find_map(|one| one.get("/v1/latest").ok().filter(|(code, _)| *code == 200));
         let value: serde_json::Value = serde_json::from_slice(&found?.1).ok()?;
-        Some((value["epoch"].as_u64()?, value["members"].as_array()?.len(), value["plan_epoch"].as_u64()?))
+        Some((
+            value["epoch"].as_u64()?,
+            value["members"].as_array()?.len(),
+            value["plan_epoch"].as_u64()?,
+        ))
     };
     let deadline = Clock::now() + Span::seconds(120);
     let mut next_say = Clock::now() + Span::seconds(2);
     loop {
         heard.drain().for_each(|word| note(word, &mut epochs));
         let (epoch, members, _) = latest(&fleet).unwrap_or_default();
-        let have = epochs.values().filter(|known| known.last_key_value().is_some_and(|(e, _)| *e == epoch)).count();
+        let have = epochs
+            .values()
+            .filter(|known| known.last_key_value().is_some_and(|(e, _)| *e == epoch))
+            .count();
         if members == rules.nodes as usize && have == members {
             break;
         }
         if Clock::now() >= deadline {
-            return Err(format!("after two minutes {members} of {} are members, {have} know", rules.nodes));
+            return Err(format!(
+                "after two minutes {members} of {} are members, {have} know",
+                rules.nodes
+            ));
         }
         if Clock::now() >= next_say {
             next_say = Clock::now() + Span::seconds(2);
@@ -349,19 +430,42 @@
     }
     let join_ms = Clock::now().since(began).0;
     say(format!("all {} are members; requests begin", rules.nodes));
-    hosts.iter_mut().for_each(|host| host.tell(&HostCommand::Load));
+    hosts
+        .iter_mut()
+        .for_each(|host| host.tell(&HostCommand::Load));
     std::thread::sleep(Duration::from_secs(4));
 
     // Measured from here on.
-    hosts.iter_mut().for_each(|host| host.tell(&HostCommand::Tell));
-    let tail = fleet.controllers.iter().position(|one| one.believes()["may_respond"] == true).unwrap_or(0);
+    hosts
+        .iter_mut()
+        .for_each(|host| host.tell(&HostCommand::Tell));
+    let tail = fleet
+        .controllers
+        .iter()
+        .position(|one| one.believes()["may_respond"] == true)
+        .unwrap_or(0);
     let pid = |place: usize| fleet.controllers[place].pid().unwrap_or(0);
     let processes: Vec<(Role, u32, u32)> = (0..fleet.controllers.len())
-        .map(|place| (if place == tail { Role::Tail } else { Role::Controller }, pid(place), 1))
-        .chain(hosts.iter().map(|host| (host.role, host.child.id(), host.nodes.len() as u32)))
+        .map(|place| {
+            (
+                if place == tail {
+                    Role::Tail
+                } else {
+                    Role::Controller
+                },
+                pid(place),
+                1,
+            )
+        })
+        .chain(
+            hosts
+                .iter()
+                .map(|host| (host.role, host.child.id(), host.nodes.len() as u32)),
+        )
         .chain([(Role::Tools, std::process::id(), 1)])
         .collect();
-    let before: Vec<Option<(f64, u64, usize)>> = processes.iter().map(|(_, pid, _)| usage(*pid)).collect();
+    let before: Vec<Option<(f64, u64, usize)>> =
+        processes.iter().map(|(_, pid, _)| usage(*pid)).collect();
     std::thread::sleep(Duration::from_millis(500));
     heard.drain().for_each(|word| note(word, &mut epochs));
     let sent_before = std::mem::take(&mut sent);
@@ -372,7 +476,10 @@
                 placings: &mut Vec<(u64, u64)>| match word {
         HostWord::Epoch(node, epoch, at) => drop(epochs.entry(node).or_default().insert(epoch, at)),
         HostWord::Sent(rows, placed, refused) => {
-            sent.extend(rows.into_iter().map(|(node, letters, bytes, far)| (node, (letters, bytes, far))));
+            sent.extend(
+                rows.into_iter()
+                    .map(|(node, letters, bytes, far)| (node, (letters, bytes, far))),
+            );
             placings.push((placed, refused));
         }
     };
@@ -380,15 +487,21 @@
     let first_epoch = latest(&fleet).map_or(0, |found| found.0);
     let span = Span::seconds(rules.seconds);
     let at = |part: u64, parts: u64| from + Span(span.0 * part / (parts + 1).max(1));
-    let mut happenings: Vec<(Moment, u8, u64)> = (1..=rules.changes).map(|n| (at(n, rules.changes), 0, n)).collect();
+    let mut happenings: Vec<(Moment, u8, u64)> = (1..=rules.changes)
+        .map(|n| (at(n, rules.changes), 0, n))
+        .collect();
     happenings.extend((1..=u64::from(rules.kills)).map(|n| (at(n, u64::from(rules.kills)), 1, n)));
-    happenings.extend((1..=u64::from(rules.replacements)).map(|n| (at(n, u64::from(rules.replacements)), 2, n)));
+    happenings.extend(
+        (1..=u64::from(rules.replacements)).map(|n| (at(n, u64::from(rules.replacements)), 2, n)),
+    );
     happenings.sort_unstable();
     let (mut changes, mut failed, mut dead) = (vec![], 0, std::collections::BTreeSet::new());
     next_say = from;
     for (at, kind, n) in happenings {
         while Clock::now() < at {
-            heard.drain().for_each(|word| note(word, &mut epochs, &mut sent, &mut placings));
+            heard
+                .drain()
+                .for_each(|word| note(word, &mut epochs, &mut sent, &mut placings));
             if Clock::now() >= next_say {
                 next_say = Clock::now() + Span::seconds(5);
                 say(format!(
@@ -418,29 +531,45 @@
             1 => {
                 let place = hosts.len() - 1 - (n as usize % hosts.len().min(8));
                 let host = &mut hosts[place];
-                let Some(victim) = host.nodes.iter().find(|node| !dead.contains(*node)).copied() else { continue };
+                let Some(victim) = host
+                    .nodes
+                    .iter()
+                    .find(|node| !dead.contains(*node))
+                    .copied()
+                else {
+                    continue;
+                };
                 let fresh = node_address(rules.zones + 1, n as u32);
                 host.tell(&HostCommand::Kill(victim));
                 host.tell(&HostCommand::Add(fresh, zone_of(n as u32 % rules.zones)));
                 dead.insert(victim);
                 say(format!("{victim} is killed, {fresh} comes"));
             }
-            _ => hosts.iter_mut().for_each(|host| host.tell(&HostCommand::ServerList(n as u32))),
+            _ => hosts
+                .iter_mut()
+                .for_each(|host| host.tell(&HostCommand::ServerList(n as u32))),
         }
     }
     while Clock::now() < from + span {
         std::thread::sleep(Duration::from_millis(50));
     }
     let seconds = Clock::now().since(from).0 as f64 / 1000.0 + 0.5;
-    let after: Vec<Option<(f64, u64, usize)>> = processes.iter().map(|(_, pid, _)| usage(*pid)).collect();
-    hosts.iter_mut().for_each(|host| host.tell(&HostCommand::Tell));
+    let after: Vec<Option<(f64, u64, usize)>> =
+        processes.iter().map(|(_, pid, _)| usage(*pid)).collect();
+    hosts
+        .iter_mut()
+        .for_each(|host| host.tell(&HostCommand::Tell));
     std::thread::sleep(Duration::from_millis(1000));
-    heard.drain().for_each(|word| note(word, &mut epochs, &mut sent, &mut placings));
+    heard
+        .drain()
+        .for_each(|word| note(word, &mut epochs, &mut sent, &mut placings));
     let last_epoch = latest(&fleet).map_or(0, |found| found.0);
 
     let mut roles: BTreeMap<Role, RoleCost> = BTreeMap::new();
     for (((role, _, nodes), before), after) in processes.iter().zip(&before).zip(&after) {
-        let (Some(before), Some(after)) = (before, after) else { continue };
+        let (Some(before), Some(after)) = (before, after) else {
+            continue;
+        };
         let cost = roles.entry(*role).or_default();
         cost.processes += 1;
         cost.nodes += nodes;
@@ -458,7 +587,9 @@
     for host in &hosts {
         let cost = roles.entry(host.role).or_default();
         for node in &host.nodes {
-            let (Some(before), Some(after)) = (sent_before.get(node), sent.get(node)) else { continue };
+            let (Some(before), Some(after)) = (sent_before.get(node), sent.get(node)) else {
+                continue;
+            };
             let nodes = f64::from(cost.nodes.max(1));
             let bytes = (after.1 - before.1) as f64 / seconds;
             cost.letters += (after.0 - before.0) as f64 / seconds / nodes;
@@ -470,17 +601,29 @@
     let (mut at_node, mut everywhere, mut unseen) = (vec![], vec![], 0);
     for (epoch, asked, _) in &changes {
         let living = epochs.iter().filter(|(node, known)| {
-            !dead.contains(*node) && known.first_key_value().is_some_and(|(_, at)| Moment(*at) < *asked)
+            !dead.contains(*node)
+                && known
+                    .first_key_value()
+                    .is_some_and(|(_, at)| Moment(*at) < *asked)
         });
-        let lags: Vec<Option<u64>> =
-            living.map(|(_, known)| known.range(epoch..).map(|(_, at)| Moment(*at).since(*asked).0).min()).collect();
+        let lags: Vec<Option<u64>> = living
+            .map(|(_, known)| {
+                known
+                    .range(epoch..)
+                    .map(|(_, at)| Moment(*at).since(*asked).0)
+                    .min()
+            })
+            .collect();
         if lags.iter().any(Option::is_none) {
             unseen += 1;
         }
         at_node.extend(lags.iter().flatten());
         everywhere.extend(lags.iter().flatten().max());
     }
-    let total = |list: &[(u64, u64)]| list.iter().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+    let total = |list: &[(u64, u64)]| {
+        list.iter()
+            .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
+    };
     let (placed, placed_before) = (total(&placings), total(&placed_before));
     Ok(HollowReport {
         rules: rules.clone(),
@@ -526,10 +669,22 @@
             }
         }
     };
-    std::thread::Builder::new().name("host".into()).spawn(read).map_err(|fault| fault.to_string())?;
+    std::thread::Builder::new()
+        .name("host".into())
+        .spawn(read)
+        .map_err(|fault| fault.to_string())?;
     let nodes = group.iter().map(|(address, _)| *address).collect();
-    let mut host = Host { role, nodes, child, commands };
-    host.tell(&HostCommand::Begin { rules: rules.clone(), nodes: group.to_vec(), seeds: seeds.to_vec() });
+    let mut host = Host {
+        role,
+        nodes,
+        child,
+        commands,
+    };
+    host.tell(&HostCommand::Begin {
+        rules: rules.clone(),
+        nodes: group.to_vec(),
+        seeds: seeds.to_vec(),
+    });
     Ok(host)
 }
 
@@ -544,7 +699,17 @@
         writeln!(
             f,
             "{:10} {:>5} {:>5} {:>8} {:>9} {:>9} {:>6} {:>8} {:>9} {:>9} {:>9}",
-            "role", "procs", "nodes", "core %", "MB/proc", "MB/node", "fds", "letters", "bytes/s", "far", "most"
+            "role",
+            "procs",
+            "nodes",
+            "core %",
+            "MB/proc",
+            "MB/node",
+            "fds",
+            "letters",
+            "bytes/s",
+            "far",
+            "most"
         )?;
         for (role, cost) in &self.roles {
             writeln!(
@@ -568,13 +733,22 @@
             ("change in force everywhere", &self.change_everywhere),
             ("change accepted", &self.change_accepted),
         ] {
-            let Spread { count, p50, p99, max } = spread;
+            let Spread {
+                count,
+                p50,
+                p99,
+                max,
+            } = spread;
             writeln!(f, "{what}: {count} times, p50 {p50} p99 {p99} max {max} ms")?;
         }
         writeln!(
             f,
             "changes failed {}, not seen by all {}; membership's epochs {}; placed {:.0}/s, refused {:.0}/s",
-            self.failed_changes, self.unseen_changes, self.membership_changes, self.placed, self.refused
+            self.failed_changes,
+            self.unseen_changes,
+            self.membership_changes,
+            self.placed,
+            self.refused
         )
     }
 }
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -60,7 +60,12 @@
             std::process::exit(0);
         })
         .map_err(|fault| fault.to_string())?;
-    let Ok(Input::Command(HostCommand::Begin { rules, nodes, seeds })) = events.recv() else {
+    let Ok(Input::Command(HostCommand::Begin {
+        rules,
+        nodes,
+        seeds,
+    })) = events.recv()
+    else {
         return Err("the first request must tell the nodes".into());
     };
     let random = mix(rules.seed ^ u64::from(std::process::id()));
@@ -111,13 +116,27 @@
     }
 
     fn add(&mut self, address: Address, zone: ZoneName) -> Result<(), String> {
-        let listener = TcpListener::bind(address.0).map_err(|fault| format!("{address}: {fault}"))?;
+        let listener =
+            TcpListener::bind(address.0).map_err(|fault| format!("{address}: {fault}"))?;
         let (place, inputs) = (self.nodes.len(), self.inputs.clone());
         let take = move |from, letter| drop(inputs.send(Input::Letter(place, from, letter)));
         let post = Post::open(listener, take).map_err(|fault| format!("{address}: {fault}"))?;
         let (seeds, life, now) = (self.seeds.clone(), self.draw() >> 12, Clock::now());
-        let node = Node::new(address, zone, seeds, life, NodeTiming::default(), SchedulerRules::default(), now);
-        self.nodes.push(HollowNode { address, node: Some(node), post, epoch: Epoch(0) });
+        let node = Node::new(
+            address,
+            zone,
+            seeds,
+            life,
+            NodeTiming::default(),
+            SchedulerRules::default(),
+            now,
+        );
+        self.nodes.push(HollowNode {
+            address,
+            node: Some(node),
+            post,
+            epoch: Epoch(0),
+        });
         self.tell_server_list(place);
         if self.is_loaded {
             self.timers.push(Reverse((now, Timer::Arrival(place))));
@@ -129,7 +148,13 @@
     fn tell_server_list(&mut self, place: usize) {
         let name = |n: u32| ServerName(format!("10.1.{}.{}:8000", n / 250, n % 250));
         // Those that were replaced have names of their own.
-        let named = |n: u32| if n < self.replaced { name(n + 50_000) } else { name(n) };
+        let named = |n: u32| {
+            if n < self.replaced {
+                name(n + 50_000)
+            } else {
+                name(n)
+            }
+        };
         let zones = self.rules.zones;
         let servers: Vec<ServerEntry> = (0..self.rules.servers)
             .map(|n| ServerEntry {
@@ -157,7 +182,9 @@
 
     fn take(&mut self, input: Input) -> Result<(), String> {
         match input {
-            Input::Letter(place, from, letter) => self.step(place, NodeInput::Letter { from, letter }),
+            Input::Letter(place, from, letter) => {
+                self.step(place, NodeInput::Letter { from, letter })
+            }
             Input::Command(HostCommand::Begin { .. }) => {}
             Input::Command(HostCommand::Load) => {
                 self.is_loaded = true;
@@ -168,7 +195,10 @@
                 }
             }
             Input::Command(HostCommand::Kill(address)) => {
-                self.nodes.iter_mut().filter(|one| one.address == address).for_each(|one| one.node = None);
+                self.nodes
+                    .iter_mut()
+                    .filter(|one| one.address == address)
+                    .for_each(|one| one.node = None);
             }
             Input::Command(HostCommand::Add(address, zone)) => self.add(address, zone)?,
             Input::Command(HostCommand::ServerList(replaced)) => {
@@ -205,12 +235,20 @@
                 self.step(place, NodeInput::ClockEvent);
             }
         }
-        while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
+        while self
+            .timers
+            .peek()
+            .is_some_and(|Reverse((at, _))| *at <= now)
+        {
             if let Some(Reverse((_, timer))) = self.timers.pop() {
                 self.on_timer(timer, now);
             }
         }
-        let nodes = self.nodes.iter().filter_map(|one| one.node.as_ref()).map(Node::next_timer);
+        let nodes = self
+            .nodes
+            .iter()
+            .filter_map(|one| one.node.as_ref())
+            .map(Node::next_timer);
         let timers = self.timers.peek().map(|Reverse((at, _))| *at);
         let timer = nodes.chain(timers).min().unwrap_or(now + Span(250));
         timer.max(now + Span(1)).min(now + Span(250))
@@ -233,9 +271,19 @@
                 self.step(place, NodeInput::Event(Event::FirstToken { request }));
             }
             Timer::End(place, request, number) => {
-                let ended = Event::Ended { request: request.clone(), outcome: Outcome::Complete };
+                let ended = Event::Ended {
+                    request: request.clone(),
+                    outcome: Outcome::Complete,
+                };
                 self.step(place, NodeInput::Event(ended));
-                self.step(place, NodeInput::Close { request, number, may_have_run: true });
+                self.step(
+                    place,
+                    NodeInput::Close {
+                        request,
+                        number,
+                        may_have_run: true,
+                    },
+                );
             }
         }
     }
@@ -243,7 +291,11 @@
     fn arrive(&mut self, place: usize, now: Moment) {
         // A tenth of the draws goes to a hundred prefixes, the rest to all.
         let draw = self.draw();
-        let most = if draw.is_multiple_of(10) { self.rules.prefixes.min(100) } else { self.rules.prefixes };
+        let most = if draw.is_multiple_of(10) {
+            self.rules.prefixes.min(100)
+        } else {
+            self.rules.prefixes
+        };
         let prefix = self.draw() % most.max(1);
         let hashes = (0..66).map(|n| PrefixHash(mix(prefix << 8 | n))).collect();
         self.number += 1;
@@ -271,9 +323,13 @@
             return;
         }
         self.placed += 1;
-        self.timers.push(Reverse((now + Span(200), Timer::First(place, request.clone()))));
+        self.timers.push(Reverse((
+            now + Span(200),
+            Timer::First(place, request.clone()),
+        )));
         let held = Span(2000 + self.draw() % 8000);
-        self.timers.push(Reverse((now + held, Timer::End(place, request, number))));
+        self.timers
+            .push(Reverse((now + held, Timer::End(place, request, number))));
     }
 
     fn step(&mut self, place: usize, input: NodeInput) {
@@ -283,20 +339,30 @@
     /// Steps a node and does what it wants; whether a request was placed.
     fn step_for(&mut self, place: usize, input: NodeInput) -> bool {
         let one = &mut self.nodes[place];
-        let Some(node) = &mut one.node else { return false };
+        let Some(node) = &mut one.node else {
+            return false;
+        };
         let mut is_placed = false;
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for output in node.step(Clock::now(), input) {
                 match output {
-                    NodeOutput::Send { to, is_bulk, letter } => {
+                    NodeOutput::Send {
+                        to,
+                        is_bulk,
+                        letter,
+                    } => {
                         let class = PostClass::of(&letter, is_bulk);
                         one.post.send(to, class, letter);
                     }
                     NodeOutput::Place { outcome, .. } => is_placed = outcome.is_ok(),
                     NodeOutput::Read { plan_epoch, bytes } => {
                         let plan = parse_plan(&bytes).map(std::sync::Arc::new);
-                        inputs.push(NodeInput::Plan { plan_epoch, plan, bytes });
+                        inputs.push(NodeInput::Plan {
+                            plan_epoch,
+                            plan,
+                            bytes,
+                        });
                     }
                     _ => {}
                 }
--- a/crates/testbed/src/hollow/threads.rs
+++ b/crates/testbed/src/hollow/threads.rs
@@ -43,7 +43,10 @@
                 most: read_number(&proc.join("sys/kernel/threads-max"))?,
                 in_use: running_in_kernel(&fs::read_to_string(proc.join("loadavg"))?)?,
             },
-            ids: ThreadBound { most: read_number(&proc.join("sys/kernel/pid_max"))?, in_use: all },
+            ids: ThreadBound {
+                most: read_number(&proc.join("sys/kernel/pid_max"))?,
+                in_use: all,
+            },
             user: user_limit(&fs::read_to_string(proc.join("self/limits"))?)
                 .map(|most| ThreadBound { most, in_use: own }),
             groups: read_groups(&fs::read_to_string(proc.join("self/cgroup"))?, cgroup),
@@ -52,7 +55,11 @@
 
     /// How many more threads all of them let start.
     pub fn free(&self) -> u64 {
-        let others = self.user.iter().chain(&self.groups).map(|bound| bound.free());
+        let others = self
+            .user
+            .iter()
+            .chain(&self.groups)
+            .map(|bound| bound.free());
         others.fold(self.kernel.free().min(self.ids.free()), u64::min)
     }
 }
@@ -62,13 +69,21 @@
 }
 
 fn read_number(path: &Path) -> io::Result<u64> {
-    fs::read_to_string(path)?.trim().parse().map_err(|_| malformed(&path.display().to_string()))
+    fs::read_to_string(path)?
+        .trim()
+        .parse()
+        .map_err(|_| malformed(&path.display().to_string()))
 }
 
 /// The second number of `1/12375`: all threads of the kernel, also those that have no id here.
 fn running_in_kernel(loadavg: &str) -> io::Result<u64> {
-    let field = loadavg.split_whitespace().nth(3).and_then(|field| field.split_once('/'));
-    field.and_then(|(_, all)| all.parse().ok()).ok_or_else(|| malformed("loadavg"))
+    let field = loadavg
+        .split_whitespace()
+        .nth(3)
+        .and_then(|field| field.split_once('/'));
+    field
+        .and_then(|(_, all)| all.parse().ok())
+        .ok_or_else(|| malformed("loadavg"))
 }
 
 /// Threads of all processes that are seen, and those of this process's user.
@@ -83,9 +98,15 @@
     let (mut all, mut own) = (0, 0);
     for entry in fs::read_dir(proc)? {
         let entry = entry?;
-        let is_process = entry.file_name().to_string_lossy().bytes().all(|byte| byte.is_ascii_digit());
+        let is_process = entry
+            .file_name()
+            .to_string_lossy()
+            .bytes()
+            .all(|byte| byte.is_ascii_digit());
         // One that has ended meanwhile counts no more.
-        let Some((threads, its_user)) = is_process.then(|| status(&entry.path())).flatten() else { continue };
+        let Some((threads, its_user)) = is_process.then(|| status(&entry.path())).flatten() else {
+            continue;
+        };
         all += threads;
         own += if its_user == user { threads } else { 0 };
     }
@@ -94,7 +115,9 @@
 
 /// The soft limit of `Max processes`; none if it is unlimited.
 fn user_limit(limits: &str) -> Option<u64> {
-    let line = limits.lines().find_map(|line| line.strip_prefix("Max processes"))?;
+    let line = limits
+        .lines()
+        .find_map(|line| line.strip_prefix("Max processes"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
@@ -104,14 +127,25 @@
     let mut bounds = vec![];
     for line in membership.lines() {
         let mut fields = line.splitn(3, ':').skip(1);
-        let (Some(controllers), Some(path)) = (fields.next(), fields.next()) else { continue };
+        let (Some(controllers), Some(path)) = (fields.next(), fields.next()) else {
+            continue;
+        };
         let root = match controllers {
             "" => cgroup.to_owned(),
-            _ if controllers.split(',').any(|controller| controller == "pids") => cgroup.join("pids"),
+            _ if controllers
+                .split(',')
+                .any(|controller| controller == "pids") =>
+            {
+                cgroup.join("pids")
+            }
             _ => continue,
         };
         let own: PathBuf = root.join(path.trim_start_matches('/'));
-        bounds.extend(own.ancestors().take_while(|folder| folder.starts_with(&root)).filter_map(group_bound));
+        bounds.extend(
+            own.ancestors()
+                .take_while(|folder| folder.starts_with(&root))
+                .filter_map(group_bound),
+        );
     }
     bounds
 }
@@ -119,7 +153,10 @@
 /// A group's limit, if it has one: without, its file says `max`.
 fn group_bound(folder: &Path) -> Option<ThreadBound> {
     let number = |name: &str| read_number(&folder.join(name)).ok();
-    Some(ThreadBound { most: number("pids.max")?, in_use: number("pids.current")? })
+    Some(ThreadBound {
+        most: number("pids.max")?,
+        in_use: number("pids.current")?,
+    })
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -15,11 +15,14 @@
 
 /// What each file imports.
 pub mod prelude {
-    pub use crate::answers::{AnswersMutant, AnswersReport, AnswersRules, Fate as AnswersFate, play_answers};
+    pub use crate::answers::{
+        AnswersMutant, AnswersReport, AnswersRules, Fate as AnswersFate, play_answers,
+    };
     pub use crate::compare::{CompareRules, Question, compare};
     pub use crate::crew::{Crew, Deployment, Shape};
     pub use crate::explorer::{
-        ClusterRules, Counterexample, DeliberateFault, Exploration, Limits, Walk, explore, replay, walk,
+        ClusterRules, Counterexample, DeliberateFault, Exploration, Limits, Walk, explore, replay,
+        walk,
     };
     pub use crate::fleet::{Daemon, Fleet, FleetOptions, free_ports, join_logs, plan_of};
     pub use crate::hollow::{HollowReport, HollowRules, hollow, host::serve as serve_hollow, plot};
@@ -29,7 +32,8 @@
     pub use crate::stand_in::{RunLog, StandIn};
     pub use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
     pub use loadgen::prelude::{
-        Asked, Campaign, CampaignRules, Fate, Mix, MixKind, PlannedRequest, Report, ask, mix, print_of,
+        Asked, Campaign, CampaignRules, Fate, Mix, MixKind, PlannedRequest, Report, ask, mix,
+        print_of,
     };
     pub use placement::prelude::{PrefixHash, ServerEntry, block_hashes};
     pub use router::prelude::{
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -218,26 +218,82 @@
 
 fn main() -> ExitCode {
     let outcome = match Line::parse().task {
-        Task::Fleet { deployment, seconds, scale, seed, plain, folder, linger, json } => {
-            play(deployment, seconds, scale, seed, plain, folder, linger, json)
-        }
-        Task::Compare { question, deployment, seed, pairs, seconds, scale, hot_share, block_micros } => {
-            let rules = CompareRules { deployment, question, seed, pairs, seconds, scale, hot_share, block_micros };
+        Task::Fleet {
+            deployment,
+            seconds,
+            scale,
+            seed,
+            plain,
+            folder,
+            linger,
+            json,
+        } => play(
+            deployment, seconds, scale, seed, plain, folder, linger, json,
+        ),
+        Task::Compare {
+            question,
+            deployment,
+            seed,
+            pairs,
+            seconds,
+            scale,
+            hot_share,
+            block_micros,
+        } => {
+            let rules = CompareRules {
+                deployment,
+                question,
+                seed,
+                pairs,
+                seconds,
+                scale,
+                hot_share,
+                block_micros,
+            };
             compare(&rules).map(|()| true)
         }
-        Task::Measure { sweep, deployment, seeds, requests, block_micros, hot_share } => {
-            let rules = MeasureRules { sweep, deployment, seeds, requests, block_micros, hot_share };
+        Task::Measure {
+            sweep,
+            deployment,
+            seeds,
+            requests,
+            block_micros,
+            hot_share,
+        } => {
+            let rules = MeasureRules {
+                sweep,
+                deployment,
+                seeds,
+                requests,
+                block_micros,
+                hot_share,
+            };
             measure(&rules).map(|()| true)
         }
-        Task::Hollow { rules, folder, json } => run_hollow(&rules, folder, json),
+        Task::Hollow {
+            rules,
+            folder,
+            json,
+        } => run_hollow(&rules, folder, json),
         Task::HollowPlot { runs, picture } => draw_hollow(&runs, &picture),
-        Task::Answers { seed, calls, lanes, only_lane, mutant } => {
-            play_answers(AnswersRules { seed, calls, lanes, only_lane, mutant }).map(|report| {
-                println!("seed {seed}, {calls} calls, {lanes} lanes");
-                print!("{report}");
-                report.violations.is_empty()
-            })
-        }
+        Task::Answers {
+            seed,
+            calls,
+            lanes,
+            only_lane,
+            mutant,
+        } => play_answers(AnswersRules {
+            seed,
+            calls,
+            lanes,
+            only_lane,
+            mutant,
+        })
+        .map(|report| {
+            println!("seed {seed}, {calls} calls, {lanes} lanes");
+            print!("{report}");
+            report.violations.is_empty()
+        }),
         Task::HollowHost => serve_hollow().map(|()| true),
         Task::Simulate {
             deployment,
@@ -276,10 +332,34 @@
             let is_swept = controllers.is_none() && relays.is_none() && copies.is_none();
             Ok(simulate(&rules, seeds, is_swept))
         }
-        Task::Explore { voters, copies, faults, proposals, threads, most_states, walks, seed, refusals, mutant } => {
-            let rules = ClusterRules { voters, copies, checks_refusals: refusals, fault: mutant };
+        Task::Explore {
+            voters,
+            copies,
+            faults,
+            proposals,
+            threads,
+            most_states,
+            walks,
+            seed,
+            refusals,
+            mutant,
+        } => {
+            let rules = ClusterRules {
+                voters,
+                copies,
+                checks_refusals: refusals,
+                fault: mutant,
+            };
             Ok(match walks {
-                0 => explore_all(&rules, Limits { faults, proposals, threads, most_states }),
+                0 => explore_all(
+                    &rules,
+                    Limits {
+                        faults,
+                        proposals,
+                        threads,
+                        most_states,
+                    },
+                ),
                 _ => walk_all(&rules, seed..seed + walks, faults),
             })
         }
@@ -295,7 +375,11 @@
 
 fn explore_all(rules: &ClusterRules, limits: Limits) -> bool {
     let found = explore(rules, limits);
-    let end = if found.is_complete { "all visited" } else { "unfinished" };
+    let end = if found.is_complete {
+        "all visited"
+    } else {
+        "unfinished"
+    };
     println!("{} states, {} ticks, {end}", found.states, found.ticks);
     found.counterexample.iter().for_each(show_counterexample);
     found.counterexample.is_none()
@@ -322,13 +406,21 @@
     }
 }
 
-fn run_hollow(rules: &HollowRules, folder: Option<PathBuf>, json: Option<PathBuf>) -> Result<bool, String> {
+fn run_hollow(
+    rules: &HollowRules,
+    folder: Option<PathBuf>,
+    json: Option<PathBuf>,
+) -> Result<bool, String> {
     let report = hollow(rules, folder)?;
     print!("{report}");
     let line = serde_json::to_string(&report).map_err(|fault| fault.to_string())?;
     if let Some(path) = json {
-        let file = std::fs::File::options().create(true).append(true).open(path);
-        file.and_then(|mut file| writeln!(file, "{line}")).map_err(|fault| fault.to_string())?;
+        let file = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(path);
+        file.and_then(|mut file| writeln!(file, "{line}"))
+            .map_err(|fault| fault.to_string())?;
     } else {
         println!("{line}");
     }
@@ -338,7 +430,10 @@
 fn draw_hollow(runs: &std::path::Path, picture: &std::path::Path) -> Result<bool, String> {
     let text = std::fs::read_to_string(runs).map_err(|fault| fault.to_string())?;
     let runs: Result<Vec<HollowReport>, _> = text.lines().map(serde_json::from_str).collect();
-    print!("{}", plot(&runs.map_err(|fault| fault.to_string())?, picture)?);
+    print!(
+        "{}",
+        plot(&runs.map_err(|fault| fault.to_string())?, picture)?
+    );
     Ok(true)
 }
 
@@ -346,7 +441,8 @@
 fn simulate(rules: &WorldRules, seeds: u64, is_swept: bool) -> bool {
     let next = std::sync::atomic::AtomicU64::new(rules.seed);
     let bad = std::sync::Mutex::new(vec![]);
-    let lags: std::sync::Mutex<std::collections::BTreeMap<&str, Vec<u64>>> = std::sync::Mutex::default();
+    let lags: std::sync::Mutex<std::collections::BTreeMap<&str, Vec<u64>>> =
+        std::sync::Mutex::default();
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get()) as u64;
     std::thread::scope(|scope| {
         for _ in 0..threads.min(seeds) {
@@ -356,37 +452,79 @@
                     if seed >= rules.seed + seeds {
                         return;
                     }
-                    let rules = WorldRules { seed, ..rules.clone() };
-                    let witness = World::new(if is_swept { rules.with_swept_size() } else { rules }).run();
+                    let rules = WorldRules {
+                        seed,
+                        ..rules.clone()
+                    };
+                    let witness = World::new(if is_swept {
+                        rules.with_swept_size()
+                    } else {
+                        rules
+                    })
+                    .run();
                     let _ = writeln!(std::io::stdout(), "seed {seed}: {witness}");
                     let mut all = lags.lock().expect("no thread panics with it");
-                    let mut note =
-                        |what, found: &mut dyn Iterator<Item = u64>| all.entry(what).or_default().extend(found);
+                    let mut note = |what, found: &mut dyn Iterator<Item = u64>| {
+                        all.entry(what).or_default().extend(found)
+                    };
                     note(
                         "placed under the epoch before, after \"accepted\"",
                         &mut witness.in_force_ms.values().copied(),
                     );
-                    note("run in a zone, after its withdrawal was accepted", &mut witness.withdrawn_ms.iter().copied());
-                    note("run at a server, after it was marked as leaving", &mut witness.leaving_ms.iter().copied());
-                    note("command accepted, after it was sent", &mut witness.accept_ms.iter().copied());
-                    note("a change accepted again, after all was healed", &mut witness.back_ms.0.into_iter());
-                    note("all controllers level again, after all was healed", &mut witness.level_ms.into_iter());
-                    note("a request complete again, after all was healed", &mut witness.back_ms.1.into_iter());
-                    let over = |(requests, repeats): &(u64, u64)| repeats.saturating_sub(requests / 5);
-                    note("repeats of a service beyond a fifth (a count)", &mut witness.repeats.values().map(over));
-                    for (service, what) in
-                        [("drafts", "first piece of drafts"), ("questions", "first piece of questions")]
-                    {
+                    note(
+                        "run in a zone, after its withdrawal was accepted",
+                        &mut witness.withdrawn_ms.iter().copied(),
+                    );
+                    note(
+                        "run at a server, after it was marked as leaving",
+                        &mut witness.leaving_ms.iter().copied(),
+                    );
+                    note(
+                        "command accepted, after it was sent",
+                        &mut witness.accept_ms.iter().copied(),
+                    );
+                    note(
+                        "a change accepted again, after all was healed",
+                        &mut witness.back_ms.0.into_iter(),
+                    );
+                    note(
+                        "all controllers level again, after all was healed",
+                        &mut witness.level_ms.into_iter(),
+                    );
+                    note(
+                        "a request complete again, after all was healed",
+                        &mut witness.back_ms.1.into_iter(),
+                    );
+                    let over =
+                        |(requests, repeats): &(u64, u64)| repeats.saturating_sub(requests / 5);
+                    note(
+                        "repeats of a service beyond a fifth (a count)",
+                        &mut witness.repeats.values().map(over),
+                    );
+                    for (service, what) in [
+                        ("drafts", "first piece of drafts"),
+                        ("questions", "first piece of questions"),
+                    ] {
                         let found = witness.first_ms.get(&ServiceName::from(service));
                         note(what, &mut found.into_iter().flatten().copied());
                     }
                     drop(all);
                     if !witness.violations.is_empty() {
                         let mut text = format!("seed {seed}:\n");
-                        witness.violations.iter().take(8).for_each(|what| text += &format!("  VIOLATION {what}\n"));
-                        witness.faults.iter().for_each(|fault| text += &format!("  {fault}\n"));
+                        witness
+                            .violations
+                            .iter()
+                            .take(8)
+                            .for_each(|what| text += &format!("  VIOLATION {what}\n"));
+                        witness
+                            .faults
+                            .iter()
+                            .for_each(|fault| text += &format!("  {fault}\n"));
                         if seeds == 1 {
-                            witness.calls.iter().for_each(|call| text += &format!("  {call}\n"));
+                            witness
+                                .calls
+                                .iter()
+                                .for_each(|call| text += &format!("  {call}\n"));
                         }
                         bad.lock().expect("no thread panics with it").push(text);
                     }
@@ -398,8 +536,18 @@
     bad.iter().for_each(|text| print!("{text}"));
     for (what, mut values) in lags.into_inner().expect("no thread panics with it") {
         values.sort_unstable();
-        let at = |percent: usize| values.get((values.len() * percent / 100).min(values.len().max(1) - 1)).unwrap_or(&0);
-        println!("{what}: {} times, p50 {} p99 {} most {} ms", values.len(), at(50), at(99), at(100));
+        let at = |percent: usize| {
+            values
+                .get((values.len() * percent / 100).min(values.len().max(1) - 1))
+                .unwrap_or(&0)
+        };
+        println!(
+            "{what}: {} times, p50 {} p99 {} most {} ms",
+            values.len(),
+            at(50),
+            at(99),
+            at(100)
+        );
     }
     println!("{seeds} seeds, {} with violations", bad.len());
     bad.is_empty()
@@ -418,8 +566,15 @@
 ) -> Result<bool, String> {
     let shape = deployment.shape();
     let crew = Crew::start(&shape, &ScheduleRules::default()).map_err(|fault| fault.to_string())?;
-    let mut fleet = Fleet::start(&shape, crew.platform.address, folder, &FleetOptions::default())
-        .map_err(|fault| format!("the daemons can't be started (build the whole workspace first): {fault}"))?;
+    let mut fleet = Fleet::start(
+        &shape,
+        crew.platform.address,
+        folder,
+        &FleetOptions::default(),
+    )
+    .map_err(|fault| {
+        format!("the daemons can't be started (build the whole workspace first): {fault}")
+    })?;
     let core = fleet.await_core(Span::seconds(20))?;
     let plan = plan_of(deployment, !plain);
     let outcome = fleet.put_plan("first", 0, &plan)?;
@@ -431,30 +586,71 @@
         );
         println!(
             "controllers: {}",
-            fleet.controllers.iter().map(|d| d.listen.to_string()).collect::<Vec<_>>().join(" ")
+            fleet
+                .controllers
+                .iter()
+                .map(|d| d.listen.to_string())
+                .collect::<Vec<_>>()
+                .join(" ")
+        );
+        println!(
+            "routers:     {}",
+            fleet
+                .routers
+                .iter()
+                .map(|d| d.listen.to_string())
+                .collect::<Vec<_>>()
+                .join(" ")
         );
-        println!("routers:     {}", fleet.routers.iter().map(|d| d.listen.to_string()).collect::<Vec<_>>().join(" "));
         println!("settings, logs and data: {}", fleet.folder.display());
     }
-    let rules =
-        CampaignRules { routers: fleet.clients_addresses(), span: Span::seconds(seconds), scale, in_hand: 1500 };
+    let rules = CampaignRules {
+        routers: fleet.clients_addresses(),
+        span: Span::seconds(seconds),
+        scale,
+        in_hand: 1500,
+    };
     let (asked, late) = Campaign::new(Mix::new(deployment.mix(), seed), rules).run();
     let mut report = Report::of(&asked, late);
     join_logs(&mut report, &asked, &crew.logs(), &plan);
-    let sum = |name: &str| fleet.routers.iter().map(|router| router.metric(name)).sum::<u64>();
-    for name in ["router_copies", "router_placed_warm", "router_placed_match", "router_placed_other", "router_repeats"]
-    {
+    let sum = |name: &str| {
+        fleet
+            .routers
+            .iter()
+            .map(|router| router.metric(name))
+            .sum::<u64>()
+    };
+    for name in [
+        "router_copies",
+        "router_placed_warm",
+        "router_placed_match",
+        "router_placed_other",
+        "router_repeats",
+    ] {
         report.at_servers.insert(name.into(), sum(name));
     }
     std::thread::sleep(std::time::Duration::from_secs(linger));
     let codes = fleet.stop();
-    let bad: Vec<String> =
-        codes.iter().filter(|(_, code)| **code != Some(0)).map(|(name, code)| format!("{name}: {code:?}")).collect();
+    let bad: Vec<String> = codes
+        .iter()
+        .filter(|(_, code)| **code != Some(0))
+        .map(|(name, code)| format!("{name}: {code:?}"))
+        .collect();
     if json {
-        println!("{}", serde_json::to_string_pretty(&report).map_err(|fault| fault.to_string())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&report).map_err(|fault| fault.to_string())?
+        );
     } else {
         print!("{report}");
-        println!("daemons that ended badly: {}", if bad.is_empty() { "none".into() } else { bad.join(", ") });
+        println!(
+            "daemons that ended badly: {}",
+            if bad.is_empty() {
+                "none".into()
+            } else {
+                bad.join(", ")
+            }
+        );
     }
     Ok(report.violations.is_empty() && bad.is_empty())
 }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -32,18 +32,38 @@
         let usual = SchedulerRules::default;
         let plan = |word: String, value: serde_json::Value| (word, value, usual());
         let swept = |name: &str, key: &str, values: &[u64]| {
-            values.iter().map(|v| plan(format!("{name} {v}"), serde_json::json!({key: v}))).collect()
+            values
+                .iter()
+                .map(|v| plan(format!("{name} {v}"), serde_json::json!({key: v})))
+                .collect()
         };
         match self {
             Sweep::Btb => {
-                vec![plan("plain".into(), serde_json::json!({"on": false})), plan("btb".into(), serde_json::json!({}))]
+                vec![
+                    plan("plain".into(), serde_json::json!({"on": false})),
+                    plan("btb".into(), serde_json::json!({})),
+                ]
             }
             Sweep::Merge => vec![
-                ("apart".into(), serde_json::json!({}), SchedulerRules { does_merge: false, ..usual() }),
+                (
+                    "apart".into(),
+                    serde_json::json!({}),
+                    SchedulerRules {
+                        does_merge: false,
+                        ..usual()
+                    },
+                ),
                 plan("merged".into(), serde_json::json!({})),
             ],
             Sweep::Admit => vec![
-                ("all taken".into(), serde_json::json!({}), SchedulerRules { does_admit: false, ..usual() }),
+                (
+                    "all taken".into(),
+                    serde_json::json!({}),
+                    SchedulerRules {
+                        does_admit: false,
+                        ..usual()
+                    },
+                ),
                 plan("admission".into(), serde_json::json!({})),
             ],
             Sweep::X => swept("X", "x", &[2, 3, 4, 6, 10]),
@@ -86,10 +106,15 @@
         times.sort_unstable();
         for percent in [50, 95, 99] {
             let at = (times.len() * percent / 100).min(times.len() - 1);
-            found.insert(format!("{service} first piece p{percent} ms"), times[at] as f64);
+            found.insert(
+                format!("{service} first piece p{percent} ms"),
+                times[at] as f64,
+            );
         }
     }
-    let share = |word: &str| 100.0 * witness.words.get(word).copied().unwrap_or(0) as f64 / witness.arrivals as f64;
+    let share = |word: &str| {
+        100.0 * witness.words.get(word).copied().unwrap_or(0) as f64 / witness.arrivals as f64
+    };
     found.insert("complete, percent".into(), share("complete"));
     found.insert("copies".into(), witness.copies as f64);
     Ok(found)
@@ -107,12 +132,18 @@
             scope.spawn(|| {
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    let (seed, side) = (number / sides.len() as u64, (number % sides.len() as u64) as usize);
+                    let (seed, side) = (
+                        number / sides.len() as u64,
+                        (number % sides.len() as u64) as usize,
+                    );
                     if seed >= rules.seeds {
                         return;
                     }
                     let (_, btb, scheduler) = sides[side].clone();
-                    let servers = ScheduleRules { block_micros: rules.block_micros, ..ScheduleRules::default() };
+                    let servers = ScheduleRules {
+                        block_micros: rules.block_micros,
+                        ..ScheduleRules::default()
+                    };
                     let world = WorldRules {
                         faults: 0,
                         span: Span::seconds(30),
@@ -129,11 +160,15 @@
                         Ok(figures) => {
                             let mut found = found.lock().expect("no thread panics with it");
                             for (name, value) in figures {
-                                found.entry(name).or_insert_with(|| vec![vec![]; sides.len()])[side].push(value);
+                                found
+                                    .entry(name)
+                                    .or_insert_with(|| vec![vec![]; sides.len()])[side]
+                                    .push(value);
                             }
                         }
                         Err(why) => {
-                            *fault.lock().expect("no thread panics with it") = Some(format!("seed {seed}: {why}"))
+                            *fault.lock().expect("no thread panics with it") =
+                                Some(format!("seed {seed}: {why}"))
                         }
                     }
                 }
@@ -145,9 +180,21 @@
     }
     println!(
         "{:?}, {:?}, {} seeds, {} requests/s, {} us a block, {} % of drafts in the burst; mean (least to most)",
-        rules.deployment, rules.sweep, rules.seeds, rules.requests, rules.block_micros, rules.hot_share
+        rules.deployment,
+        rules.sweep,
+        rules.seeds,
+        rules.requests,
+        rules.block_micros,
+        rules.hot_share
+    );
+    println!(
+        "| figure | {} |",
+        sides
+            .iter()
+            .map(|(word, ..)| word.clone())
+            .collect::<Vec<_>>()
+            .join(" | ")
     );
-    println!("| figure | {} |", sides.iter().map(|(word, ..)| word.clone()).collect::<Vec<_>>().join(" | "));
     println!("| --- |{}", " --- |".repeat(sides.len()));
     for (name, sides) in found.into_inner().expect("no thread panics with it") {
         let cells = sides.iter().map(|values| {
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -111,13 +111,23 @@
     }
     /// Takes a request; `false` if it's refused unrun.
     pub fn take(&mut self, request: &RunRequest, now: Moment) -> bool {
-        let waiting = self.runs.values().filter(|run| run.start > now && !run.is_cancelled).count();
-        if waiting >= self.rules.queue || self.strike.does_refuse || self.runs.contains_key(&request.run) {
+        let waiting = self
+            .runs
+            .values()
+            .filter(|run| run.start > now && !run.is_cancelled)
+            .count();
+        if waiting >= self.rules.queue
+            || self.strike.does_refuse
+            || self.runs.contains_key(&request.run)
+        {
             return false;
         }
         self.make_imports(now);
         let hashes = block_hashes(request.prompt.as_bytes(), self.rules.block_bytes, 4096);
-        let matched = hashes.iter().rposition(|hash| self.cache.contains_key(hash)).map_or(0, |place| place + 1);
+        let matched = hashes
+            .iter()
+            .rposition(|hash| self.cache.contains_key(hash))
+            .map_or(0, |place| place + 1);
         for hash in &hashes {
             self.uses += 1;
             self.cache.insert(*hash, self.uses);
@@ -125,7 +135,9 @@
         self.evict();
         let slow = u64::from(self.strike.slowness.max(1));
         let prefill = Span((hashes.len() - matched) as u64 * self.rules.block_micros * slow / 1000);
-        let slot = (0..self.slots.len()).min_by_key(|slot| self.slots[*slot]).unwrap_or(0);
+        let slot = (0..self.slots.len())
+            .min_by_key(|slot| self.slots[*slot])
+            .unwrap_or(0);
         let start = self.slots[slot].max(now);
         let first = start + Span(self.rules.base.0 * slow) + prefill;
         let piece = Span(self.rules.piece.0 * slow);
@@ -133,15 +145,28 @@
         self.slots[slot] = first + Span(piece.0 * pieces.saturating_sub(1));
         let breaks_after = self.strike.breaks_after;
         let print = print_of(&request.prompt);
-        let run =
-            Run { print, slot, start, first, piece, pieces, is_cancelled: false, keep: request.keep, breaks_after };
+        let run = Run {
+            print,
+            slot,
+            start,
+            first,
+            piece,
+            pieces,
+            is_cancelled: false,
+            keep: request.keep,
+            breaks_after,
+        };
         self.runs.insert(request.run.clone(), run);
         true
     }
     /// How far a run is; `None` if it isn't known.
     pub fn progress(&self, run: &RunId, now: Moment) -> Option<Progress> {
         let run = self.runs.get(run)?;
-        let there = if now < run.first { 0 } else { (1 + now.since(run.first).0 / run.piece.0.max(1)).min(run.pieces) };
+        let there = if now < run.first {
+            0
+        } else {
+            (1 + now.since(run.first).0 / run.piece.0.max(1)).min(run.pieces)
+        };
         if run.is_cancelled {
             return Some(Progress::Broke(there));
         }
@@ -161,7 +186,9 @@
     }
     /// Ends a run early.
     pub fn cancel(&mut self, run: &RunId, now: Moment) -> bool {
-        let Some(run) = self.runs.get_mut(run) else { return false };
+        let Some(run) = self.runs.get_mut(run) else {
+            return false;
+        };
         let end = run.first + Span(run.piece.0 * run.pieces.saturating_sub(1));
         if !run.is_cancelled && end > now {
             run.is_cancelled = true;
@@ -200,8 +227,18 @@
     pub fn load(&self, now: Moment) -> (u32, u32) {
         let is_live = |run: &&Run| !run.is_cancelled;
         let end = |run: &Run| run.first + Span(run.piece.0 * run.pieces.saturating_sub(1));
-        let running = self.runs.values().filter(is_live).filter(|run| run.start <= now && now < end(run)).count();
-        let waiting = self.runs.values().filter(is_live).filter(|run| run.start > now).count();
+        let running = self
+            .runs
+            .values()
+            .filter(is_live)
+            .filter(|run| run.start <= now && now < end(run))
+            .count();
+        let waiting = self
+            .runs
+            .values()
+            .filter(is_live)
+            .filter(|run| run.start > now)
+            .count();
         (running as u32, waiting as u32)
     }
     /// How many slots.
@@ -210,7 +247,9 @@
     }
 
     fn make_imports(&mut self, now: Moment) {
-        let (deadline, later) = std::mem::take(&mut self.imports).into_iter().partition(|(at, _)| *at <= now);
+        let (deadline, later) = std::mem::take(&mut self.imports)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.imports = later;
         let deadline: Vec<(Moment, PrefixHash)> = deadline;
         for (_, prefix) in deadline {
@@ -246,16 +285,34 @@
 
     #[test]
     fn prefill_is_paid_once_for_a_prefix_and_slots_are_waited_for() {
-        let rules = ScheduleRules { slots: 1, block_micros: 10_000, base: Span(0), ..ScheduleRules::default() };
+        let rules = ScheduleRules {
+            slots: 1,
+            block_micros: 10_000,
+            base: Span(0),
+            ..ScheduleRules::default()
+        };
         let mut schedule = Schedule::new(rules);
         let prompt = "x".repeat(640);
         let first_of = |schedule: &Schedule, run: &str| schedule.runs[&RunId::from(run)].first;
         assert!(schedule.take(&request("a", &prompt), Moment(0)));
         assert_eq!(first_of(&schedule, "a"), Moment(100));
         assert!(schedule.take(&request("b", &prompt), Moment(0)));
-        assert_eq!(first_of(&schedule, "b"), Moment(116), "after the slot is free, without prefill");
-        assert!(!schedule.take(&request("a", &prompt), Moment(0)), "a run's id is taken once");
-        assert_eq!(schedule.progress(&"a".into(), Moment(108)), Some(Progress::Pieces(2, Moment(116))));
-        assert_eq!(schedule.progress(&"a".into(), Moment(116)), Some(Progress::All(3)));
+        assert_eq!(
+            first_of(&schedule, "b"),
+            Moment(116),
+            "after the slot is free, without prefill"
+        );
+        assert!(
+            !schedule.take(&request("a", &prompt), Moment(0)),
+            "a run's id is taken once"
+        );
+        assert_eq!(
+            schedule.progress(&"a".into(), Moment(108)),
+            Some(Progress::Pieces(2, Moment(116)))
+        );
+        assert_eq!(
+            schedule.progress(&"a".into(), Moment(116)),
+            Some(Progress::All(3))
+        );
     }
 }
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -39,8 +39,16 @@
 
 impl StandIn {
     /// Starts one there, or at a free port; `age` is how long it says that it has been up.
-    pub fn start(address: Address, rules: ScheduleRules, incarnation: u64, age: Span) -> std::io::Result<StandIn> {
-        let bounds = GateBounds { connections: 1024, ..GateBounds::default() };
+    pub fn start(
+        address: Address,
+        rules: ScheduleRules,
+        incarnation: u64,
+        age: Span,
+    ) -> std::io::Result<StandIn> {
+        let bounds = GateBounds {
+            connections: 1024,
+            ..GateBounds::default()
+        };
         let gate = Gate::open(address.0, bounds)?;
         let report = ServerReport {
             incarnation,
@@ -65,7 +73,11 @@
         std::thread::Builder::new()
             .name("stand-in".into())
             .spawn(move || gate.serve(move |request| handler.clone().respond(&request)))?;
-        Ok(StandIn { address, inside, closer })
+        Ok(StandIn {
+            address,
+            inside,
+            closer,
+        })
     }
     /// Its name in the platform's list.
     pub fn name(&self) -> ServerName {
@@ -73,7 +85,11 @@
     }
     /// Sets what is wrong with it.
     pub fn strike(&self, strike: Strike) {
-        self.inside.schedule.lock().expect("no thread panics with it").strike = strike;
+        self.inside
+            .schedule
+            .lock()
+            .expect("no thread panics with it")
+            .strike = strike;
     }
     /// Breaks off all streams and stops listening, as a crash would.
     pub fn crash(&self) {
@@ -90,15 +106,27 @@
     }
     /// What it was asked to take, whatever it made of it: the service and the print of each.
     pub fn asked(&self) -> Vec<(String, u64)> {
-        self.inside.asked.lock().expect("no thread panics with it").clone()
+        self.inside
+            .asked
+            .lock()
+            .expect("no thread panics with it")
+            .clone()
     }
     /// What it took.
     pub fn log(&self) -> Vec<RunLog> {
-        self.inside.log.lock().expect("no thread panics with it").clone()
+        self.inside
+            .log
+            .lock()
+            .expect("no thread panics with it")
+            .clone()
     }
     /// When pages were fetched.
     pub fn pages(&self) -> Vec<Moment> {
-        self.inside.pages.lock().expect("no thread panics with it").clone()
+        self.inside
+            .pages
+            .lock()
+            .expect("no thread panics with it")
+            .clone()
     }
 }
 
@@ -121,7 +149,10 @@
             ("GET", ["pages", ..]) => Some(("pages".to_owned(), print_of(&request.path))),
             _ => None,
         };
-        self.asked.lock().expect("no thread panics with it").extend(ask);
+        self.asked
+            .lock()
+            .expect("no thread panics with it")
+            .extend(ask);
     }
 
     fn respond(self: Arc<Self>, request: &Request) -> Response {
@@ -129,7 +160,10 @@
         let strike = self.schedule().strike;
         if strike.is_dark {
             let patience = Clock::now() + Span::seconds(20);
-            while !self.is_crashed.load(Ordering::SeqCst) && Clock::now() < patience && self.schedule().strike.is_dark {
+            while !self.is_crashed.load(Ordering::SeqCst)
+                && Clock::now() < patience
+                && self.schedule().strike.is_dark
+            {
                 std::thread::sleep(Duration::from_millis(50));
             }
             return Response::streamed("text/plain", Box::new(Nothing));
@@ -137,7 +171,10 @@
         match (request.method.as_str(), request.parts().as_slice()) {
             ("POST", ["runs"]) => self.take(&request.body),
             ("GET", ["runs", run]) => {
-                let from = request.query_word("from").and_then(|word| word.parse().ok()).unwrap_or(0);
+                let from = request
+                    .query_word("from")
+                    .and_then(|word| word.parse().ok())
+                    .unwrap_or(0);
                 self.read(RunId::from(*run), from)
             }
             ("DELETE", ["runs", run]) => {
@@ -148,17 +185,24 @@
             ("POST", ["kv", way]) => self.kv(way, &request.body),
             ("DELETE", ["kv", prefix]) => {
                 let prefix = prefix.parse().map(PrefixHash);
-                prefix.into_iter().for_each(|prefix| self.schedule().drop_prefix(prefix));
+                prefix
+                    .into_iter()
+                    .for_each(|prefix| self.schedule().drop_prefix(prefix));
                 Response::json(202, &serde_json::json!({}))
             }
             ("GET", ["load"]) => self.report(),
             ("GET", ["pages", ..])
-                if request.header(LIFE_HEADER).is_some_and(|life| life != self.incarnation.to_string()) =>
+                if request
+                    .header(LIFE_HEADER)
+                    .is_some_and(|life| life != self.incarnation.to_string()) =>
             {
                 self.other_life()
             }
             ("GET", ["pages", rest @ ..]) => {
-                self.pages.lock().expect("no thread panics with it").push(Clock::now());
+                self.pages
+                    .lock()
+                    .expect("no thread panics with it")
+                    .push(Clock::now());
                 std::thread::sleep(Duration::from_millis(3));
                 Response::whole(200, "text/plain", format!("page {}\n", rest.join("/")))
             }
@@ -168,7 +212,10 @@
 
     /// It was meant for another life of this server.
     fn other_life(&self) -> Response {
-        Response::json(409, &serde_json::json!({"ran": false, "incarnation": self.incarnation}))
+        Response::json(
+            409,
+            &serde_json::json!({"ran": false, "incarnation": self.incarnation}),
+        )
     }
 
     fn take(self: Arc<Self>, body: &[u8]) -> Response {
@@ -186,8 +233,16 @@
         let (running, waiting) = schedule.load(now);
         drop(schedule);
         let (print, service) = (print_of(&request.prompt), request.service.0.clone());
-        let entry = RunLog { print, service, at: now, in_hand: running + waiting };
-        self.log.lock().expect("no thread panics with it").push(entry);
+        let entry = RunLog {
+            print,
+            service,
+            at: now,
+            in_hand: running + waiting,
+        };
+        self.log
+            .lock()
+            .expect("no thread panics with it")
+            .push(entry);
         self.read(request.run, 0)
     }
 
@@ -196,7 +251,9 @@
             return Response::json(503, &serde_json::json!({"ran": false}));
         }
         match self.schedule().progress(&run, Clock::now()) {
-            None | Some(Progress::Broke(_)) => return Response::json(410, &serde_json::json!({"ran": false})),
+            None | Some(Progress::Broke(_)) => {
+                return Response::json(410, &serde_json::json!({"ran": false}));
+            }
             Some(Progress::All(pieces)) if from > pieces => {
                 return Response::json(410, &serde_json::json!({"ran": false}));
             }
@@ -204,7 +261,12 @@
         }
         Response::streamed(
             "application/x-ndjson",
-            Box::new(RunSource { inside: self, run, next: from, is_over: false }),
+            Box::new(RunSource {
+                inside: self,
+                run,
+                next: from,
+                is_over: false,
+            }),
         )
     }
 
@@ -215,7 +277,9 @@
         };
         let mut schedule = self.schedule();
         match way {
-            "export" if schedule.holds(prefix, Clock::now()) => Response::json(202, &serde_json::json!({})),
+            "export" if schedule.holds(prefix, Clock::now()) => {
+                Response::json(202, &serde_json::json!({}))
+            }
             "import" => {
                 schedule.import(prefix, Clock::now());
                 Response::json(202, &serde_json::json!({}))
@@ -270,13 +334,20 @@
         }
         let now = Clock::now();
         let schedule = self.inside.schedule();
-        let Some(progress) = schedule.progress(&self.run, now) else { return Pull::Cut };
+        let Some(progress) = schedule.progress(&self.run, now) else {
+            return Pull::Cut;
+        };
         let (Progress::Pieces(there, _) | Progress::All(there) | Progress::Broke(there)) = progress;
         if self.next < there {
             let mut lines = String::new();
             while self.next < there {
-                let (run, n, text) = (self.run.clone(), self.next, schedule.text(&self.run, self.next));
-                lines += &serde_json::to_string(&RunPiece::Piece { run, n, text }).expect("a piece is JSON");
+                let (run, n, text) = (
+                    self.run.clone(),
+                    self.next,
+                    schedule.text(&self.run, self.next),
+                );
+                lines += &serde_json::to_string(&RunPiece::Piece { run, n, text })
+                    .expect("a piece is JSON");
                 lines.push('\n');
                 self.next += 1;
             }
@@ -286,7 +357,11 @@
         match progress {
             Progress::All(pieces) => {
                 self.is_over = true;
-                let end = RunPiece::End { run: self.run.clone(), end: true, pieces };
+                let end = RunPiece::End {
+                    run: self.run.clone(),
+                    end: true,
+                    pieces,
+                };
                 let line = serde_json::to_string(&end).expect("an end is JSON") + "\n";
                 Pull::Piece(line.into_bytes().into())
             }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -1,6 +1,8 @@
 use crate::prelude::*;
 use config::prelude::{AsSent, Command, Ledger, Proposal};
-use controller::prelude::{Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum};
+use controller::prelude::{
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+};
 use placement::prelude::{Decision, Event as SchedulerEvent, Outcome, SchedulerRules};
 use replication::prelude::{Kept, Record, Replica, Voter};
 use router::prelude::{Node, NodeInput, NodeOutput, NodeTiming, ServiceKind};
@@ -105,13 +107,30 @@
 impl ControllerMachine {
     fn new(address: Address, zone: ZoneName, offset: u64, disk: SimDisk) -> Self {
         let (controller, life, frozen_until, late, is_gone) = (None, 0, 0, vec![], false);
-        ControllerMachine { address, zone, offset, controller, life, frozen_until, late, disk, is_gone }
+        ControllerMachine {
+            address,
+            zone,
+            offset,
+            controller,
+            life,
+            frozen_until,
+            late,
+            disk,
+            is_gone,
+        }
     }
 }
 
 impl SimDisk {
     fn new(id: DiskId, delay: u64) -> Self {
-        SimDisk { id, durable: vec![], pending: vec![], delay, stalled_until: 0, full_until: 0 }
+        SimDisk {
+            id,
+            durable: vec![],
+            pending: vec![],
+            delay,
+            stalled_until: 0,
+            full_until: 0,
+        }
     }
 }
 
@@ -231,7 +250,11 @@
         self.now = end;
         self.last_checks();
         self.witness.trace = self.trace;
-        self.witness.faults = self.faults.iter().map(|fault| format!("{fault:?}")).collect();
+        self.witness.faults = self
+            .faults
+            .iter()
+            .map(|fault| format!("{fault:?}"))
+            .collect();
         self.witness
     }
 
@@ -248,7 +271,8 @@
 
     fn put(&mut self, after: u64, happening: Happening) {
         self.next_number += 1;
-        self.queue.push(Reverse((self.now + after, self.next_number)));
+        self.queue
+            .push(Reverse((self.now + after, self.next_number)));
         self.happenings.insert(self.next_number, happening);
     }
 
@@ -256,13 +280,25 @@
         let shape = self.rules.deployment.shape();
         let zone = |place: usize| ZoneName::from(shape.zones[place % shape.zones.len()]);
         // Where syncs are skipped, disks are slow, so that something is left to be lost.
-        let delay = if self.rules.mutant == Some(Mutant::SkipSync) { 400 } else { 3 };
+        let delay = if self.rules.mutant == Some(Mutant::SkipSync) {
+            400
+        } else {
+            3
+        };
         for place in 0..self.controller_count() {
             let id = DiskId(u128::from(self.draw()) << 64 | u128::from(self.draw()));
             let offset = 1_000_000 + self.below(1_000_000_000);
             let address = Address::loopback(1001 + place as u16);
-            self.controllers.push(ControllerMachine::new(address, zone(place), offset, SimDisk::new(id, delay)));
-            self.put(place as u64 * 7, Happening::StartController { machine: place });
+            self.controllers.push(ControllerMachine::new(
+                address,
+                zone(place),
+                offset,
+                SimDisk::new(id, delay),
+            ));
+            self.put(
+                place as u64 * 7,
+                Happening::StartController { machine: place },
+            );
         }
         for place in 0..self.rules.routers.unwrap_or(shape.routers) {
             let offset = 1_000_000 + self.below(1_000_000_000);
@@ -281,7 +317,10 @@
                 old: None,
                 touch: touch::Touch::default(),
             });
-            self.put(10 + place as u64 * 3, Happening::StartRouter { machine: place });
+            self.put(
+                10 + place as u64 * 3,
+                Happening::StartRouter { machine: place },
+            );
         }
         for (pool, count) in [("model", shape.models), ("app", shape.apps)] {
             for place in 0..count {
@@ -311,7 +350,9 @@
     }
 
     fn controller_count(&self) -> usize {
-        self.rules.controllers.unwrap_or(self.rules.deployment.shape().controllers)
+        self.rules
+            .controllers
+            .unwrap_or(self.rules.deployment.shape().controllers)
     }
 
     /// The platform's list as it is now; nodes see it late.
@@ -323,7 +364,12 @@
             is_leaving: server.leaving_since.is_some(),
             ..ServerEntry::default()
         };
-        let list = self.servers.iter().filter(|server| server.is_listed).map(entry).collect();
+        let list = self
+            .servers
+            .iter()
+            .filter(|server| server.is_listed)
+            .map(entry)
+            .collect();
         self.platform.push_back((self.now, list));
     }
 }
--- a/crates/testbed/src/world/aimed.rs
+++ b/crates/testbed/src/world/aimed.rs
@@ -8,7 +8,9 @@
 
 impl World {
     pub(super) fn strike_aimed(&mut self, place: usize, controller: usize) {
-        let Fault { kind, span, pick, .. } = self.faults[place].clone();
+        let Fault {
+            kind, span, pick, ..
+        } = self.faults[place].clone();
         let leader = self.operators.last_actor.unwrap_or(controller);
         let back = 50 + pick % 2500;
         match kind {
@@ -24,12 +26,24 @@
                 self.put(back, Happening::StartController { machine: leader });
             }
             FaultKind::FreezeLeader => self.controllers[leader].frozen_until = self.now + span,
-            FaultKind::KillAfterSend | FaultKind::PowerLossAfterSend => self.armed_for_send.push(place),
+            FaultKind::KillAfterSend | FaultKind::PowerLossAfterSend => {
+                self.armed_for_send.push(place)
+            }
             FaultKind::KillInWrite => self.armed_for_write.push(place),
             FaultKind::MeetReturn => {
                 self.kill_controller(controller, false);
-                self.put(back, Happening::StartController { machine: controller });
-                self.put(back + pick % 20, Happening::Meet { machine: controller });
+                self.put(
+                    back,
+                    Happening::StartController {
+                        machine: controller,
+                    },
+                );
+                self.put(
+                    back + pick % 20,
+                    Happening::Meet {
+                        machine: controller,
+                    },
+                );
             }
             FaultKind::EvacuateCut => self.evacuate_cut(place, controller),
             FaultKind::ReplacePlanned => self.replace_by_plan(controller, pick),
@@ -40,8 +54,12 @@
 
     /// Cuts a controller's machine off from all others. Half of the time operators go on reaching it, with a change.
     fn cut_off(&mut self, place: usize, machine: usize) {
-        let others: Vec<Address> =
-            self.controllers.iter().map(|m| m.address).chain(self.routers.iter().map(|m| m.address)).collect();
+        let others: Vec<Address> = self
+            .controllers
+            .iter()
+            .map(|m| m.address)
+            .chain(self.routers.iter().map(|m| m.address))
+            .collect();
         self.cut_between(place, &[self.controllers[machine].address], &others, false);
         if self.faults[place].pick.is_multiple_of(2) {
             self.propose_at(machine);
@@ -68,10 +86,17 @@
         let Fault { kind, pick, .. } = self.faults[place];
         let back = 50 + pick % 2500;
         let is_power = kind == FaultKind::PowerLossAfterSend;
-        let all = if kind == FaultKind::KillAfterSend { machine..machine + 1 } else { 0..self.controllers.len() };
+        let all = if kind == FaultKind::KillAfterSend {
+            machine..machine + 1
+        } else {
+            0..self.controllers.len()
+        };
         for struck in all {
             self.kill_controller(struck, is_power);
-            self.put(back + mix(pick ^ struck as u64) % 300, Happening::StartController { machine: struck });
+            self.put(
+                back + mix(pick ^ struck as u64) % 300,
+                Happening::StartController { machine: struck },
+            );
         }
     }
 
@@ -86,10 +111,20 @@
     fn evacuate_cut(&mut self, place: usize, machine: usize) {
         self.cut_off(place, machine);
         let zones = self.rules.deployment.shape().zones;
-        let zone = ZoneName::from(zones[(self.faults[place].pick / 3 % zones.len() as u64) as usize]);
-        self.begin(Wish::Command(Command::Withdraw { zone: zone.clone() }), Some(machine));
+        let zone =
+            ZoneName::from(zones[(self.faults[place].pick / 3 % zones.len() as u64) as usize]);
+        self.begin(
+            Wish::Command(Command::Withdraw { zone: zone.clone() }),
+            Some(machine),
+        );
         let other = (machine + 1) % self.controllers.len();
-        self.put(1600, Happening::TakeBack { zone, machine: other });
+        self.put(
+            1600,
+            Happening::TakeBack {
+                zone,
+                machine: other,
+            },
+        );
     }
 
     pub(super) fn on_take_back(&mut self, zone: ZoneName, machine: usize) {
@@ -119,7 +154,9 @@
         let pending = std::mem::take(&mut self.controllers[machine].disk.pending);
         pending
             .into_iter()
-            .for_each(|(_, _, _, records, is_whole)| self.controllers[machine].disk.keep(records, is_whole));
+            .for_each(|(_, _, _, records, is_whole)| {
+                self.controllers[machine].disk.keep(records, is_whole)
+            });
         self.kill_controller(machine, false);
         self.controllers[machine].is_gone = true;
     }
--- a/crates/testbed/src/world/aimed/tests.rs
+++ b/crates/testbed/src/world/aimed/tests.rs
@@ -3,10 +3,19 @@
 
 /// Four faults of one kind, in a run that must show nothing.
 fn play(deployment: Deployment, kind: FaultKind, seed: u64) -> Witness {
-    let rules =
-        WorldRules { faults: 4, kinds: vec![kind], requests_a_second: 5, ..WorldRules::swept(deployment, seed) };
+    let rules = WorldRules {
+        faults: 4,
+        kinds: vec![kind],
+        requests_a_second: 5,
+        ..WorldRules::swept(deployment, seed)
+    };
     let witness = World::new(rules).run();
-    assert!(witness.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", witness.violations, witness.faults);
+    assert!(
+        witness.violations.is_empty(),
+        "seed {seed}: {:#?}\n{:#?}",
+        witness.violations,
+        witness.faults
+    );
     witness
 }
 
@@ -52,10 +61,19 @@
         mutant,
         ..WorldRules::new(Deployment::Valodu, seed)
     };
-    let is_late = |witness: &Witness| witness.violations.iter().any(|what| what.contains("were level again"));
-    let caught = (1..40).find(|seed| is_late(&World::new(rules(*seed, Some(Mutant::PatientLines))).run()));
+    let is_late = |witness: &Witness| {
+        witness
+            .violations
+            .iter()
+            .any(|what| what.contains("were level again"))
+    };
+    let caught =
+        (1..40).find(|seed| is_late(&World::new(rules(*seed, Some(Mutant::PatientLines))).run()));
     let seed = caught.expect("it is seen");
-    assert!(!is_late(&World::new(rules(seed, None)).run()), "without the mutant, seed {seed}");
+    assert!(
+        !is_late(&World::new(rules(seed, None)).run()),
+        "without the mutant, seed {seed}"
+    );
 }
 
 /// Days of hundreds of changes, on the small cores and the grown ones.
@@ -74,7 +92,12 @@
         ..WorldRules::swept(deployment, seed)
     };
     let witness = World::new(rules).run();
-    assert!(witness.violations.is_empty(), "{:#?}\n{:#?}", witness.violations, witness.faults);
+    assert!(
+        witness.violations.is_empty(),
+        "{:#?}\n{:#?}",
+        witness.violations,
+        witness.faults
+    );
     assert!((100..500).contains(&witness.commands[0]), "{witness}");
 }
 
@@ -87,5 +110,10 @@
 )]
 fn nothing_on_the_list_happens_with_a_grown_core(deployment: Deployment, seed: u64) {
     let witness = World::new(WorldRules::swept(deployment, seed)).run();
-    assert!(witness.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", witness.violations, witness.faults);
+    assert!(
+        witness.violations.is_empty(),
+        "seed {seed}: {:#?}\n{:#?}",
+        witness.violations,
+        witness.faults
+    );
 }
--- a/crates/testbed/src/world/checks.rs
+++ b/crates/testbed/src/world/checks.rs
@@ -96,7 +96,10 @@
         let newest = self.node_epochs.entry(node).or_default();
         if epoch < *newest {
             let newest = *newest;
-            self.violate(now, format!("node {node} placed under epoch {epoch} after {newest}"));
+            self.violate(
+                now,
+                format!("node {node} placed under epoch {epoch} after {newest}"),
+            );
         } else {
             *newest = epoch;
         }
@@ -107,10 +110,27 @@
     /// Where most members are, each change that was told as accepted longer ago must be in that epoch. Where
     /// holders of leases are, a node that holds one knew the change before it was told, and one that holds none
     /// stops when anyone who knows it reaches it: only what was under way by then may still leave.
-    pub(super) fn sent(&mut self, now: u64, node: Address, epoch: Epoch, touch: &touch::Touch, quorum: Quorum) -> bool {
+    pub(super) fn sent(
+        &mut self,
+        now: u64,
+        node: Address,
+        epoch: Epoch,
+        touch: &touch::Touch,
+        quorum: Quorum,
+    ) -> bool {
         let mut is_apart = false;
-        for (accepted, told) in self.accepted.range(epoch.0 + 1..).map(|(a, t)| (*a, *t)).collect::<Vec<_>>() {
-            let held_or_met = || touch.leased_since(now).or_else(|| touch.met(now, accepted)).map(|at| at.max(told));
+        for (accepted, told) in self
+            .accepted
+            .range(epoch.0 + 1..)
+            .map(|(a, t)| (*a, *t))
+            .collect::<Vec<_>>()
+        {
+            let held_or_met = || {
+                touch
+                    .leased_since(now)
+                    .or_else(|| touch.met(now, accepted))
+                    .map(|at| at.max(told))
+            };
             let (since, longest) = match quorum {
                 Quorum::Majority => (Some(told), IN_FORCE),
                 Quorum::Holders => (held_or_met(), HELD),
@@ -123,9 +143,14 @@
             let most = self.in_force_ms.entry(accepted).or_default();
             *most = lag.max(*most);
             if lag > longest {
-                let word = if touch.is_leased(now) { "leased" } else { "without a lease" };
-                let what =
-                    format!("node {node}, {word}, sent under epoch {epoch}, {lag} ms after it had to know {accepted}");
+                let word = if touch.is_leased(now) {
+                    "leased"
+                } else {
+                    "without a lease"
+                };
+                let what = format!(
+                    "node {node}, {word}, sent under epoch {epoch}, {lag} ms after it had to know {accepted}"
+                );
                 self.violate(now, what);
             }
         }
@@ -138,24 +163,33 @@
                 self.decided.insert(view.epoch.0, view.clone());
             }
             Some(known) if known == view => {}
-            Some(_) => self.violate(now, format!("two views of epoch {}, one at {at}", view.epoch)),
+            Some(_) => self.violate(
+                now,
+                format!("two views of epoch {}, one at {at}", view.epoch),
+            ),
         }
     }
     pub(super) fn proposed(&mut self, now: u64, id: &str, command: &Command, base: &[u8]) {
         let read = |bytes: &[u8]| serde_json::from_slice::<serde_json::Value>(bytes).ok();
         // A change that was merged into another plan than the one that it builds on never takes effect.
         let is_of_its_base = |revisions: &config::prelude::Revisions| {
-            let found = read(base).and_then(|plan| plan["revision"].as_u64()).unwrap_or(0);
+            let found = read(base)
+                .and_then(|plan| plan["revision"].as_u64())
+                .unwrap_or(0);
             revisions.own == 0 || found == revisions.base
         };
         let whole = match command {
             Command::Plan { bytes, .. } => Some(bytes.clone()),
-            Command::Change { splice, revisions, .. } => splice.apply(base).filter(|_| is_of_its_base(revisions)),
+            Command::Change {
+                splice, revisions, ..
+            } => splice.apply(base).filter(|_| is_of_its_base(revisions)),
             _ => None,
         };
         let plan = whole.and_then(|bytes| read(&bytes));
         self.plans.extend(plan.map(|plan| (id.to_owned(), plan)));
-        self.proposed.entry(id.to_owned()).or_insert((now, command.clone()));
+        self.proposed
+            .entry(id.to_owned())
+            .or_insert((now, command.clone()));
         self.sends(id);
     }
     /// A call for this change ended at the door.
@@ -166,7 +200,9 @@
     /// knows what became of it.
     fn sends(&mut self, id: &str) {
         self.call_counts.entry(id.to_owned()).or_default().sent += 1;
-        self.fates.retain(|known, (_, code, _)| known != id || *code != u64::from(ResultCode::CoreNotReady.number()));
+        self.fates.retain(|known, (_, code, _)| {
+            known != id || *code != u64::from(ResultCode::CoreNotReady.number())
+        });
     }
     pub(super) fn operator_told(&mut self, now: u64, asked: u64, id: &str, code: u64, epoch: u64) {
         self.keep_fate(now, id, code, epoch);
@@ -188,17 +224,29 @@
     /// What is known of a change after one more answer: a clear one stays, whatever later answers say.
     fn keep_fate(&mut self, now: u64, id: &str, code: u64, epoch: u64) {
         let number = |code: ResultCode| u64::from(code.number());
-        let (accepted, not_ready, unknown) =
-            (number(ResultCode::Accepted), number(ResultCode::CoreNotReady), number(ResultCode::FateUnknown));
+        let (accepted, not_ready, unknown) = (
+            number(ResultCode::Accepted),
+            number(ResultCode::CoreNotReady),
+            number(ResultCode::FateUnknown),
+        );
         let is_clear = |code: u64| code != not_ready && code != unknown;
         let calls = self.call_counts.entry(id.to_owned()).or_default();
         calls.not_ready += u32::from(code == not_ready);
-        let code = if code == not_ready && calls.not_ready < calls.sent { unknown } else { code };
+        let code = if code == not_ready && calls.not_ready < calls.sent {
+            unknown
+        } else {
+            code
+        };
         match self.fates.get(id).copied() {
             Some((_, known, _)) if is_clear(known) && !is_clear(code) => {}
             Some((_, known, at)) if is_clear(known) => {
                 if (known == accepted || code == accepted) && (known, at) != (code, epoch) {
-                    self.violate(now, format!("{id} was told {known} with epoch {at}, then {code} with epoch {epoch}"));
+                    self.violate(
+                        now,
+                        format!(
+                            "{id} was told {known} with epoch {at}, then {code} with epoch {epoch}"
+                        ),
+                    );
                 }
             }
             _ => {
@@ -209,7 +257,10 @@
 
     /// A server was asked to take a request, whatever it made of it.
     pub(super) fn asked(&mut self, request: &RequestId, service: &ServiceName) {
-        self.asked_requests.entry(service.clone()).or_default().insert(request.clone());
+        self.asked_requests
+            .entry(service.clone())
+            .or_default()
+            .insert(request.clone());
         *self.asks.entry(service.clone()).or_default() += 1;
     }
 
@@ -237,7 +288,10 @@
             self.violate(now, format!("{request} ran {} times: {runs:?}", runs.len()));
         }
         if !self.may_be_said(now, service, newest, serde_json::Value::is_object) {
-            self.violate(now, format!("{request} ran though no plan that may be in force allows {service}"));
+            self.violate(
+                now,
+                format!("{request} ran though no plan that may be in force allows {service}"),
+            );
         }
         if let Some(since) = server.leaving_since {
             self.leaving_ms.push(now - since);
@@ -245,17 +299,32 @@
         let told = self.withdrawn_since(now, &server.zone, newest);
         self.withdrawn_ms.extend(told.map(|told| now - told));
         if told.is_some_and(|told| told + WITHDRAWN < now) {
-            self.violate(now, format!("{request} ran in withdrawn zone {}", server.zone));
+            self.violate(
+                now,
+                format!("{request} ran in withdrawn zone {}", server.zone),
+            );
         }
-        if server.leaving_since.is_some_and(|since| now > since + LEAVING) {
-            self.violate(now, format!("{request} ran at leaving server {}", server.name));
+        if server
+            .leaving_since
+            .is_some_and(|since| now > since + LEAVING)
+        {
+            self.violate(
+                now,
+                format!("{request} ran at leaving server {}", server.name),
+            );
         }
         let age = now - server.started;
         if server.started > 0 && server.pool == "model" && age < 8000 {
             // Routers may have first heard of it later than it started, never earlier.
             let cap = 2.max(16 * age / 8000) + 2;
             if u64::from(in_hand) > cap {
-                self.violate(now, format!("fresh server {} had {in_hand} requests at age {age} ms", server.name));
+                self.violate(
+                    now,
+                    format!(
+                        "fresh server {} had {in_hand} requests at age {age} ms",
+                        server.name
+                    ),
+                );
             }
         }
     }
@@ -272,12 +341,18 @@
     ) -> bool {
         let mut settled = 0;
         for (id, (told, code, epoch)) in &self.fates {
-            if self.plans.contains_key(id) && *code == 300 && *epoch <= newest && told + IN_FORCE < now {
+            if self.plans.contains_key(id)
+                && *code == 300
+                && *epoch <= newest
+                && told + IN_FORCE < now
+            {
                 settled = settled.max(*epoch);
             }
         }
         self.plans.iter().any(|(id, plan)| {
-            let Some((at, _)) = self.proposed.get(id) else { return false };
+            let Some((at, _)) = self.proposed.get(id) else {
+                return false;
+            };
             let may_count = match self.fates.get(id) {
                 Some((_, 300, epoch)) => *epoch >= settled,
                 Some((_, 304, _)) | None => true,
@@ -291,13 +366,19 @@
     /// after it, or may have.
     fn withdrawn_since(&self, now: u64, zone: &ZoneName, newest: u64) -> Option<u64> {
         let commands = |is_wanted: &dyn Fn(&Command) -> bool| {
-            let found = self.proposed.iter().filter(|(_, (_, command))| is_wanted(command));
-            found.map(|(id, (at, _))| (*at, self.fates.get(id).copied())).collect::<Vec<_>>()
+            let found = self
+                .proposed
+                .iter()
+                .filter(|(_, (_, command))| is_wanted(command));
+            found
+                .map(|(id, (at, _))| (*at, self.fates.get(id).copied()))
+                .collect::<Vec<_>>()
         };
         let withdrawn = commands(&|m| matches!(m, Command::Withdraw { zone: h } if h == zone));
         let restored = commands(&|m| matches!(m, Command::Restore { zone: h } if h == zone));
-        let accepted =
-            withdrawn.iter().filter_map(|(_, fate)| fate.filter(|(_, code, epoch)| *code == 300 && *epoch <= newest));
+        let accepted = withdrawn.iter().filter_map(|(_, fate)| {
+            fate.filter(|(_, code, epoch)| *code == 300 && *epoch <= newest)
+        });
         let (told, _, epoch) = accepted.max_by_key(|(_, _, epoch)| *epoch)?;
         let may_be_restored = restored.iter().any(|(at, fate)| match fate {
             Some((_, 300, restored)) => *restored > epoch && *at <= now,
@@ -324,7 +405,10 @@
         for (request, runs) in &runs {
             let word = self.told.get(request).copied().unwrap_or("none");
             if word == "refused" {
-                self.violate(now, format!("{request} was told refused and ran at {runs:?}"));
+                self.violate(
+                    now,
+                    format!("{request} was told refused and ran at {runs:?}"),
+                );
             }
         }
         for (service, count) in self.asks.clone() {
@@ -332,7 +416,10 @@
             let repeats = count - requests;
             self.repeats.insert(service.clone(), (requests, repeats));
             if repeats * 5 > requests + 5 * ALLOWANCE * now.div_ceil(60_000) {
-                self.violate(now, format!("{service}: {repeats} repeats of {requests} requests"));
+                self.violate(
+                    now,
+                    format!("{service}: {repeats} repeats of {requests} requests"),
+                );
             }
         }
         let Some(ledger) = ledger else {
@@ -340,34 +427,51 @@
         };
         for (id, (_, code, epoch)) in self.fates.clone() {
             let entry = ledger.entry_by_id(&id);
-            let proposed = self.proposed.get(&id).map(|(_, command)| match command.clone() {
-                Command::Plan { bytes, .. } | Command::Change { bytes, .. } => Some(AsSent::Body(bytes)),
-                Command::Withdraw { zone } => Some(AsSent::Withdraw(zone)),
-                Command::Restore { zone } => Some(AsSent::Restore(zone)),
-                Command::Forget { members } => Some(AsSent::Forget(members)),
-                _ => None,
-            });
+            let proposed = self
+                .proposed
+                .get(&id)
+                .map(|(_, command)| match command.clone() {
+                    Command::Plan { bytes, .. } | Command::Change { bytes, .. } => {
+                        Some(AsSent::Body(bytes))
+                    }
+                    Command::Withdraw { zone } => Some(AsSent::Withdraw(zone)),
+                    Command::Restore { zone } => Some(AsSent::Restore(zone)),
+                    Command::Forget { members } => Some(AsSent::Forget(members)),
+                    _ => None,
+                });
             match code {
                 300 => {
                     let reads_back = entry.is_some_and(|entry| {
                         entry.epoch.0 == epoch && proposed == Some(ledger.as_sent(entry.epoch).ok())
                     });
                     if !reads_back {
-                        self.violate(now, format!("{id}, accepted as epoch {epoch}, does not read back as sent"));
+                        self.violate(
+                            now,
+                            format!("{id}, accepted as epoch {epoch}, does not read back as sent"),
+                        );
                     }
                 }
                 304 => {}
-                code if entry.is_some() => self.violate(now, format!("{id} was told {code} and took effect")),
+                code if entry.is_some() => {
+                    self.violate(now, format!("{id} was told {code} and took effect"))
+                }
                 _ => {}
             }
         }
-        let back = self.completions.iter().find(|at| **at >= self.calm_from).map(|at| at - self.calm_from);
+        let back = self
+            .completions
+            .iter()
+            .find(|at| **at >= self.calm_from)
+            .map(|at| at - self.calm_from);
         self.back_ms.1 = back;
         if back.is_none_or(|ms| ms > 12_000) {
             self.violate(now, format!("service was back after {back:?} ms"));
         }
         if self.back_ms.0.is_none_or(|ms| ms > 12_000) {
-            self.violate(now, format!("a change was accepted again after {:?} ms", self.back_ms.0));
+            self.violate(
+                now,
+                format!("a change was accepted again after {:?} ms", self.back_ms.0),
+            );
         }
     }
 }
@@ -376,7 +480,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut times = self.accept_ms.clone();
         times.sort_unstable();
-        let at = |part: usize| times.get((times.len() * part / 100).min(times.len().max(1) - 1)).copied().unwrap_or(0);
+        let at = |part: usize| {
+            times
+                .get((times.len() * part / 100).min(times.len().max(1) - 1))
+                .copied()
+                .unwrap_or(0)
+        };
         write!(
             f,
             "requests {} {:?}, commands {:?} (p50 {} p99 {} ms), views {}, copies {}, resumed {}, back after {:?} ms, trace {:016x}",
@@ -406,46 +515,73 @@
             .controllers
             .iter()
             .filter(|m| self.now >= m.frozen_until)
-            .filter(|m| m.controller.as_ref().is_some_and(|o| o.replica().may_respond(Moment(self.now + m.offset))))
+            .filter(|m| {
+                m.controller
+                    .as_ref()
+                    .is_some_and(|o| o.replica().may_respond(Moment(self.now + m.offset)))
+            })
             .map(|m| m.address)
             .collect();
         if tails.len() > 1 {
-            self.witness.violate(self.now, format!("two tails may respond at once: {tails:?}"));
+            self.witness.violate(
+                self.now,
+                format!("two tails may respond at once: {tails:?}"),
+            );
         }
     }
 
     /// Whether the chain has all its seats, each of them level and taken by a controller that is up and knows of
     /// them. One more that stands by, as during a planned replacement, has no seat.
     fn is_core_level(&self) -> bool {
-        let Some(view) = self.witness.decided.values().next_back() else { return false };
+        let Some(view) = self.witness.decided.values().next_back() else {
+            return false;
+        };
         let is_up = |seat: &replication::prelude::Seat| {
-            let mut machines = self.controllers.iter().filter(|m| m.address == seat.voter.address && !m.is_gone);
+            let mut machines = self
+                .controllers
+                .iter()
+                .filter(|m| m.address == seat.voter.address && !m.is_gone);
             let knows = |m: &ControllerMachine| {
-                m.controller.as_ref().is_some_and(|controller| controller.replica().view() == view)
+                m.controller
+                    .as_ref()
+                    .is_some_and(|controller| controller.replica().view() == view)
             };
             machines.any(|m| m.disk.id == seat.voter.disk && knows(m))
         };
-        view.chain.len() >= self.controller_count() && view.chain.iter().all(|seat| seat.is_level && is_up(seat))
+        view.chain.len() >= self.controller_count()
+            && view.chain.iter().all(|seat| seat.is_level && is_up(seat))
     }
 
     pub(super) fn last_checks(&mut self) {
         let now = self.now;
         if self.witness.calm_from > 0 && self.witness.level_ms.is_none_or(|ms| ms > LEVEL_AGAIN) {
             let level = self.witness.level_ms;
-            self.witness.violate(now, format!("all controllers were level again after {level:?} ms"));
+            self.witness.violate(
+                now,
+                format!("all controllers were level again after {level:?} ms"),
+            );
         }
         let tail = self.controllers.iter().position(|m| {
-            m.controller.as_ref().is_some_and(|controller| controller.replica().may_respond(Moment(now + m.offset)))
+            m.controller
+                .as_ref()
+                .is_some_and(|controller| controller.replica().may_respond(Moment(now + m.offset)))
         });
-        self.history.judge().into_iter().for_each(|what| self.witness.violate(now, what));
+        self.history
+            .judge()
+            .into_iter()
+            .for_each(|what| self.witness.violate(now, what));
         self.witness.calls = self.history.lines();
-        let ledger =
-            tail.and_then(|place| self.controllers[place].controller.as_ref()).map(|o| o.replica().state_machine());
+        let ledger = tail
+            .and_then(|place| self.controllers[place].controller.as_ref())
+            .map(|o| o.replica().state_machine());
         self.witness.conclude(now, ledger);
         if let Some(view) = self.witness.decided.values().next_back() {
             let (seated, wanted) = (view.chain.len(), self.controller_count());
             if seated < wanted {
-                self.witness.violate(now, format!("the chain has {seated} of {wanted} members at the end"));
+                self.witness.violate(
+                    now,
+                    format!("the chain has {seated} of {wanted} members at the end"),
+                );
             }
         }
     }
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -53,11 +53,16 @@
     /// Sends a letter over the network as it is now.
     pub(super) fn post(&mut self, from: Address, to: Address, is_bulk: bool, letter: Letter) {
         self.note_question(&letter);
-        if self.rules.mutant == Some(Mutant::LonelySeeds) && matches!(letter, Letter::CoreLocation { .. }) {
+        if self.rules.mutant == Some(Mutant::LonelySeeds)
+            && matches!(letter, Letter::CoreLocation { .. })
+        {
             return;
         }
         let now = self.now;
-        self.routers.iter_mut().filter(|m| m.address == from).for_each(|m| m.touch.sent(now, &letter));
+        self.routers
+            .iter_mut()
+            .filter(|m| m.address == from)
+            .for_each(|m| m.touch.sent(now, &letter));
         if letter.is_datagram() {
             if !self.cut.contains(&(from, to)) {
                 self.carry(from, to, letter);
@@ -73,13 +78,21 @@
                 // What it wrote to is gone: the answer to the first bytes is a reset.
                 self.connections.lines.remove(&key);
             }
-            Some(Line { stall: Some(stall), .. }) if stall.queue.len() < MOST_QUEUED => stall.queue.push(letter),
+            Some(Line {
+                stall: Some(stall), ..
+            }) if stall.queue.len() < MOST_QUEUED => stall.queue.push(letter),
             // A full outbox loses what comes.
             Some(Line { stall: Some(_), .. }) => {}
             Some(_) if is_open => self.carry(from, to, letter),
             Some(_) => self.stall(key, letter),
             None if is_open => {
-                self.connections.lines.insert(key, Line { peer_life, stall: None });
+                self.connections.lines.insert(
+                    key,
+                    Line {
+                        peer_life,
+                        stall: None,
+                    },
+                );
                 self.carry(from, to, letter);
             }
             // No connection can be made.
@@ -91,17 +104,29 @@
     fn stall(&mut self, key: LineKey, letter: Letter) {
         let (from, to, _) = key;
         let arrives = !self.cut.contains(&(from, to));
-        let queue = if arrives { vec![] } else { vec![letter.clone()] };
+        let queue = if arrives {
+            vec![]
+        } else {
+            vec![letter.clone()]
+        };
         self.connections.next_stall += 1;
         let number = self.connections.next_stall;
-        let stall = Stall { number, since: self.now, pause: FIRST_PAUSE, queue };
+        let stall = Stall {
+            number,
+            since: self.now,
+            pause: FIRST_PAUSE,
+            queue,
+        };
         if let Some(line) = self.connections.lines.get_mut(&key) {
             line.stall = Some(stall);
         }
         if arrives {
             self.carry(from, to, letter);
         }
-        self.put(FIRST_PAUSE, Happening::SendBytesAgain { key, stall: number });
+        self.put(
+            FIRST_PAUSE,
+            Happening::SendBytesAgain { key, stall: number },
+        );
     }
 
     /// A connection's pause is over.
@@ -111,22 +136,32 @@
         let arrives = !self.cut.contains(&(from, to));
         let is_open = arrives && !self.cut.contains(&(to, from));
         let peer_life = self.life_of(to);
-        let Some(line) = self.connections.lines.get_mut(&key) else { return };
+        let Some(line) = self.connections.lines.get_mut(&key) else {
+            return;
+        };
         let is_reset = line.peer_life != peer_life;
-        let Some(stall) = line.stall.as_mut().filter(|stall| stall.number == number) else { return };
+        let Some(stall) = line.stall.as_mut().filter(|stall| stall.number == number) else {
+            return;
+        };
         if is_open && is_reset {
             self.connections.lines.remove(&key);
             return;
         }
         stall.pause *= 2;
         let pause = stall.pause;
-        let queue = if arrives { std::mem::take(&mut stall.queue) } else { vec![] };
+        let queue = if arrives {
+            std::mem::take(&mut stall.queue)
+        } else {
+            vec![]
+        };
         if is_open {
             line.stall = None;
         } else {
             self.put(pause, Happening::SendBytesAgain { key, stall: number });
         }
-        queue.into_iter().for_each(|letter| self.carry(from, to, letter));
+        queue
+            .into_iter()
+            .for_each(|letter| self.carry(from, to, letter));
     }
 
     /// Gives a connection up whose bytes have been unacknowledged for too long.
@@ -137,7 +172,11 @@
             (_, false) => LINE_DEAD_AFTER,
         };
         let now = self.now;
-        let is_dead = |line: &Line| line.stall.as_ref().is_some_and(|stall| now >= stall.since + dead_after);
+        let is_dead = |line: &Line| {
+            line.stall
+                .as_ref()
+                .is_some_and(|stall| now >= stall.since + dead_after)
+        };
         if self.connections.lines.get(&key).is_some_and(is_dead) {
             self.connections.lines.remove(&key);
         }
@@ -145,14 +184,31 @@
 
     /// Resets all connections between these pairs, both ways: what waited on them is lost.
     pub(super) fn reset_between(&mut self, pairs: &[(Address, Address)]) {
-        let is_between = |from: Address, to: Address| pairs.contains(&(from, to)) || pairs.contains(&(to, from));
-        self.connections.lines.retain(|(from, to, _), _| !is_between(*from, *to));
+        let is_between =
+            |from: Address, to: Address| pairs.contains(&(from, to)) || pairs.contains(&(to, from));
+        self.connections
+            .lines
+            .retain(|(from, to, _), _| !is_between(*from, *to));
     }
 
     fn life_of(&self, address: Address) -> u64 {
-        let controller = self.controllers.iter().find(|m| m.address == address).map(|m| m.life);
-        let router = || self.routers.iter().find(|m| m.address == address).map(|m| m.life);
-        let relay = || self.relays.iter().find(|m| m.address == address).map(|m| m.life);
+        let controller = self
+            .controllers
+            .iter()
+            .find(|m| m.address == address)
+            .map(|m| m.life);
+        let router = || {
+            self.routers
+                .iter()
+                .find(|m| m.address == address)
+                .map(|m| m.life)
+        };
+        let relay = || {
+            self.relays
+                .iter()
+                .find(|m| m.address == address)
+                .map(|m| m.life)
+        };
         controller.or_else(router).or_else(relay).unwrap_or(0)
     }
 
@@ -164,10 +220,24 @@
         let delay = 1 + self.below(4) + if self.loss > 0 { self.below(60) } else { 0 };
         if self.loss > 0 && self.chance(5) {
             let again = delay + self.below(300);
-            self.put(again, Happening::Letter { to, from, letter: letter.clone() });
+            self.put(
+                again,
+                Happening::Letter {
+                    to,
+                    from,
+                    letter: letter.clone(),
+                },
+            );
         }
         if self.rules.mutant == Some(Mutant::AnswerTwice) && matches!(letter, Letter::Told { .. }) {
-            self.put(delay + 10, Happening::Letter { to, from, letter: letter.clone() });
+            self.put(
+                delay + 10,
+                Happening::Letter {
+                    to,
+                    from,
+                    letter: letter.clone(),
+                },
+            );
         }
         self.put(delay, Happening::Letter { to, from, letter });
     }
@@ -177,7 +247,9 @@
         if self.rules.mutant == Some(Mutant::AnswerTwice)
             && let Letter::Ask { number, reading } = letter
             && let Reading::Heard { id, .. } = reading.as_ref()
-            && let Some(operator) = id.strip_prefix("op-").and_then(|operator| operator.parse().ok())
+            && let Some(operator) = id
+                .strip_prefix("op-")
+                .and_then(|operator| operator.parse().ok())
         {
             self.questions.entry(*number).or_insert((operator, false));
         }
--- a/crates/testbed/src/world/connections/tests.rs
+++ b/crates/testbed/src/world/connections/tests.rs
@@ -11,14 +11,27 @@
 
 impl Pair {
     fn new(mutant: Option<Mutant>) -> Self {
-        let mut world = World::new(WorldRules { faults: 0, mutant, ..WorldRules::new(Deployment::Pahana, 1) });
+        let mut world = World::new(WorldRules {
+            faults: 0,
+            mutant,
+            ..WorldRules::new(Deployment::Pahana, 1)
+        });
         world.queue.clear();
         world.happenings.clear();
         let (from, to) = (world.controllers[0].address, world.controllers[1].address);
-        Pair { world, from, to, arrived: vec![] }
+        Pair {
+            world,
+            from,
+            to,
+            arrived: vec![],
+        }
     }
     fn send(&mut self, round: u64) {
-        let letter = Letter::PlanAsk { epoch: Epoch(round), offset: 0, have: Epoch(0) };
+        let letter = Letter::PlanAsk {
+            epoch: Epoch(round),
+            offset: 0,
+            have: Epoch(0),
+        };
         self.world.post(self.from, self.to, false, letter);
     }
     fn cut(&mut self, is_cut: bool) {
@@ -38,7 +51,10 @@
             self.world.queue.pop();
             self.world.now = at;
             match self.world.happenings.remove(&number) {
-                Some(Happening::Letter { letter: Letter::PlanAsk { epoch, .. }, .. }) => {
+                Some(Happening::Letter {
+                    letter: Letter::PlanAsk { epoch, .. },
+                    ..
+                }) => {
                     self.arrived.push((epoch.0, at));
                 }
                 Some(other) => self.world.happen(other),
@@ -64,7 +80,11 @@
     pair.cut(false);
     pair.send(3);
     pair.run_until(1499);
-    assert_eq!(pair.rounds(), [1], "the connection stands still though its path is whole");
+    assert_eq!(
+        pair.rounds(),
+        [1],
+        "the connection stands still though its path is whole"
+    );
     pair.run_until(1600);
     let mut late = pair.rounds();
     late.sort_unstable();
--- a/crates/testbed/src/world/disk_losses.rs
+++ b/crates/testbed/src/world/disk_losses.rs
@@ -7,19 +7,33 @@
     /// one be lost.
     pub(super) fn is_core_whole(&self) -> bool {
         let now = self.now;
-        let controllers = self.controllers.iter().filter_map(|m| m.controller.as_ref());
-        let Some(view) = controllers.map(|controller| controller.replica().view()).max_by_key(|view| view.epoch) else {
+        let controllers = self
+            .controllers
+            .iter()
+            .filter_map(|m| m.controller.as_ref());
+        let Some(view) = controllers
+            .map(|controller| controller.replica().view())
+            .max_by_key(|view| view.epoch)
+        else {
             return false;
         };
         let is_up = |seat: &replication::prelude::Seat| {
-            let mut machines = self.controllers.iter().filter(|m| !m.is_gone && m.controller.is_some());
+            let mut machines = self
+                .controllers
+                .iter()
+                .filter(|m| !m.is_gone && m.controller.is_some());
             machines.any(|m| {
-                seat.voter == Voter { address: m.address, disk: m.disk.id }
+                seat.voter
+                    == Voter {
+                        address: m.address,
+                        disk: m.disk.id,
+                    }
                     && now >= m.frozen_until
                     && now >= m.disk.full_until
             })
         };
-        view.chain.len() == self.controller_count() && view.chain.iter().all(|seat| seat.is_level && is_up(seat))
+        view.chain.len() == self.controller_count()
+            && view.chain.iter().all(|seat| seat.is_level && is_up(seat))
     }
 
     /// One disk at a time may be lost: only while all others hold everything.
@@ -51,28 +65,49 @@
         let id = DiskId(u128::from(self.draw()) << 64 | u128::from(self.draw()));
         let offset = 1_000_000 + self.below(1_000_000_000);
         let address = Address::loopback(1501 + number);
-        self.controllers.push(ControllerMachine::new(address, zone, offset, SimDisk::new(id, 3)));
+        self.controllers.push(ControllerMachine::new(
+            address,
+            zone,
+            offset,
+            SimDisk::new(id, 3),
+        ));
         self.controllers.len() - 1
     }
 
     /// Wipes as many disks as may be lost at once and cuts all power, while each machine votes with its disk:
     /// only then do most voters remain.
     pub(super) fn lose_budget(&mut self, pick: u64, back: u64) {
-        let controllers = self.controllers.iter().filter_map(|m| m.controller.as_ref());
-        let newest = controllers.map(|controller| controller.replica().view()).max_by_key(|view| view.epoch);
+        let controllers = self
+            .controllers
+            .iter()
+            .filter_map(|m| m.controller.as_ref());
+        let newest = controllers
+            .map(|controller| controller.replica().view())
+            .max_by_key(|view| view.epoch);
         let is_voter = |m: &&ControllerMachine| {
-            newest.is_some_and(|v| v.has_voter(&Voter { address: m.address, disk: m.disk.id }))
+            newest.is_some_and(|v| {
+                v.has_voter(&Voter {
+                    address: m.address,
+                    disk: m.disk.id,
+                })
+            })
         };
-        let all: Vec<usize> = (0..self.controllers.len()).filter(|place| !self.controllers[*place].is_gone).collect();
+        let all: Vec<usize> = (0..self.controllers.len())
+            .filter(|place| !self.controllers[*place].is_gone)
+            .collect();
         if !all.iter().all(|place| is_voter(&&self.controllers[*place])) {
             return;
         }
         let zones = self.rules.deployment.shape().zones;
         let zone = ZoneName::from(zones[(pick / 2 % zones.len() as u64) as usize]);
-        let is_struck = |place: &usize| pick.is_multiple_of(2) || self.controllers[*place].zone == zone;
+        let is_struck =
+            |place: &usize| pick.is_multiple_of(2) || self.controllers[*place].zone == zone;
         let from = (pick / 5) as usize % all.len();
         let in_turn = (0..all.len()).map(|step| all[(from + step) % all.len()]);
-        let victims: Vec<usize> = in_turn.filter(is_struck).take(self.rules.copies - 1).collect();
+        let victims: Vec<usize> = in_turn
+            .filter(is_struck)
+            .take(self.rules.copies - 1)
+            .collect();
         for machine in all {
             self.kill_controller(machine, true);
             if victims.contains(&machine) {
@@ -81,7 +116,10 @@
                 disk.durable.clear();
                 disk.id = new_id;
             }
-            self.put(back + machine as u64 * 30, Happening::StartController { machine });
+            self.put(
+                back + machine as u64 * 30,
+                Happening::StartController { machine },
+            );
         }
     }
 }
--- a/crates/testbed/src/world/door.rs
+++ b/crates/testbed/src/world/door.rs
@@ -17,7 +17,11 @@
 impl World {
     /// A call reaches a controller, if that is still the process that it was sent to.
     pub(super) fn on_call_reaches(&mut self, machine: usize, life: u64, call: u64) {
-        let happening = Happening::CallReaches { machine, life, call };
+        let happening = Happening::CallReaches {
+            machine,
+            life,
+            call,
+        };
         let m = &self.controllers[machine];
         if m.life != life || m.controller.is_none() {
             // Refused or reset: the operator knows at once.
@@ -26,7 +30,9 @@
         if !self.is_awake(true, machine, &happening) {
             return;
         }
-        let Some((wish, asked)) = self.asked_of(call) else { return };
+        let Some((wish, asked)) = self.asked_of(call) else {
+            return;
+        };
         match wish {
             Wish::ReadState => self.read(machine, call, asked, Reading::Latest),
             Wish::ReadPlan => self.read(machine, call, asked, Reading::Epoch { epoch: Epoch(0) }),
@@ -48,8 +54,19 @@
 
     /// A controller sees that an operator's connection is closed.
     pub(super) fn on_hang_up(&mut self, machine: usize, life: u64, call: u64) {
-        let is_same = self.controllers[machine].life == life && self.controllers[machine].controller.is_some();
-        if !is_same || !self.is_awake(true, machine, &Happening::HangUp { machine, life, call }) {
+        let is_same = self.controllers[machine].life == life
+            && self.controllers[machine].controller.is_some();
+        if !is_same
+            || !self.is_awake(
+                true,
+                machine,
+                &Happening::HangUp {
+                    machine,
+                    life,
+                    call,
+                },
+            )
+        {
             return;
         }
         self.door.remove(&call);
@@ -60,16 +77,25 @@
 
     fn read(&mut self, machine: usize, call: u64, asked: Asked, reading: Reading) {
         self.operators.asked.insert(call, asked);
-        if self.rules.mutant == Some(Mutant::StaleReads) && matches!(reading, Reading::Epoch { .. }) {
+        if self.rules.mutant == Some(Mutant::StaleReads) && matches!(reading, Reading::Epoch { .. })
+        {
             return self.read_here(machine, call);
         }
-        self.step_controller(machine, ControllerInput::Operator { number: call, ask: OperatorAsk::Read(reading) });
+        self.step_controller(
+            machine,
+            ControllerInput::Operator {
+                number: call,
+                ask: OperatorAsk::Read(reading),
+            },
+        );
     }
 
     /// For the mutant: the plan as this controller has it.
     fn read_here(&mut self, machine: usize, call: u64) {
         let controller = self.controllers[machine].controller.as_ref();
-        let plan = controller.map(|controller| controller.replica().state_machine().plan.clone()).unwrap_or_default();
+        let plan = controller
+            .map(|controller| controller.replica().state_machine().plan.clone())
+            .unwrap_or_default();
         self.on_operator_response(call, if plan.is_empty() { 404 } else { 200 }, &plan);
     }
 
@@ -92,21 +118,41 @@
             Some(Basis::Epoch(epoch)) => Some(Epoch(epoch)),
             _ => None,
         };
-        let proposal = Proposal { id: asked.id.clone(), builds_on, seen: Epoch(0), command: command.clone() };
+        let proposal = Proposal {
+            id: asked.id.clone(),
+            builds_on,
+            seen: Epoch(0),
+            command: command.clone(),
+        };
         asked.command = Some(command);
         self.operators.asked.insert(call, asked);
-        self.step_controller(machine, ControllerInput::Operator { number: call, ask: OperatorAsk::Propose(proposal) });
+        self.step_controller(
+            machine,
+            ControllerInput::Operator {
+                number: call,
+                ask: OperatorAsk::Propose(proposal),
+            },
+        );
     }
 
     /// A controller answers: the door goes on with a patch, or hands the answer to the operator.
-    pub(super) fn on_controller_response(&mut self, machine: usize, number: u64, status: u16, body: &[u8]) {
+    pub(super) fn on_controller_response(
+        &mut self,
+        machine: usize,
+        number: u64,
+        status: u16,
+        body: &[u8],
+    ) {
         match self.door.remove(&number) {
             None => self.on_operator_response(number, status, body),
             Some(PatchStep::ReadsBase(bytes, basis)) if status == 200 && body.len() >= 8 => {
-                let Some(asked) = self.operators.asked.remove(&number) else { return };
+                let Some(asked) = self.operators.asked.remove(&number) else {
+                    return;
+                };
                 let (epoch, plan) = body.split_at(8);
                 let epoch = Epoch(u64::from_be_bytes(epoch.try_into().unwrap_or_default()));
-                let command = Command::change_in(&OwnPlans, bytes, epoch, plan, base_revision(basis));
+                let command =
+                    Command::change_in(&OwnPlans, bytes, epoch, plan, base_revision(basis));
                 self.propose(machine, number, asked, command, Some(basis), plan);
             }
             Some(PatchStep::ReadsBase(..)) => self.answer_patch(number, ResultCode::CoreNotReady),
@@ -120,12 +166,19 @@
     }
 
     fn answer_patch(&mut self, number: u64, code: ResultCode) {
-        self.answer_patch_as(number, serde_json::json!({"code": code.number()}).to_string().as_bytes());
+        self.answer_patch_as(
+            number,
+            serde_json::json!({"code": code.number()})
+                .to_string()
+                .as_bytes(),
+        );
     }
 
     /// The answer to a patch that wasn't proposed this time.
     fn answer_patch_as(&mut self, number: u64, body: &[u8]) {
-        let Some(mut asked) = self.operators.asked.remove(&number) else { return };
+        let Some(mut asked) = self.operators.asked.remove(&number) else {
+            return;
+        };
         self.witness.not_proposed(&asked.id);
         asked.command = Some(Command::Settle { since: Epoch(0) });
         self.operators.asked.insert(number, asked);
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -20,7 +20,11 @@
 
 impl World {
     pub(super) fn plan_faults(&mut self) {
-        let mut kinds = if self.rules.kinds.is_empty() { KINDS.to_vec() } else { self.rules.kinds.clone() };
+        let mut kinds = if self.rules.kinds.is_empty() {
+            KINDS.to_vec()
+        } else {
+            self.rules.kinds.clone()
+        };
         if self.rules.kinds.is_empty() && self.rules.relays > 0 {
             // As often as several of the others: most of what it may bring about needs one more fault behind it.
             kinds.extend([FaultKind::ExchangeSeeds; 6]);
@@ -28,13 +32,27 @@
         for place in 0..self.rules.faults as usize {
             let kind = kinds[self.below(kinds.len() as u64) as usize];
             let at = 4000 + self.below(self.rules.span.0.saturating_sub(8000));
-            let longest = if kind == FaultKind::CutController { 16_500 } else { 5500 };
+            let longest = if kind == FaultKind::CutController {
+                16_500
+            } else {
+                5500
+            };
             let span = (500 + self.below(longest)).min(self.rules.span.0 - at);
             let pick = self.draw();
             // Some days end with a closing fault, right before all is healed.
             let is_closing = place + 1 == self.rules.faults as usize && pick.is_multiple_of(3);
-            let (at, span) = if is_closing { (self.rules.span.0 - 200, 150) } else { (at, span) };
-            self.faults.push(Fault { kind, at, span, pick, cut: vec![] });
+            let (at, span) = if is_closing {
+                (self.rules.span.0 - 200, 150)
+            } else {
+                (at, span)
+            };
+            self.faults.push(Fault {
+                kind,
+                at,
+                span,
+                pick,
+                cut: vec![],
+            });
             self.put(at, Happening::Strike { place });
             self.put(at + span, Happening::Heal { place });
         }
@@ -42,7 +60,13 @@
         self.put(self.rules.span.0, Happening::Heal { place });
     }
 
-    pub(super) fn cut_between(&mut self, place: usize, ones: &[Address], others: &[Address], is_one_way: bool) {
+    pub(super) fn cut_between(
+        &mut self,
+        place: usize,
+        ones: &[Address],
+        others: &[Address],
+        is_one_way: bool,
+    ) {
         for one in ones {
             for other in others.iter().filter(|other| *other != one) {
                 self.faults[place].cut.push((*one, *other));
@@ -51,7 +75,11 @@
                 }
             }
         }
-        self.cut = self.faults.iter().flat_map(|fault| fault.cut.iter().copied()).collect();
+        self.cut = self
+            .faults
+            .iter()
+            .flat_map(|fault| fault.cut.iter().copied())
+            .collect();
     }
 
     /// Strikes what waits for an acknowledgement.
@@ -67,7 +95,9 @@
     }
 
     pub(super) fn strike(&mut self, place: usize) {
-        let Fault { kind, span, pick, .. } = self.faults[place].clone();
+        let Fault {
+            kind, span, pick, ..
+        } = self.faults[place].clone();
         let controller = (pick % self.controllers.len() as u64) as usize;
         let router = (pick / 7 % self.routers.len() as u64) as usize;
         let model = (pick / 11 % self.rules.deployment.shape().models as u64) as usize;
@@ -77,22 +107,38 @@
         match kind {
             FaultKind::KillController => {
                 self.kill_controller(controller, false);
-                self.put(back, Happening::StartController { machine: controller });
+                self.put(
+                    back,
+                    Happening::StartController {
+                        machine: controller,
+                    },
+                );
             }
             FaultKind::PowerLoss => {
                 self.kill_controller(controller, true);
-                self.put(back, Happening::StartController { machine: controller });
+                self.put(
+                    back,
+                    Happening::StartController {
+                        machine: controller,
+                    },
+                );
             }
             FaultKind::KillCore | FaultKind::PowerLossAll | FaultKind::KillAll => {
                 for machine in 0..self.controllers.len() {
                     self.kill_controller(machine, kind == FaultKind::PowerLossAll);
-                    self.put(back + machine as u64 * 30, Happening::StartController { machine });
+                    self.put(
+                        back + machine as u64 * 30,
+                        Happening::StartController { machine },
+                    );
                 }
                 if kind == FaultKind::KillAll {
                     self.strike_relays(None, back);
                     for machine in 0..self.routers.len() {
                         self.kill_router(machine);
-                        self.put(back + machine as u64 * 20, Happening::StartRouter { machine });
+                        self.put(
+                            back + machine as u64 * 20,
+                            Happening::StartRouter { machine },
+                        );
                     }
                 }
             }
@@ -110,9 +156,18 @@
                     self.kill_router(machine);
                     self.routers[machine].is_lost = true;
                 }
-                (0..8).for_each(|step| self.put(3000 + step * 2500, Happening::Forget { place: step as usize }));
+                (0..8).for_each(|step| {
+                    self.put(
+                        3000 + step * 2500,
+                        Happening::Forget {
+                            place: step as usize,
+                        },
+                    )
+                });
+            }
+            FaultKind::FreezeController => {
+                self.controllers[controller].frozen_until = self.now + span
             }
-            FaultKind::FreezeController => self.controllers[controller].frozen_until = self.now + span,
             FaultKind::FreezeRouter => self.routers[router].frozen_until = self.now + span,
             FaultKind::SplitCore => {
                 let (ones, others) = core.split_at(1 + controller % (core.len() - 1));
@@ -129,14 +184,22 @@
                 self.cut_between(place, &[members[router]], &all, false);
                 self.routers[router].is_cut_off = pick.is_multiple_of(2);
             }
-            FaultKind::SlowServer => self.servers[model].schedule.strike.slowness = 20 + (pick % 40) as u32,
+            FaultKind::SlowServer => {
+                self.servers[model].schedule.strike.slowness = 20 + (pick % 40) as u32
+            }
             FaultKind::Crowd => self.crowd_until = self.now + span,
             FaultKind::FreezeZone => {
                 let zones = self.rules.deployment.shape().zones;
                 let zone = ZoneName::from(zones[(pick % zones.len() as u64) as usize]);
                 let until = self.now + span;
-                self.controllers.iter_mut().filter(|m| m.zone == zone).for_each(|m| m.frozen_until = until);
-                self.routers.iter_mut().filter(|m| m.zone == zone).for_each(|m| m.frozen_until = until);
+                self.controllers
+                    .iter_mut()
+                    .filter(|m| m.zone == zone)
+                    .for_each(|m| m.frozen_until = until);
+                self.routers
+                    .iter_mut()
+                    .filter(|m| m.zone == zone)
+                    .for_each(|m| m.frozen_until = until);
             }
             FaultKind::LoseZone => {
                 let zones = self.rules.deployment.shape().zones;
@@ -173,14 +236,18 @@
             | FaultKind::MeetReturn
             | FaultKind::ReplacePlanned
             | FaultKind::ReplaceCutSeeds => self.strike_aimed(place, controller),
-            FaultKind::PowerLossAfterAck | FaultKind::WipeAfterAck | FaultKind::LoseBudgetAfterAck => {
+            FaultKind::PowerLossAfterAck
+            | FaultKind::WipeAfterAck
+            | FaultKind::LoseBudgetAfterAck => {
                 self.armed.push(place);
             }
             FaultKind::LoseBudget => self.lose_budget(pick, back),
             FaultKind::ExchangeSeeds => self.exchange_seeds(pick),
             FaultKind::BadNetwork => self.loss = 10 + pick % 20,
             FaultKind::SlowDisk => self.controllers[controller].disk.delay = 150 + pick % 400,
-            FaultKind::StallDisk => self.controllers[controller].disk.stalled_until = self.now + span,
+            FaultKind::StallDisk => {
+                self.controllers[controller].disk.stalled_until = self.now + span
+            }
             FaultKind::FullDisk => self.controllers[controller].disk.full_until = self.now + span,
             FaultKind::WipeDisk | FaultKind::ReplaceCore => self.lose_disk(controller, kind, back),
             FaultKind::CrashServer => {
@@ -189,11 +256,19 @@
             }
             FaultKind::RestartServer => self.start_server(model),
             FaultKind::DarkServer => self.servers[model].is_dark = true,
-            FaultKind::LateAccept => self.servers.iter_mut().for_each(|server| server.accepts_late = true),
-            FaultKind::GarbleServers => self.servers.iter_mut().for_each(|server| server.is_garbled = true),
+            FaultKind::LateAccept => self
+                .servers
+                .iter_mut()
+                .for_each(|server| server.accepts_late = true),
+            FaultKind::GarbleServers => self
+                .servers
+                .iter_mut()
+                .for_each(|server| server.is_garbled = true),
             FaultKind::ReplaceServers => {
                 for step in 0..4u64 {
-                    let server = ((model as u64 + step) % self.rules.deployment.shape().models as u64) as usize;
+                    let server = ((model as u64 + step)
+                        % self.rules.deployment.shape().models as u64)
+                        as usize;
                     self.put(step * 900, Happening::ReplaceServer { server });
                 }
             }
@@ -223,7 +298,11 @@
         self.armed_for_send.retain(|armed| *armed != place);
         self.armed_for_write.retain(|armed| *armed != place);
         self.faults[place].cut.clear();
-        self.cut = self.faults.iter().flat_map(|fault| fault.cut.iter().copied()).collect();
+        self.cut = self
+            .faults
+            .iter()
+            .flat_map(|fault| fault.cut.iter().copied())
+            .collect();
         match kind {
             FaultKind::SlowServer => self.servers[model].schedule.strike.slowness = 0,
             FaultKind::FreezeController | FaultKind::FreezeLeader | FaultKind::FreezeZone => {
@@ -242,8 +321,14 @@
             FaultKind::DarkServer => {
                 self.servers[model].is_dark = false;
             }
-            FaultKind::LateAccept => self.servers.iter_mut().for_each(|server| server.accepts_late = false),
-            FaultKind::GarbleServers => self.servers.iter_mut().for_each(|server| server.is_garbled = false),
+            FaultKind::LateAccept => self
+                .servers
+                .iter_mut()
+                .for_each(|server| server.accepts_late = false),
+            FaultKind::GarbleServers => self
+                .servers
+                .iter_mut()
+                .for_each(|server| server.is_garbled = false),
             FaultKind::LeaveServer => {
                 // It's gone, and later another comes in its place.
                 self.servers[model].is_up = false;
@@ -252,7 +337,9 @@
                 self.put(700, Happening::StartServer { server: model });
             }
             FaultKind::Brownout => {
-                self.servers.iter_mut().for_each(|server| server.schedule.strike.does_refuse = false);
+                self.servers
+                    .iter_mut()
+                    .for_each(|server| server.schedule.strike.does_refuse = false);
             }
             _ => {}
         }
--- a/crates/testbed/src/world/linearizability.rs
+++ b/crates/testbed/src/world/linearizability.rs
@@ -76,7 +76,12 @@
 /// Whether these calls, from the register's first state on, are linearizable.
 pub(super) fn check_linearizable<R: SequentialRegister>(calls: &[Call<R>]) -> Result<(), Mismatch> {
     let answered = calls.iter().filter(|call| call.answer.is_some()).count();
-    let first = Step { explained: CallSet::new(calls.len()), state: R::default(), count: 0, newest_sent: 0 };
+    let first = Step {
+        explained: CallSet::new(calls.len()),
+        state: R::default(),
+        count: 0,
+        newest_sent: 0,
+    };
     let (mut stack, mut met, mut deepest) = (vec![first], HashSet::new(), (0, None));
     while let Some(step) = stack.pop() {
         if step.count == answered {
@@ -88,43 +93,84 @@
         if met.len() > MOST_STEPS {
             return Err(Mismatch::TooWide);
         }
-        let Some((next, first_answer)) = first_answer(calls, &step.explained) else { return Ok(()) };
+        let Some((next, first_answer)) = first_answer(calls, &step.explained) else {
+            return Ok(());
+        };
         if step.count >= deepest.0 {
             deepest = (step.count, Some(next));
         }
         // The last that is pushed is tried first: calls with answers before unclear ones.
-        unclear_steps(calls, &step, first_answer).into_iter().for_each(|step| stack.push(step));
-        answered_steps(calls, &step, first_answer).into_iter().rev().for_each(|step| stack.push(step));
+        unclear_steps(calls, &step, first_answer)
+            .into_iter()
+            .for_each(|step| stack.push(step));
+        answered_steps(calls, &step, first_answer)
+            .into_iter()
+            .rev()
+            .for_each(|step| stack.push(step));
     }
-    let stuck_at = deepest.1.map(|place: usize| format!("{:?}", calls[place])).unwrap_or_default();
+    let stuck_at = deepest
+        .1
+        .map(|place: usize| format!("{:?}", calls[place]))
+        .unwrap_or_default();
     Err(Mismatch::Unexplained(stuck_at))
 }
 
 /// The unexplained call that was answered first, and when.
-fn first_answer<R: SequentialRegister>(calls: &[Call<R>], explained: &CallSet) -> Option<(usize, u64)> {
-    let open = calls.iter().enumerate().filter(|(place, _)| !explained.has(*place));
-    open.filter_map(|(place, call)| Some((place, call.answer.as_ref()?.0))).min_by_key(|(_, answered)| *answered)
+fn first_answer<R: SequentialRegister>(
+    calls: &[Call<R>],
+    explained: &CallSet,
+) -> Option<(usize, u64)> {
+    let open = calls
+        .iter()
+        .enumerate()
+        .filter(|(place, _)| !explained.has(*place));
+    open.filter_map(|(place, call)| Some((place, call.answer.as_ref()?.0)))
+        .min_by_key(|(_, answered)| *answered)
 }
 
-fn answered_steps<R: SequentialRegister>(calls: &[Call<R>], step: &Step<R>, until: u64) -> Vec<Step<R>> {
-    let open = calls.iter().enumerate().filter(|(place, call)| !step.explained.has(*place) && call.sent <= until);
+fn answered_steps<R: SequentialRegister>(
+    calls: &[Call<R>],
+    step: &Step<R>,
+    until: u64,
+) -> Vec<Step<R>> {
+    let open = calls
+        .iter()
+        .enumerate()
+        .filter(|(place, call)| !step.explained.has(*place) && call.sent <= until);
     open.filter_map(|(place, call)| {
         let (_, answer) = call.answer.as_ref()?;
         let state = step.state.after(&call.action, answer)?;
         let newest_sent = step.newest_sent.max(call.sent);
-        Some(Step { explained: step.explained.with(place), state, count: step.count + 1, newest_sent })
+        Some(Step {
+            explained: step.explained.with(place),
+            state,
+            count: step.count + 1,
+            newest_sent,
+        })
     })
     .collect()
 }
 
-fn unclear_steps<R: SequentialRegister>(calls: &[Call<R>], step: &Step<R>, until: u64) -> Vec<Step<R>> {
-    let open = calls.iter().enumerate().filter(|(place, call)| !step.explained.has(*place) && call.sent <= until);
+fn unclear_steps<R: SequentialRegister>(
+    calls: &[Call<R>],
+    step: &Step<R>,
+    until: u64,
+) -> Vec<Step<R>> {
+    let open = calls
+        .iter()
+        .enumerate()
+        .filter(|(place, call)| !step.explained.has(*place) && call.sent <= until);
     let unclear = open.filter(|(_, call)| call.answer.is_none());
-    let in_time = unclear.filter(|(_, call)| call.void_from.is_none_or(|void_from| step.newest_sent < void_from));
+    let in_time = unclear.filter(|(_, call)| {
+        call.void_from
+            .is_none_or(|void_from| step.newest_sent < void_from)
+    });
     let mut seen: Vec<(R, u64)> = vec![];
     let mut steps = vec![];
     for (place, call) in in_time {
-        let Some(state) = step.state.after_unclear(&call.action) else { continue };
+        let Some(state) = step.state.after_unclear(&call.action) else {
+            continue;
+        };
         let void_from = call.void_from.unwrap_or(u64::MAX);
         // Of two that come to the same, the one that may wait longer can stand in for the other later.
         if let Some(same) = seen.iter().position(|(known, _)| *known == state) {
@@ -136,7 +182,12 @@
         }
         seen.push((state.clone(), void_from));
         let explained = step.explained.with(place);
-        steps.push(Step { explained, state, count: step.count, newest_sent: step.newest_sent });
+        steps.push(Step {
+            explained,
+            state,
+            count: step.count,
+            newest_sent: step.newest_sent,
+        });
     }
     steps
 }
@@ -199,22 +250,37 @@
 
     fn after(&self, action: &PlanAction, answer: &PlanAnswer) -> Option<Self> {
         match (action, answer) {
-            (PlanAction::Put { change, .. }, PlanAnswer::Taken) if self.taken.contains(change) => Some(self.clone()),
-            (PlanAction::Put { change, base, revision }, PlanAnswer::Taken) => self.take(*change, *base, *revision),
+            (PlanAction::Put { change, .. }, PlanAnswer::Taken) if self.taken.contains(change) => {
+                Some(self.clone())
+            }
+            (
+                PlanAction::Put {
+                    change,
+                    base,
+                    revision,
+                },
+                PlanAnswer::Taken,
+            ) => self.take(*change, *base, *revision),
             (PlanAction::Put { change, base, .. }, PlanAnswer::Refused) => {
                 let is_justified = *base != self.revision && !self.taken.contains(change);
                 let mut next = self.clone();
                 next.refused.insert(*change);
                 is_justified.then_some(next)
             }
-            (PlanAction::Read, PlanAnswer::Found(change)) => (*change == self.change).then(|| self.clone()),
+            (PlanAction::Read, PlanAnswer::Found(change)) => {
+                (*change == self.change).then(|| self.clone())
+            }
             _ => None,
         }
     }
 
     fn after_unclear(&self, action: &PlanAction) -> Option<Self> {
         match action {
-            PlanAction::Put { change, base, revision } => self.take(*change, *base, *revision),
+            PlanAction::Put {
+                change,
+                base,
+                revision,
+            } => self.take(*change, *base, *revision),
             PlanAction::Read => None,
         }
     }
@@ -256,7 +322,9 @@
 
     fn after(&self, action: &ZoneAction, answer: &ZoneAnswer) -> Option<Self> {
         match (*action, *answer) {
-            (ZoneAction::Set { is_withdrawn }, ZoneAnswer::Done) => Some(ZoneRegister { is_withdrawn }),
+            (ZoneAction::Set { is_withdrawn }, ZoneAnswer::Done) => {
+                Some(ZoneRegister { is_withdrawn })
+            }
             (ZoneAction::Read, ZoneAnswer::Found { is_withdrawn }) => {
                 (is_withdrawn == self.is_withdrawn).then(|| self.clone())
             }
--- a/crates/testbed/src/world/linearizability/tests.rs
+++ b/crates/testbed/src/world/linearizability/tests.rs
@@ -7,10 +7,24 @@
 type ZoneCall = Call<ZoneRegister>;
 
 fn put(sent: u64, change: u64, base: u64, revision: u64) -> PlanCall {
-    Call { sent, action: PlanAction::Put { change, base, revision }, answer: None, void_from: None }
+    Call {
+        sent,
+        action: PlanAction::Put {
+            change,
+            base,
+            revision,
+        },
+        answer: None,
+        void_from: None,
+    }
 }
 fn read_plan(sent: u64, answered: u64, change: u64) -> PlanCall {
-    Call { sent, action: PlanAction::Read, answer: Some((answered, PlanAnswer::Found(change))), void_from: None }
+    Call {
+        sent,
+        action: PlanAction::Read,
+        answer: Some((answered, PlanAnswer::Found(change))),
+        void_from: None,
+    }
 }
 fn taken(mut call: PlanCall, answered: u64) -> PlanCall {
     call.answer = Some((answered, PlanAnswer::Taken));
@@ -21,7 +35,12 @@
     call
 }
 fn set(sent: u64, is_withdrawn: bool) -> ZoneCall {
-    Call { sent, action: ZoneAction::Set { is_withdrawn }, answer: None, void_from: None }
+    Call {
+        sent,
+        action: ZoneAction::Set { is_withdrawn },
+        answer: None,
+        void_from: None,
+    }
 }
 fn done(mut call: ZoneCall, answered: u64) -> ZoneCall {
     call.answer = Some((answered, ZoneAnswer::Done));
@@ -29,7 +48,12 @@
 }
 fn read_zone(sent: u64, answered: u64, is_withdrawn: bool) -> ZoneCall {
     let answer = Some((answered, ZoneAnswer::Found { is_withdrawn }));
-    Call { sent, action: ZoneAction::Read, answer, void_from: None }
+    Call {
+        sent,
+        action: ZoneAction::Read,
+        answer,
+        void_from: None,
+    }
 }
 fn void_from(mut call: ZoneCall, at: u64) -> ZoneCall {
     call.void_from = Some(at);
@@ -71,7 +95,10 @@
     },
 )]
 fn histories_of_plans_that_no_request_explains(calls: Vec<PlanCall>) {
-    assert!(matches!(check_linearizable(&calls), Err(Mismatch::Unexplained(_))));
+    assert!(matches!(
+        check_linearizable(&calls),
+        Err(Mismatch::Unexplained(_))
+    ));
 }
 
 #[parameterized(
@@ -96,13 +123,20 @@
         let at = round * 100;
         for other in 0..7 {
             let loser = put(at + other, round * 10 + other + 2, round, round + 1);
-            calls.push(if other % 2 == 0 { loser } else { refused(loser, at + 90) });
+            calls.push(if other % 2 == 0 {
+                loser
+            } else {
+                refused(loser, at + 90)
+            });
         }
         calls.push(taken(put(at, round * 10 + 1, round, round + 1), at + 80));
     }
     assert_eq!(check_linearizable(&calls), Ok(()));
     calls.push(read_plan(20_000, 20_001, 11));
-    assert!(matches!(check_linearizable(&calls), Err(Mismatch::Unexplained(_))));
+    assert!(matches!(
+        check_linearizable(&calls),
+        Err(Mismatch::Unexplained(_))
+    ));
 }
 
 /// Deliberate faults of the control side that the check of the whole history sees, and not only the checks of
@@ -113,7 +147,11 @@
     stale_reads = { Mutant::StaleReads, &[FaultKind::SplitCore, FaultKind::PlanStorm], 6 },
     new_ids = { Mutant::NewIds, &[FaultKind::KillController, FaultKind::BadNetwork], 6 },
 )]
-fn mutants_of_the_control_side_are_not_linearizable(mutant: Mutant, kinds: &[FaultKind], faults: u64) {
+fn mutants_of_the_control_side_are_not_linearizable(
+    mutant: Mutant,
+    kinds: &[FaultKind],
+    faults: u64,
+) {
     let is_caught = |seed: &u64| {
         let rules = WorldRules {
             faults,
@@ -125,5 +163,8 @@
         let seen = World::new(rules).run().violations;
         seen.iter().any(|what| what.contains("is not linearizable"))
     };
-    assert!((1..40).any(|seed| is_caught(&seed)), "{mutant:?} was never caught");
+    assert!(
+        (1..40).any(|seed| is_caught(&seed)),
+        "{mutant:?} was never caught"
+    );
 }
