--- a/crates/transport/tests/lines.rs
+++ b/crates/transport/tests/lines.rs
@@ -10,11 +10,18 @@
 use types::prelude::*;
 
 const PATIENCE: Span = Span::seconds(5);
-const BOUNDS: LinesBounds = LinesBounds { per_address: 0, idle_per_address: 4, idle_span: Span::seconds(30) };
+const BOUNDS: LinesBounds = LinesBounds {
+    per_address: 0,
+    idle_per_address: 4,
+    idle_span: Span::seconds(30),
+};
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 fn request() -> http::Request<Bytes> {
-    http::Request::post("/a?b").header("host", "a").body(Bytes::from_static(b"{}")).unwrap()
+    http::Request::post("/a?b")
+        .header("host", "a")
+        .body(Bytes::from_static(b"{}"))
+        .unwrap()
 }
 
 fn always() -> bool {
@@ -22,7 +29,12 @@
 }
 
 fn waits() -> Waits<'static> {
-    Waits { connect: PATIENCE, head_deadline: Clock::now() + PATIENCE, may_leave: &always, client: None }
+    Waits {
+        connect: PATIENCE,
+        head_deadline: Clock::now() + PATIENCE,
+        may_leave: &always,
+        client: None,
+    }
 }
 
 fn ask(lines: &Lines, to: SocketAddr) -> Result<Line, LineError> {
@@ -70,7 +82,9 @@
     let play = std::sync::Arc::new(play);
     std::thread::spawn(move || {
         for number in 0.. {
-            let Ok((stream, _)) = listener.accept() else { return };
+            let Ok((stream, _)) = listener.accept() else {
+                return;
+            };
             stream.set_read_timeout(Some(PATIENCE.duration())).unwrap();
             let play = play.clone();
             std::thread::spawn(move || play(number, Served(stream)));
@@ -108,14 +122,18 @@
         served.say(OK);
     });
     read_all(&mut ask(&Lines::new(BOUNDS), to).unwrap()).unwrap();
-    assert_eq!(heard.recv().unwrap(), "POST /a?b HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\n{}");
+    assert_eq!(
+        heard.recv().unwrap(),
+        "POST /a?b HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\n{}"
+    );
 }
 
 #[test]
 fn surplus_bytes_never_become_the_next_answer() {
     // Together with the answer, and after the connection went back.
-    let together =
-        answering("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad");
+    let together = answering(
+        "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad",
+    );
     let lines = Lines::new(BOUNDS);
     assert!(!ask_and_keep(&lines, together));
     assert_eq!(lines.idle_count(together), 0);
@@ -138,7 +156,10 @@
     assert_eq!(lines.idle_count(later), 1);
     go.send(()).unwrap();
     is_said.recv().unwrap();
-    assert!(!ask_and_keep(&lines, later), "the unclean connection was taken");
+    assert!(
+        !ask_and_keep(&lines, later),
+        "the unclean connection was taken"
+    );
     assert_eq!(lines.open_count(later), 1);
 }
 
@@ -173,16 +194,27 @@
     let lines = Lines::new(BOUNDS);
     assert!(!ask_and_keep(&lines, to));
     let outcome = ask(&lines, to);
-    assert!(matches!(outcome, Err(LineError::Unknown(_))), "{:?}", outcome.err());
+    assert!(
+        matches!(outcome, Err(LineError::Unknown(_))),
+        "{:?}",
+        outcome.err()
+    );
     assert_eq!(lines.open_count(to), 0);
 }
 
 #[test]
 fn a_refused_connection_is_unsent() {
-    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let lines = Lines::new(BOUNDS);
     let outcome = ask(&lines, closed);
-    assert!(matches!(outcome, Err(LineError::Unsent(_))), "{:?}", outcome.err());
+    assert!(
+        matches!(outcome, Err(LineError::Unsent(_))),
+        "{:?}",
+        outcome.err()
+    );
     assert_eq!(lines.open_count(closed), 0);
 }
 
@@ -190,8 +222,19 @@
 fn a_silent_server_is_late() {
     let to = server(|_, mut served| while served.hear().is_some() {});
     let lines = Lines::new(BOUNDS);
-    let outcome = lines.ask(to, request(), &Waits { head_deadline: Clock::now() + Span(50), ..waits() });
-    assert!(matches!(outcome, Err(LineError::Late(_))), "{:?}", outcome.err());
+    let outcome = lines.ask(
+        to,
+        request(),
+        &Waits {
+            head_deadline: Clock::now() + Span(50),
+            ..waits()
+        },
+    );
+    assert!(
+        matches!(outcome, Err(LineError::Late(_))),
+        "{:?}",
+        outcome.err()
+    );
 }
 
 #[test]
@@ -206,8 +249,19 @@
     for times in [0, 1] {
         let asked = Cell::new(0);
         let may_leave = || asked.replace(asked.get() + 1) < times;
-        let outcome = lines.ask(to, request(), &Waits { may_leave: &may_leave, ..waits() });
-        assert!(matches!(outcome, Err(LineError::Withheld)), "{:?}", outcome.err());
+        let outcome = lines.ask(
+            to,
+            request(),
+            &Waits {
+                may_leave: &may_leave,
+                ..waits()
+            },
+        );
+        assert!(
+            matches!(outcome, Err(LineError::Withheld)),
+            "{:?}",
+            outcome.err()
+        );
     }
     assert_eq!(heard.recv().unwrap(), 0, "bytes left");
     assert!(heard.try_recv().is_err(), "the first one connected");
@@ -216,8 +270,19 @@
     ask_and_keep(&lines, to);
     let asked = Cell::new(0);
     let may_leave = || asked.replace(asked.get() + 1) < 1;
-    let outcome = lines.ask(to, request(), &Waits { may_leave: &may_leave, ..waits() });
-    assert!(matches!(outcome, Err(LineError::Withheld)), "{:?}", outcome.err());
+    let outcome = lines.ask(
+        to,
+        request(),
+        &Waits {
+            may_leave: &may_leave,
+            ..waits()
+        },
+    );
+    assert!(
+        matches!(outcome, Err(LineError::Withheld)),
+        "{:?}",
+        outcome.err()
+    );
     assert!(ask_and_keep(&lines, to));
 }
 
@@ -249,7 +314,14 @@
         asked.get() < 3 || may_still_leave
     };
     let lines = Lines::new(BOUNDS);
-    let outcome = lines.ask(to, request(), &Waits { may_leave: &may_leave, ..waits() });
+    let outcome = lines.ask(
+        to,
+        request(),
+        &Waits {
+            may_leave: &may_leave,
+            ..waits()
+        },
+    );
     let outcome = outcome.and_then(|mut line| read_all(&mut line));
     assert!(asked.get() >= 3, "no check anew");
     (outcome, heard.recv().unwrap())
@@ -287,8 +359,19 @@
             }
             true
         };
-        let outcome = Lines::new(BOUNDS).ask(to, request(), &Waits { may_leave: &may_leave, ..waits() });
-        assert!(matches!(outcome, Err(LineError::Unsent(_))), "{said:?}: {:?}", outcome.err());
+        let outcome = Lines::new(BOUNDS).ask(
+            to,
+            request(),
+            &Waits {
+                may_leave: &may_leave,
+                ..waits()
+            },
+        );
+        assert!(
+            matches!(outcome, Err(LineError::Unsent(_))),
+            "{said:?}: {:?}",
+            outcome.err()
+        );
         assert_eq!(heard.recv().unwrap(), 0, "{said:?}: bytes left");
     }
 }
@@ -320,10 +403,16 @@
         match ask(&lines, to) {
             Ok(mut line) => {
                 let outcome = read_all(&mut line);
-                assert!(matches!(outcome, Err(LineError::Unknown(_))), "{said:?}: {outcome:?}");
+                assert!(
+                    matches!(outcome, Err(LineError::Unknown(_))),
+                    "{said:?}: {outcome:?}"
+                );
                 line.keep();
             }
-            Err(fault) => assert!(matches!(fault, LineError::Unknown(_)), "{said:?}: {fault:?}"),
+            Err(fault) => assert!(
+                matches!(fault, LineError::Unknown(_)),
+                "{said:?}: {fault:?}"
+            ),
         }
         assert_eq!(lines.open_count(to), 0, "{said:?}");
     }
@@ -336,7 +425,10 @@
     );
     let lines = Lines::new(BOUNDS);
     let mut line = ask(&lines, to).unwrap();
-    assert_eq!((line.head().status.as_u16(), read_all(&mut line).unwrap()), (200, "ok".into()));
+    assert_eq!(
+        (line.head().status.as_u16(), read_all(&mut line).unwrap()),
+        (200, "ok".into())
+    );
     line.keep();
     assert!(ask_and_keep(&lines, to));
 }
@@ -352,7 +444,10 @@
     });
     let lines = Lines::new(BOUNDS);
     // More than the buffers between the two hold.
-    let large = http::Request::post("/a").header("host", "a").body(Bytes::from(vec![b'x'; 64 << 20])).unwrap();
+    let large = http::Request::post("/a")
+        .header("host", "a")
+        .body(Bytes::from(vec![b'x'; 64 << 20]))
+        .unwrap();
     let mut line = lines.ask(to, large, &waits()).unwrap();
     assert!(!line.was_reused() && !line.is_sole_answer());
     assert_eq!(read_all(&mut line).unwrap(), "ok");
@@ -375,7 +470,11 @@
         served.hear();
     });
     let outcome = ask(&Lines::new(BOUNDS), to);
-    assert!(matches!(outcome, Err(LineError::Unknown(_))), "{:?}", outcome.err());
+    assert!(
+        matches!(outcome, Err(LineError::Unknown(_))),
+        "{:?}",
+        outcome.err()
+    );
 }
 
 #[test]
@@ -394,14 +493,25 @@
             ask_and_keep(&lines, to);
         }
         let outcome = ask(&lines, to);
-        assert!(matches!(outcome, Err(LineError::Unknown(_))), "reused {is_reused}: {:?}", outcome.err());
+        assert!(
+            matches!(outcome, Err(LineError::Unknown(_))),
+            "reused {is_reused}: {:?}",
+            outcome.err()
+        );
         assert_eq!(lines.open_count(to), 0);
     }
 }
 
 /// A client of a gate, and the connection that it called on.
 fn client() -> (Client, TcpStream, mpsc::Sender<()>) {
-    let gate = Gate::open(Address::loopback(0).0, GateBounds { keep_alive: true, ..GateBounds::default() }).unwrap();
+    let gate = Gate::open(
+        Address::loopback(0).0,
+        GateBounds {
+            keep_alive: true,
+            ..GateBounds::default()
+        },
+    )
+    .unwrap();
     let address = gate.address();
     let (sender, clients) = mpsc::channel();
     std::thread::spawn(move || {
@@ -413,7 +523,9 @@
         });
     });
     let mut stream = TcpStream::connect(address.0).unwrap();
-    stream.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
+    stream
+        .write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
+        .unwrap();
     let (client, end) = clients.recv().unwrap();
     (client, stream, end)
 }
@@ -439,7 +551,14 @@
                 drop(stream);
             });
             let lines = Lines::new(BOUNDS);
-            let outcome = lines.ask(to, request(), &Waits { client: Some(&client), ..waits() });
+            let outcome = lines.ask(
+                to,
+                request(),
+                &Waits {
+                    client: Some(&client),
+                    ..waits()
+                },
+            );
             match outcome {
                 Ok(mut line) => {
                     let outcome = line.read_all(Clock::now() + PATIENCE, 100, Some(&client));
@@ -467,12 +586,18 @@
         let lines = Lines::new(BOUNDS);
         let mut line = ask(&lines, to).unwrap();
         let outcome = read_all(&mut line);
-        assert!(matches!(outcome, Err(LineError::Unknown(_))), "{said:?}: {outcome:?}");
+        assert!(
+            matches!(outcome, Err(LineError::Unknown(_))),
+            "{said:?}: {outcome:?}"
+        );
         drop(line);
         let mut line = ask(&lines, to).unwrap();
-        let torn =
-            std::iter::repeat_with(|| line.pull(PATIENCE.duration(), None)).find(|p| !matches!(p, LinePull::Data(_)));
-        assert!(matches!(torn, Some(LinePull::Torn(_))), "{said:?}: {torn:?}");
+        let torn = std::iter::repeat_with(|| line.pull(PATIENCE.duration(), None))
+            .find(|p| !matches!(p, LinePull::Data(_)));
+        assert!(
+            matches!(torn, Some(LinePull::Torn(_))),
+            "{said:?}: {torn:?}"
+        );
         line.keep();
         assert_eq!(lines.open_count(to), 0);
     }
@@ -482,27 +607,50 @@
 fn what_is_not_http_is_unknown() {
     let to = answering("certainly not\r\n\r\n");
     let outcome = ask(&Lines::new(BOUNDS), to);
-    assert!(matches!(outcome, Err(LineError::Unknown(_))), "{:?}", outcome.err());
+    assert!(
+        matches!(outcome, Err(LineError::Unknown(_))),
+        "{:?}",
+        outcome.err()
+    );
 }
 
 #[test]
 fn what_the_server_says_of_keeping_is_honoured() {
     let lines = Lines::new(BOUNDS);
     for (said, is_kept) in [
-        ("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok", false),
-        ("HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 2\r\n\r\nok", false),
+        (
+            "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok",
+            false,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nkeep-alive: timeout=0\r\ncontent-length: 2\r\n\r\nok",
+            false,
+        ),
         ("HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nok", false),
-        ("HTTP/1.1 200 OK\r\nkeep-alive: timeout=30, max=5\r\ncontent-length: 2\r\n\r\nok", true),
-        ("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true),
+        (
+            "HTTP/1.1 200 OK\r\nkeep-alive: timeout=30, max=5\r\ncontent-length: 2\r\n\r\nok",
+            true,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+            true,
+        ),
     ] {
         let to = answering(said);
         ask_and_keep(&lines, to);
         assert_eq!(lines.idle_count(to) == 1, is_kept, "{said}");
     }
     // One second means half of one; a short time of ours ends as well.
-    let short = LinesBounds { idle_span: Span(50), ..BOUNDS };
+    let short = LinesBounds {
+        idle_span: Span(50),
+        ..BOUNDS
+    };
     for (said, span, bounds) in [
-        ("HTTP/1.1 200 OK\r\nkeep-alive: timeout=1\r\ncontent-length: 2\r\n\r\nok", Span(500), BOUNDS),
+        (
+            "HTTP/1.1 200 OK\r\nkeep-alive: timeout=1\r\ncontent-length: 2\r\n\r\nok",
+            Span(500),
+            BOUNDS,
+        ),
         (OK, Span(50), short),
     ] {
         let (lines, to) = (Lines::new(bounds), answering(said));
@@ -519,17 +667,32 @@
 
 #[test]
 fn a_body_read_by_half_is_not_kept() {
-    let (lines, to) = (Lines::new(BOUNDS), answering("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"));
+    let (lines, to) = (
+        Lines::new(BOUNDS),
+        answering("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
+    );
     let mut line = ask(&lines, to).unwrap();
-    assert_eq!(line.pull(PATIENCE.duration(), None), LinePull::Data("half".into()));
-    assert_eq!(line.pull(Duration::from_millis(10), None), LinePull::Nothing);
+    assert_eq!(
+        line.pull(PATIENCE.duration(), None),
+        LinePull::Data("half".into())
+    );
+    assert_eq!(
+        line.pull(Duration::from_millis(10), None),
+        LinePull::Nothing
+    );
     line.keep();
     assert_eq!(lines.open_count(to), 0);
 }
 
 #[test]
 fn an_address_has_its_bound() {
-    let (lines, to) = (Lines::new(LinesBounds { per_address: 2, ..BOUNDS }), answering(OK));
+    let (lines, to) = (
+        Lines::new(LinesBounds {
+            per_address: 2,
+            ..BOUNDS
+        }),
+        answering(OK),
+    );
     let (first, second) = (ask(&lines, to).unwrap(), ask(&lines, to).unwrap());
     assert!(matches!(ask(&lines, to), Err(LineError::Full)));
     lines.set_per_address(to, 3);
@@ -545,15 +708,23 @@
 #[test]
 fn the_newest_is_taken_and_the_oldest_given_up() {
     let (lines, to) = (
-        Lines::new(LinesBounds { idle_per_address: 2, ..BOUNDS }),
+        Lines::new(LinesBounds {
+            idle_per_address: 2,
+            ..BOUNDS
+        }),
         server(|number, mut served| {
             while served.hear().is_some() {
-                served.say(&format!("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n{number}"));
+                served.say(&format!(
+                    "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n{number}"
+                ));
             }
         }),
     );
     let mut open: Vec<_> = (0..3).map(|_| ask(&lines, to).unwrap()).collect();
-    let numbers: Vec<_> = open.iter_mut().map(|line| read_all(line).unwrap()).collect();
+    let numbers: Vec<_> = open
+        .iter_mut()
+        .map(|line| read_all(line).unwrap())
+        .collect();
     open.into_iter().for_each(Line::keep);
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (2, 2));
     for number in numbers[1..].iter().rev() {
@@ -579,7 +750,11 @@
     let lines = Lines::new(BOUNDS);
     let mut line = ask(&lines, to).unwrap();
     assert_eq!(line.pull(Duration::ZERO, None), LinePull::Nothing);
-    for wanted in [LinePull::Data("one".into()), LinePull::Data("two".into()), LinePull::End] {
+    for wanted in [
+        LinePull::Data("one".into()),
+        LinePull::Data("two".into()),
+        LinePull::End,
+    ] {
         next.send(()).unwrap();
         assert_eq!(line.pull(PATIENCE.duration(), None), wanted);
     }
@@ -598,15 +773,29 @@
             head.push(byte[0]);
         }
         served.0.read_exact(&mut body).unwrap();
-        served.say(&format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len()));
+        served.say(&format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
+            body.len()
+        ));
         served.0.write_all(&body).unwrap();
         served.hear();
     });
-    let body = Bytes::from((0..8 << 20).map(|i: u32| (i % 251) as u8).collect::<Vec<_>>());
+    let body = Bytes::from(
+        (0..8 << 20)
+            .map(|i: u32| (i % 251) as u8)
+            .collect::<Vec<_>>(),
+    );
     let lines = Lines::new(BOUNDS);
-    let request = http::Request::post("/").header("host", "a").body(body.clone()).unwrap();
+    let request = http::Request::post("/")
+        .header("host", "a")
+        .body(body.clone())
+        .unwrap();
     let mut line = lines.ask(to, request, &waits()).unwrap();
-    assert!(line.read_all(Clock::now() + PATIENCE, body.len(), None).unwrap() == body);
+    assert!(
+        line.read_all(Clock::now() + PATIENCE, body.len(), None)
+            .unwrap()
+            == body
+    );
     line.keep();
     assert_eq!(lines.idle_count(to), 1);
 }
--- a/crates/transport/tests/upstream_fuzz.rs
+++ b/crates/transport/tests/upstream_fuzz.rs
@@ -23,10 +23,19 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        for (number, stream) in listener.incoming().map_while(Result::ok).take(2).enumerate() {
+        for (number, stream) in listener
+            .incoming()
+            .map_while(Result::ok)
+            .take(2)
+            .enumerate()
+        {
             let (mut stream, said) = (stream, said.clone());
             let _ = stream.read(&mut [0; 4096]);
-            let bytes = if number == 0 { &said } else { SECOND.as_bytes() };
+            let bytes = if number == 0 {
+                &said
+            } else {
+                SECOND.as_bytes()
+            };
             let _ = stream.write_all(bytes);
             if number == 0 {
                 // What it says ends with its side of the connection, as a server's that dies does.
@@ -42,7 +51,12 @@
     loop {
         let (head, rest) = split_head(said)?;
         let mut lines = head.iter().map(String::as_str);
-        let status: u16 = lines.next()?.strip_prefix("HTTP/1.")?.get(2..5)?.parse().ok()?;
+        let status: u16 = lines
+            .next()?
+            .strip_prefix("HTTP/1.")?
+            .get(2..5)?
+            .parse()
+            .ok()?;
         if status < 200 && status != 101 {
             said = rest;
             continue;
@@ -52,21 +66,30 @@
             .map(|(name, value)| (name.to_lowercase(), value.trim().to_lowercase()))
             .collect();
         let all = |wanted: &str| -> Vec<&String> {
-            fields.iter().filter(|(name, _)| name == wanted).map(|(_, value)| value).collect()
+            fields
+                .iter()
+                .filter(|(name, _)| name == wanted)
+                .map(|(_, value)| value)
+                .collect()
         };
         if matches!(status, 101 | 204 | 304) {
             return Some(vec![]);
         }
         // The same length told twice is one length.
-        let lengths: Vec<&str> =
-            all("content-length").into_iter().flat_map(|value| value.split(',')).map(str::trim).collect();
+        let lengths: Vec<&str> = all("content-length")
+            .into_iter()
+            .flat_map(|value| value.split(','))
+            .map(str::trim)
+            .collect();
         let codings = all("transfer-encoding");
         return match (lengths.first(), codings.first()) {
             (Some(length), None) if lengths.iter().all(|other| other == length) => {
                 let length: usize = length.parse().ok()?;
                 rest.get(..length).map(<[u8]>::to_vec)
             }
-            (None, Some(coding)) if codings.len() == 1 && *coding == "chunked" => strict_chunks(rest),
+            (None, Some(coding)) if codings.len() == 1 && *coding == "chunked" => {
+                strict_chunks(rest)
+            }
             _ => None,
         };
     }
@@ -156,12 +179,24 @@
         "ffffffffffffffff4\r\nbody\r\n0\r\n\r\n",
         "4\r\nbody\r\n0\r\nx-trailer: 1\r\n\r\n",
     ]);
-    let behind =
-        text(&["", "", "\r\n", "HTTP/1.1 200 OK\r\nx-call: two\r\ncontent-length: 5\r\n\r\nfalse", "garbage\r\n\r\n"]);
+    let behind = text(&[
+        "",
+        "",
+        "\r\n",
+        "HTTP/1.1 200 OK\r\nx-call: two\r\ncontent-length: 5\r\n\r\nfalse",
+        "garbage\r\n\r\n",
+    ]);
     let spoiled = proptest::option::weighted(0.2, (any::<proptest::sample::Index>(), any::<u8>()));
     let cut = proptest::option::weighted(0.1, any::<proptest::sample::Index>());
-    (first, proptest::collection::vec(field, 0..4), body, behind, spoiled, cut).prop_map(
-        |(first, fields, body, behind, spoiled, cut)| {
+    (
+        first,
+        proptest::collection::vec(field, 0..4),
+        body,
+        behind,
+        spoiled,
+        cut,
+    )
+        .prop_map(|(first, fields, body, behind, spoiled, cut)| {
             let mut bytes = format!("{first}{}\r\n{body}{behind}", fields.concat()).into_bytes();
             if let Some((place, byte)) = spoiled {
                 let place = place.index(bytes.len());
@@ -171,14 +206,21 @@
                 bytes.truncate(place.index(bytes.len()));
             }
             bytes
-        },
-    )
+        })
 }
 
 fn ask(lines: &Lines, to: SocketAddr) -> Result<(Line, Bytes), LineError> {
-    let request = http::Request::post("/").header("host", "a").body(Bytes::from_static(b"{}")).unwrap();
+    let request = http::Request::post("/")
+        .header("host", "a")
+        .body(Bytes::from_static(b"{}"))
+        .unwrap();
     let deadline = Clock::now() + PATIENCE;
-    let waits = Waits { connect: PATIENCE, head_deadline: deadline, may_leave: &always, client: None };
+    let waits = Waits {
+        connect: PATIENCE,
+        head_deadline: deadline,
+        may_leave: &always,
+        client: None,
+    };
     let mut line = lines.ask(to, request, &waits)?;
     let body = line.read_all(deadline, 1 << 20, None)?;
     Ok((line, body))
@@ -187,12 +229,22 @@
 #[test]
 fn only_what_a_strict_reader_finds_whole_is_whole_and_nothing_behind_it_is_the_next_answer() {
     let mut runner = TestRunner::new_with_rng(
-        Config { cases: CASES, failure_persistence: None, ..Config::default() },
-        proptest::test_runner::TestRng::deterministic_rng(proptest::test_runner::RngAlgorithm::ChaCha),
+        Config {
+            cases: CASES,
+            failure_persistence: None,
+            ..Config::default()
+        },
+        proptest::test_runner::TestRng::deterministic_rng(
+            proptest::test_runner::RngAlgorithm::ChaCha,
+        ),
     );
     let whole_counter = std::cell::Cell::new(0);
     let outcome = runner.run(&answers(), |said| {
-        let lines = Lines::new(LinesBounds { per_address: 0, idle_per_address: 4, idle_span: Span::seconds(30) });
+        let lines = Lines::new(LinesBounds {
+            per_address: 0,
+            idle_per_address: 4,
+            idle_span: Span::seconds(30),
+        });
         let to = server(said.clone());
         match ask(&lines, to) {
             Ok((line, body)) => {
--- a/crates/types/src/api_key.rs
+++ b/crates/types/src/api_key.rs
@@ -95,6 +95,8 @@
     }
     /// The library's own message would show the text.
     fn visit_str<E: Error>(self, _: &str) -> Result<ApiKeys, E> {
-        Err(E::custom("a list of API keys is wanted, not a single string"))
+        Err(E::custom(
+            "a list of API keys is wanted, not a single string",
+        ))
     }
 }
--- a/crates/types/src/disk_id.rs
+++ b/crates/types/src/disk_id.rs
@@ -6,7 +6,17 @@
 /// Invariant: two folders that were ever empty at different times never share one, so a wiped
 /// disk can't be taken for the disk that it was.
 #[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
+    Debug,
+    Clone,
+    Copy,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    rkyv::Archive,
+    rkyv::Serialize,
+    rkyv::Deserialize,
 )]
 pub struct DiskId(pub u128);
 
--- a/crates/types/src/splice.rs
+++ b/crates/types/src/splice.rs
@@ -17,11 +17,19 @@
     /// The shortest that makes `new` of `old` in one place.
     pub fn between(old: &[u8], new: &[u8]) -> Splice {
         let most = old.len().min(new.len());
-        let start = old.iter().zip(new).take_while(|(one, other)| one == other).count();
+        let start = old
+            .iter()
+            .zip(new)
+            .take_while(|(one, other)| one == other)
+            .count();
         let tail = old.iter().rev().zip(new.iter().rev()).take(most - start);
         let kept = tail.take_while(|(one, other)| one == other).count();
         let removed = (old.len() - kept - start) as u64;
-        Splice { start: start as u64, removed, inserted: new[start..new.len() - kept].to_vec() }
+        Splice {
+            start: start as u64,
+            removed,
+            inserted: new[start..new.len() - kept].to_vec(),
+        }
     }
     /// What it makes of these bytes; `None` if it isn't for them.
     pub fn apply(&self, old: &[u8]) -> Option<Vec<u8>> {
@@ -29,19 +37,28 @@
     }
     /// Whether it is for bytes of this length.
     pub fn fits(&self, old: &[u8]) -> bool {
-        self.start.checked_add(self.removed).is_some_and(|end| end <= old.len() as u64)
+        self.start
+            .checked_add(self.removed)
+            .is_some_and(|end| end <= old.len() as u64)
     }
     /// What turns the new bytes back into `old`.
     pub fn reverse(&self, old: &[u8]) -> Option<Splice> {
         let start = usize::try_from(self.start).ok()?;
         let end = start.checked_add(usize::try_from(self.removed).ok()?)?;
         let inserted = old.get(start..end)?.to_vec();
-        Some(Splice { start: self.start, removed: self.inserted.len() as u64, inserted })
+        Some(Splice {
+            start: self.start,
+            removed: self.inserted.len() as u64,
+            inserted,
+        })
     }
 }
 
 /// Applies splices one after another. The bytes are copied once, however many splices there are.
-pub fn unwind<'a>(bytes: &'a [u8], splices: impl IntoIterator<Item = &'a Splice>) -> Option<Vec<u8>> {
+pub fn unwind<'a>(
+    bytes: &'a [u8],
+    splices: impl IntoIterator<Item = &'a Splice>,
+) -> Option<Vec<u8>> {
     let mut parts: Vec<&[u8]> = vec![bytes];
     for splice in splices {
         let (mut left, right) = cut(parts, usize::try_from(splice.start).ok()?)?;
@@ -76,7 +93,9 @@
         for seed in 0..300u64 {
             let mut state = seed;
             let mut draw = |bound: usize| {
-                state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                state = state
+                    .wrapping_mul(6_364_136_223_846_793_005)
+                    .wrapping_add(1_442_695_040_888_963_407);
                 ((state >> 33) % bound.max(1) as u64) as usize
             };
             let mut versions = vec![b"aabbaabb".repeat(draw(4))];
@@ -95,11 +114,27 @@
             let newest = &versions[versions.len() - 1];
             for (place, version) in versions.iter().enumerate() {
                 let found = unwind(newest, back[place..].iter().rev());
-                assert_eq!(found.as_ref(), Some(version), "seed {seed}, back to {place}");
+                assert_eq!(
+                    found.as_ref(),
+                    Some(version),
+                    "seed {seed}, back to {place}"
+                );
             }
-            assert_eq!(unwind(&versions[0], &forth).as_ref(), Some(newest), "seed {seed}, forth");
+            assert_eq!(
+                unwind(&versions[0], &forth).as_ref(),
+                Some(newest),
+                "seed {seed}, forth"
+            );
         }
-        let wide = Splice { start: 3, removed: 9, inserted: vec![] };
-        assert_eq!((wide.apply(b"short"), wide.reverse(b"short")), (None, None), "not for these bytes");
+        let wide = Splice {
+            start: 3,
+            removed: 9,
+            inserted: vec![],
+        };
+        assert_eq!(
+            (wide.apply(b"short"), wide.reverse(b"short")),
+            (None, None),
+            "not for these bytes"
+        );
     }
 }
--- a/crates/types/tests/api_key.rs
+++ b/crates/types/tests/api_key.rs
@@ -17,7 +17,10 @@
 #[test]
 fn a_key_is_read_from_a_bearer_header_alone() {
     assert_eq!(ApiKey::from_bearer("Bearer abc"), Some(ApiKey::from("abc")));
-    assert_eq!(ApiKey::from_bearer(" bearer  abc "), Some(ApiKey::from("abc")));
+    assert_eq!(
+        ApiKey::from_bearer(" bearer  abc "),
+        Some(ApiKey::from("abc"))
+    );
     assert_eq!(ApiKey::from_bearer("Basic abc"), None);
     assert_eq!(ApiKey::from_bearer("Bearer "), None);
     assert_eq!(ApiKey::from_bearer("abc"), None);
--- a/crates/wire/src/letter.rs
+++ b/crates/wire/src/letter.rs
@@ -352,6 +352,11 @@
     pub fn plan_piece(epoch: Epoch, plan: &[u8], offset: u64) -> Option<Letter> {
         let rest = plan.get(usize::try_from(offset).ok()?..)?;
         let bytes = rest[..rest.len().min(PIECE)].to_vec();
-        Some(Letter::PlanPiece { epoch, offset, length: plan.len() as u64, bytes })
+        Some(Letter::PlanPiece {
+            epoch,
+            offset,
+            length: plan.len() as u64,
+            bytes,
+        })
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,8 +6,8 @@
 /// What each file imports.
 pub mod prelude {
     pub use crate::letter::{
-        ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState, ListVersion, Member,
-        News, Poll, PollResponse, Reading, SPLICE_MOST,
+        ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState,
+        ListVersion, Member, News, Poll, PollResponse, Reading, SPLICE_MOST,
     };
     pub use crate::seal::{PROTOCOL, SealFault, open, seal};
 }
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -38,9 +38,13 @@
 
 /// Snapshots a letter: magic, protocol, the sender's port and IP number, length, check, body.
 pub fn seal(from: Address, letter: &Letter) -> Result<Vec<u8>, SealFault> {
-    let body = rkyv::to_bytes::<rkyv::rancor::Error>(letter).map_err(|fault| SealFault::Bad(fault.to_string()))?;
+    let body = rkyv::to_bytes::<rkyv::rancor::Error>(letter)
+        .map_err(|fault| SealFault::Bad(fault.to_string()))?;
     if body.len() > BOUND {
-        return Err(SealFault::Bad(format!("a letter of {} bytes is over the bound", body.len())));
+        return Err(SealFault::Bad(format!(
+            "a letter of {} bytes is over the bound",
+            body.len()
+        )));
     }
     let std::net::IpAddr::V4(ip) = from.0.ip() else {
         return Err(SealFault::Bad(format!("{from} is not an IPv4 number")));
@@ -62,7 +66,9 @@
 pub fn open(reader: &mut impl Read) -> Result<(Address, Letter), SealFault> {
     let mut head = [0u8; HEAD];
     reader.read_exact(&mut head)?;
-    let word = |from: usize| u32::from_be_bytes([head[from], head[from + 1], head[from + 2], head[from + 3]]);
+    let word = |from: usize| {
+        u32::from_be_bytes([head[from], head[from + 1], head[from + 2], head[from + 3]])
+    };
     if head[..4] != MAGIC {
         return Err(SealFault::Bad("a snapshot has no magic".into()));
     }
@@ -75,7 +81,9 @@
     }
     let length = (u64::from(word(12)) << 32 | u64::from(word(16))) as usize;
     if length > BOUND {
-        return Err(SealFault::Bad(format!("a snapshot of {length} bytes is over the bound")));
+        return Err(SealFault::Bad(format!(
+            "a snapshot of {length} bytes is over the bound"
+        )));
     }
     let mut body = rkyv::util::AlignedVec::<16>::new();
     while body.len() < length {
@@ -99,7 +107,12 @@
     use yare::parameterized;
 
     fn letter() -> Letter {
-        Letter::PlanPiece { epoch: Epoch(3), offset: 5, length: 99, bytes: b"plan".to_vec() }
+        Letter::PlanPiece {
+            epoch: Epoch(3),
+            offset: 5,
+            length: 99,
+            bytes: b"plan".to_vec(),
+        }
     }
 
     #[test]
@@ -110,8 +123,14 @@
         for place in 0..sealed.len() {
             let mut bent = sealed.clone();
             bent[place] ^= 0x10;
-            assert!(open(&mut &bent[..]).is_err(), "byte {place} was flipped unnoticed");
-            assert!(open(&mut &sealed[..place]).is_err(), "torn at {place} unnoticed");
+            assert!(
+                open(&mut &bent[..]).is_err(),
+                "byte {place} was flipped unnoticed"
+            );
+            assert!(
+                open(&mut &sealed[..place]).is_err(),
+                "torn at {place} unnoticed"
+            );
         }
     }
 
