--- /dev/null
+++ b/crates/replication/tests/golden.rs
@@ -0,0 +1,125 @@
+//! Each kind of record on the disk against its golden bytes, so that builds of before and after read each other's
+//! data. `COBALTFALL_WRITE_GOLDEN=1` in the environment writes them anew.
+
+#[path = "../../types/tests/golden_file/mod.rs"]
+mod golden_file;
+
+use replication::prelude::{
+    Address, Ballot, Change, DiskId, LeaseStatus, Record, Round, Seat, Seq, Ticket, Timing, View,
+    ViewEpoch, Voter,
+};
+
+variant_names!(ALL_RECORDS, record_name(Record) {
+    Record::Promised { .. } => "Promised",
+    Record::Accepted { .. } => "Accepted",
+    Record::View { .. } => "View",
+    Record::Change { .. } => "Change",
+    Record::Snapshot { .. } => "Snapshot",
+});
+
+fn view() -> View {
+    let voter = |port: u16| Voter {
+        address: Address::loopback(port),
+        disk: DiskId(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f00 + u128::from(port)),
+    };
+    let seat = |port: u16, is_level: bool| Seat {
+        voter: voter(port),
+        is_level,
+    };
+    View {
+        epoch: ViewEpoch(7),
+        chain: vec![seat(7101, true), seat(7102, true), seat(7103, false)],
+        voters: vec![voter(7101), voter(7102), voter(7103)],
+    }
+}
+
+fn records() -> Vec<Record> {
+    let round = Round {
+        count: 3,
+        proposer: 0xfeed_0000_0000_0000_0000_0000_0000_beef,
+    };
+    vec![
+        Record::Promised {
+            instance: ViewEpoch(8),
+            round,
+        },
+        Record::Accepted {
+            ballot: Ballot {
+                round,
+                view: view(),
+            },
+        },
+        Record::View { view: view() },
+        Record::Change {
+            change: Change {
+                seq: Seq(13),
+                stamp: ViewEpoch(7),
+                ticket: Ticket {
+                    origin: Address::loopback(7104),
+                    number: 0x1122_3344_5566_7788,
+                },
+                body: b"the body of a change".to_vec(),
+            },
+        },
+        Record::Snapshot {
+            last: Seq(12),
+            stamp: ViewEpoch(6),
+            body: b"the state machine's own snapshot".to_vec(),
+        },
+    ]
+}
+
+fn aligned(bytes: &[u8]) -> rkyv::util::AlignedVec<16> {
+    let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
+    aligned.extend_from_slice(bytes);
+    aligned
+}
+
+#[test]
+fn each_record_has_its_golden_bytes_and_they_read_as_it() {
+    let records = records();
+    let archived: Vec<(&str, Vec<u8>)> = records
+        .iter()
+        .map(|record| {
+            let bytes = rkyv::to_bytes::<rkyv::rancor::Error>(record).expect("it is archived");
+            (record_name(record), bytes.to_vec())
+        })
+        .collect();
+    golden_file::compare_entries("records.txt", &archived);
+    let golden = golden_file::read_entries("records.txt");
+    assert_eq!(golden.len(), records.len());
+    for ((name, bytes), record) in golden.iter().zip(&records) {
+        let read = rkyv::from_bytes::<Record, rkyv::rancor::Error>(&aligned(bytes));
+        assert_eq!(read.ok().as_ref(), Some(record), "{name}");
+    }
+    golden_file::check_all_named(ALL_RECORDS, records.iter().map(record_name));
+}
+
+variant_names!(ALL_STATUSES, status_name(LeaseStatus) {
+    LeaseStatus::Leased => "leased",
+    LeaseStatus::Together => "together",
+    LeaseStatus::Unheard => "unheard",
+    LeaseStatus::Alone => "alone",
+    LeaseStatus::Behind => "behind",
+});
+
+const STATUSES: [LeaseStatus; 5] = [
+    LeaseStatus::Leased,
+    LeaseStatus::Together,
+    LeaseStatus::Unheard,
+    LeaseStatus::Alone,
+    LeaseStatus::Behind,
+];
+
+#[test]
+fn operators_are_shown_each_lease_status_by_its_word() {
+    for status in STATUSES {
+        assert_eq!(status.word(), status_name(&status));
+    }
+    golden_file::check_all_named(ALL_STATUSES, STATUSES.iter().map(status_name));
+}
+
+#[test]
+fn the_spans_and_bounds_of_a_replica_are_as_ever() {
+    golden_file::compare_text("timing.txt", &golden_file::values_of(&Timing::default()));
+}
