--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -48,6 +48,13 @@
     }
 }
 
+/// The tail settles a membership that enough members know with its next clock event, and tries again every 400 ms:
+/// an epoch that stands for longer is the settled one's.
+const SETTLED_AFTER: Span = Span(2000);
+
+/// How long a controller is waited for when its beliefs are kept with the logs of a failed test.
+const BELIEFS_PATIENCE: Span = Span(1000);
+
 /// All daemons of a deployment, on loopback. Ended when dropped.
 pub struct Fleet {
     /// Controllers, with their folders under `folder`.
@@ -208,7 +215,34 @@
     }
 }
 
+impl Drop for Fleet {
+    /// Keeps a temporary folder, with all logs, when a test fails, and says where it is.
+    fn drop(&mut self) {
+        if !std::thread::panicking() {
+            return;
+        }
+        if let Some(temporary) = self._temporary.take() {
+            let folder = temporary.keep();
+            self.note_beliefs(&folder);
+            eprintln!("the fleet's logs are kept in {}", folder.display());
+        }
+    }
+}
+
 impl Fleet {
+    /// Writes beside the logs what each controller believes now; one that doesn't answer leaves no file.
+    fn note_beliefs(&self, folder: &Path) {
+        for daemon in &self.controllers {
+            let url = format!("http://{}/v1/believes", daemon.listen);
+            let body = ask_get(&url, BELIEFS_PATIENCE, BELIEFS_PATIENCE).and_then(|response| {
+                read_all(response, 64 << 20).map_err(|error| AskError::Unknown(error.to_string()))
+            });
+            if let Ok(body) = body {
+                let _ = std::fs::write(folder.join(format!("{}.believes.json", daemon.name)), body);
+            }
+        }
+    }
+
     /// Writes the settings and starts all daemons. `folder`: where to, a temporary one by default.
     pub fn start(
         shape: &Shape,
@@ -395,6 +429,25 @@
             self.controllers.iter().all(Daemon::is_ready)
         })
     }
+    /// Waits until the membership that the routers came into is settled. Until then the core takes no change without
+    /// more than half of the *previous* members, and these may be one or two: a test that freezes one of them earlier
+    /// freezes the majority itself. Nothing shows the previous members, so it waits until the tail knows that all
+    /// members have its epoch, by which it may settle, and this epoch then stands for `SETTLED_AFTER`.
+    pub fn await_settled_membership(&self, patience: Span) -> Result<Span, String> {
+        let mut standing: Option<(u64, Moment)> = None;
+        Self::await_that(patience, "the membership is settled", || {
+            let known = self.controllers.iter().find_map(|controller| {
+                epoch_known_to_all(&controller.believes(), self.routers.len())
+            });
+            let now = Clock::now();
+            standing = match (known, standing) {
+                (Some(epoch), Some((old, since))) if epoch == old => Some((old, since)),
+                (Some(epoch), _) => Some((epoch, now)),
+                (None, _) => None,
+            };
+            standing.is_some_and(|(_, since)| now.since(since) >= SETTLED_AFTER)
+        })
+    }
     /// Waits until all routers take requests.
     pub fn await_routers(&self, patience: Span) -> Result<Span, String> {
         Self::await_that(patience, "all routers ready", || {
@@ -446,6 +499,20 @@
     }
 }
 
+/// The epoch of a tail that believes this, if it counts so many members and each is known to have it.
+fn epoch_known_to_all(believed: &serde_json::Value, members: usize) -> Option<u64> {
+    let epoch = believed["epoch"].as_u64()?;
+    let leases = believed["leases"].as_object()?;
+    let do_all_know = believed["members"].as_array()?.iter().all(|member| {
+        member
+            .as_str()
+            .and_then(|member| leases.get(member)?.as_u64())
+            == Some(epoch)
+    });
+    let is_whole = believed["members"].as_array()?.len() == members;
+    (believed["may_respond"] == true && is_whole && do_all_know).then_some(epoch)
+}
+
 /// The line of a settings file that names the seeds.
 fn seeds_line(seeds: &[Address]) -> String {
     let quoted: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -325,6 +325,9 @@
 fn frozen_machines_wake_into_a_fleet_that_went_on_and_do_no_harm() {
     let deployment = Deployment::Pahana;
     let (crew, mut fleet, _machine) = serving(deployment);
+    fleet
+        .await_settled_membership(PATIENCE)
+        .expect("the membership is settled");
     let zone = fleet.routers[2].zone.clone();
     under_load(deployment, &mut fleet, &crew, 30, |fleet| {
         // A router and the tail sleep while the router's zone is withdrawn.
