--- a/crates/config/src/dialect.rs
+++ b/crates/config/src/dialect.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use crate::plan::{Fault, Plan, merge_change, parse_plan};
 
 /// How operators write plans and changes to them.
 ///
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -1,10 +1,11 @@
 //! What is kept of accepted changes: a bounded span, the newest ones.
 
-use crate::prelude::*;
+use crate::ledger::{Command, Proposal};
 use std::collections::{BTreeMap, VecDeque};
+use types::{Address, Epoch, Splice, ZoneName, messages, unwind};
 
 /// Operators' changes of which the id, and so the fate, is known: the newest so many. The users' days
-/// have some hundreds, their years about 1,200 a day. [`replication::prelude::Timing::changes_per_second`]
+/// have some hundreds, their years about 1,200 a day. [`replication::Timing::changes_per_second`]
 /// bounds how fast they can be used up.
 pub const REMEMBERED_CHANGES: usize = 4096;
 
--- a/crates/config/src/ledger.rs
+++ b/crates/config/src/ledger.rs
@@ -1,6 +1,9 @@
-use crate::prelude::*;
-use replication::prelude::{Membership, Preview, StateMachine};
+use crate::dialect::{OwnPlans, PlanDialect};
+use crate::history::{AsSent, Entry, History, NotKept};
+use crate::plan::{Fault, Plan};
+use replication::{Membership, Preview, StateMachine};
 use std::collections::BTreeMap;
+use types::{Address, Epoch, ResultCode, Splice, TokenKey, ZoneName, messages};
 
 messages! {
     /// A plan's number where operators count by their own, and the number of the plan that it builds on;
--- a/crates/config/src/ledger/tests.rs
+++ b/crates/config/src/ledger/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::history::AsSent;
+use crate::ledger::{Command, Ledger, Proposal};
+use types::{Address, Epoch, TokenKey, ZoneName};
 
 fn plan(id: &str, builds_on: u64, slots: u32) -> Proposal {
     let bytes = format!(r#"{{"services":{{"drafts":{{"slots":{slots},"zones":["north"]}}}}}}"#)
@@ -40,8 +43,7 @@
     let mut ledger = Ledger::default();
     let note = "n".repeat(200_000);
     let sent = |n: usize| {
-        format!(r#"{{ "note":"{note}", "services":{{"drafts":{{"slots":{n}}}}} }}"#)
-            .into_bytes()
+        format!(r#"{{ "note":"{note}", "services":{{"drafts":{{"slots":{n}}}}} }}"#).into_bytes()
     };
     let mut bodies = vec![];
     for n in 1..=200usize {
@@ -54,8 +56,7 @@
         let command = if n % 40 == 1 {
             Command::plan(body.clone()).expect("a good plan")
         } else {
-            Command::change(body.clone(), ledger.plan_epoch, &ledger.plan)
-                .expect("a good change")
+            Command::change(body.clone(), ledger.plan_epoch, &ledger.plan).expect("a good change")
         };
         let proposal = Proposal {
             id: format!("n-{n}"),
@@ -134,8 +135,7 @@
 }
 
 #[test]
-fn previous_members_count_no_more_once_the_membership_is_settled_and_only_for_that_membership()
-{
+fn previous_members_count_no_more_once_the_membership_is_settled_and_only_for_that_membership() {
     let mut ledger = Ledger::default();
     let inner = |command: Command| Proposal {
         id: String::new(),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,22 +9,18 @@
 mod settings;
 mod tenants;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::dialect::{OwnPlans, PlanDialect};
-    pub use crate::history::{
-        AsSent, Entry, Fate, Forgotten, History, KeptCommand, NotKept, REMEMBERED_BYTES,
-        REMEMBERED_CHANGES, SentChange, Undo,
-    };
-    pub use crate::ledger::{Command, CommandOutcome, Ledger, Proposal, Revisions};
-    pub use crate::plan::{
-        BoundsPlan, BtbPlan, Fault, Plan, RouteKind, RoutePlan, ServiceKind, ServicePlan,
-        SharePlan, merge_change, parse_plan,
-    };
-    pub use crate::routing::RouteTable;
-    pub use crate::settings::{
-        SettingsFault, a_name, addresses, an_address, parse_addresses, read_settings, within,
-    };
-    pub use crate::tenants::{KeyDigest, KeyHasher, QuotaUnit, TenantPlan, TenantTable};
-    pub use types::prelude::*;
-}
+pub use dialect::{OwnPlans, PlanDialect};
+pub use history::{
+    AsSent, Entry, Fate, Forgotten, History, KeptCommand, NotKept, REMEMBERED_BYTES,
+    REMEMBERED_CHANGES, SentChange, Undo,
+};
+pub use ledger::{Command, CommandOutcome, Ledger, Proposal, Revisions};
+pub use plan::{
+    BoundsPlan, BtbPlan, Fault, Plan, RouteKind, RoutePlan, ServiceKind, ServicePlan, SharePlan,
+    merge_change, parse_plan,
+};
+pub use routing::RouteTable;
+pub use settings::{
+    SettingsFault, a_name, addresses, an_address, parse_addresses, read_settings, within,
+};
+pub use tenants::{KeyDigest, KeyHasher, QuotaUnit, TenantPlan, TenantTable};
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -1,8 +1,10 @@
-use crate::prelude::*;
-use placement::prelude::{BtbRules, Rules, ServiceRules};
+use crate::settings::{a_name, within};
+use crate::tenants::TenantPlan;
+use placement::{BtbRules, Rules, ServiceRules};
 use schematic::{Config, ConfigEnum, ConfigError, ConfigLoader, ValidateError, ValidateResult};
 use serde::Serialize;
 use std::collections::BTreeMap;
+use types::{Epoch, Span, ZoneName};
 
 /// A fault in a plan or in settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
--- a/crates/config/src/plan/tests.rs
+++ b/crates/config/src/plan/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use crate::plan::{ServiceKind, merge_change, parse_plan};
 use yare::parameterized;
 
 #[test]
@@ -39,7 +39,8 @@
 
 #[test]
 fn a_bent_or_torn_plan_is_read_or_refused_and_never_panics() {
-    let plan = br#"{"services":{"drafts":{"slots":4,"btb":{"x":5},"zones":["east"]}},"note":"\u00e9"}"#;
+    let plan =
+        br#"{"services":{"drafts":{"slots":4,"btb":{"x":5},"zones":["east"]}},"note":"\u00e9"}"#;
     let mut refused = 0;
     for place in 0..plan.len() {
         refused += u32::from(parse_plan(&plan[..place]).is_err());
--- a/crates/config/src/routing.rs
+++ b/crates/config/src/routing.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use crate::plan::{Fault, Plan, RoutePlan, SharePlan};
 use crate::tenants::tenant_faults;
 use std::collections::HashMap;
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,7 @@
 use crate::plan::{Fault, faults_of};
 use schematic::{Config, ConfigLoader, ValidateError, ValidateResult};
 use std::path::Path;
-use types::prelude::*;
+use types::{Address, ZoneName};
 
 /// Why settings can't be used: each fault with its field.
 #[derive(Debug, thiserror::Error)]
--- a/crates/config/src/tenants.rs
+++ b/crates/config/src/tenants.rs
@@ -1,8 +1,9 @@
 //! Tenants: who may send requests, by which API keys, and how many.
 
-use crate::prelude::*;
+use crate::plan::Fault;
 use schematic::{Config, ConfigEnum};
 use std::collections::HashMap;
+use types::{ApiKey, ApiKeys, TenantName, random_bytes};
 
 /// What a tenant's quota counts.
 #[derive(
--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -1,9 +1,10 @@
 //! Snapshots and proposals that were bent at random, by a fixed seed: none makes the ledger panic.
 
-use config::prelude::*;
+use config::{Command, History, Ledger, OwnPlans, Proposal};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use replication::prelude::StateMachine;
+use replication::StateMachine;
+use types::{Address, Epoch, ZoneName};
 
 fn runner() -> TestRunner {
     let config = Config {
--- a/crates/config/tests/history.rs
+++ b/crates/config/tests/history.rs
@@ -1,7 +1,11 @@
 //! The bounded history: what is remembered, what is forgotten, and that nothing is applied twice.
 
-use config::prelude::*;
-use replication::prelude::{Preview, StateMachine};
+use config::{
+    AsSent, Command, Fate, History, Ledger, NotKept, OwnPlans, Proposal, REMEMBERED_BYTES,
+    REMEMBERED_CHANGES, Revisions,
+};
+use replication::{Preview, StateMachine};
+use types::{Epoch, Splice};
 use yare::parameterized;
 
 const ACCEPTED: u64 = 300;
--- a/crates/config/tests/hundreds.rs
+++ b/crates/config/tests/hundreds.rs
@@ -1,9 +1,10 @@
 //! Hundreds of changes: a member of the core is away, comes back and is level again, on virtual time, with
 //! lines and disks of real sizes and the real state machines.
 
-use config::prelude::*;
-use replication::prelude::*;
+use config::{Command, Ledger, Proposal, Revisions};
+use replication::{Input, Kept, Note, Output, Record, Replica, StateMachine, Timing, Voter};
 use std::collections::VecDeque;
+use types::{Address, DiskId, Epoch, Moment, Seq, Splice, ViewEpoch};
 use yare::parameterized;
 
 /// Between steps of the virtual time.
--- a/crates/config/tests/revisions.rs
+++ b/crates/config/tests/revisions.rs
@@ -1,5 +1,6 @@
-use config::prelude::*;
-use replication::prelude::{Preview, StateMachine};
+use config::{AsSent, Command, Ledger, OwnPlans, Proposal};
+use replication::{Preview, StateMachine};
+use types::Epoch;
 
 fn plan_bytes(revision: u64, slots: u64) -> Vec<u8> {
     format!(r#"{{ "revision":{revision}, "services":{{"a":{{"slots":{slots}}}}} }}"#).into_bytes()
--- a/crates/config/tests/routing.rs
+++ b/crates/config/tests/routing.rs
@@ -1,4 +1,4 @@
-use config::prelude::*;
+use config::{Fault, OwnPlans, Plan, PlanDialect};
 use std::collections::HashMap;
 use yare::parameterized;
 
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -1,4 +1,5 @@
-use config::prelude::*;
+use config::{Fault, KeyHasher, OwnPlans, Plan, PlanDialect, TenantTable};
+use types::ApiKey;
 use yare::parameterized;
 
 fn parse(tenants: serde_json::Value) -> Result<Plan, Vec<Fault>> {
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -1,5 +1,10 @@
+use crate::controller::OperatorAsk;
 use crate::core_line::OPERATOR_PATIENCE;
-use crate::prelude::*;
+use crate::core_line::{Attempt, CoreLine, Told};
+use config::{Command, Fault, PlanDialect, Proposal};
+use transport::{Request, Response};
+use types::{Epoch, ResultCode, Span, ZoneName, random_bytes};
+use wire::Reading;
 
 /// What an operator's call asks for, in whatever dialect.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -1,5 +1,10 @@
 use super::*;
+use crate::admin::{AdminAnswer, AdminCall};
+use crate::controller::ControllerInput;
+use crate::core_line::{Attempt, CoreLine};
+use config::OwnPlans;
 use std::sync::Arc;
+use types::{ResultCode, Span};
 
 /// A core that answers each question from the words given, in turn.
 fn core(words: Vec<(u16, Vec<u8>)>) -> CoreLine {
--- a/crates/controller/src/admin_command.rs
+++ b/crates/controller/src/admin_command.rs
@@ -1,8 +1,8 @@
 use clap::Subcommand;
 use std::io::Write;
 use std::path::PathBuf;
-use transport::prelude::*;
-use types::prelude::*;
+use transport::{ask_with, read_all};
+use types::{Address, Span};
 
 /// The operators' command line: each task is one call to a controller's HTTP interface.
 #[derive(Debug, clap::Args)]
@@ -12,12 +12,12 @@
     pub at: Address,
     /// What to do.
     #[command(subcommand)]
-    pub task: AdminTask,
+    pub task: AdminSubcommand,
 }
 
 /// What operators do.
 #[derive(Debug, Subcommand)]
-pub enum AdminTask {
+pub enum AdminSubcommand {
     /// Put a whole plan in force.
     Put {
         /// The plan, JSON.
@@ -95,7 +95,7 @@
             std::fs::read(file).map_err(|fault| format!("{}: {fault}", file.display()))
         };
         let (method, path, body) = match &self.task {
-            AdminTask::Put {
+            AdminSubcommand::Put {
                 file,
                 id,
                 builds_on,
@@ -104,7 +104,7 @@
                 format!("/v1/plan?id={id}&builds_on={builds_on}"),
                 Some(body_of(file)),
             ),
-            AdminTask::Change {
+            AdminSubcommand::Change {
                 file,
                 id,
                 builds_on,
@@ -113,22 +113,24 @@
                 format!("/v1/plan?id={id}&builds_on={builds_on}"),
                 Some(body_of(file)),
             ),
-            AdminTask::Show { epoch: None } => ("GET", "/v1/plan".into(), None),
-            AdminTask::Show { epoch: Some(epoch) } => ("GET", format!("/v1/plans/{epoch}"), None),
-            AdminTask::Tenants => ("GET", "/v1/tenants".into(), None),
-            AdminTask::Latest => ("GET", "/v1/latest".into(), None),
-            AdminTask::Fate { id } => ("GET", format!("/v1/fates/{id}"), None),
-            AdminTask::Withdraw { zone, id } => (
+            AdminSubcommand::Show { epoch: None } => ("GET", "/v1/plan".into(), None),
+            AdminSubcommand::Show { epoch: Some(epoch) } => {
+                ("GET", format!("/v1/plans/{epoch}"), None)
+            }
+            AdminSubcommand::Tenants => ("GET", "/v1/tenants".into(), None),
+            AdminSubcommand::Latest => ("GET", "/v1/latest".into(), None),
+            AdminSubcommand::Fate { id } => ("GET", format!("/v1/fates/{id}"), None),
+            AdminSubcommand::Withdraw { zone, id } => (
                 "POST",
                 format!("/v1/zones/{zone}/withdraw?id={id}"),
                 Some(Ok(vec![])),
             ),
-            AdminTask::Restore { zone, id } => (
+            AdminSubcommand::Restore { zone, id } => (
                 "POST",
                 format!("/v1/zones/{zone}/restore?id={id}"),
                 Some(Ok(vec![])),
             ),
-            AdminTask::Forget { members, id } => {
+            AdminSubcommand::Forget { members, id } => {
                 let body = serde_json::json!({"members": members})
                     .to_string()
                     .into_bytes();
@@ -138,7 +140,7 @@
                     Some(Ok(body)),
                 )
             }
-            AdminTask::Believes => ("GET", "/v1/believes".into(), None),
+            AdminSubcommand::Believes => ("GET", "/v1/believes".into(), None),
         };
         let body = match body.transpose() {
             Ok(body) => body.unwrap_or_default(),
--- a/crates/controller/src/contacts.rs
+++ b/crates/controller/src/contacts.rs
@@ -3,8 +3,9 @@
 //! Seeds may be machines without a disk, which know no more than whoever asks them. So every controller, with a disk
 //! or without, exchanges with its seeds where the core is: those of the core tell the seeds, all others are told.
 
-use crate::prelude::*;
 use std::collections::BTreeMap;
+use types::{Address, Moment, Span, ViewEpoch};
+use wire::{ControllerContact, CoreLocation, Letter, PollResponse};
 
 /// The spans and bounds that the exchange goes by.
 #[derive(Debug, Clone, Copy)]
--- a/crates/controller/src/contacts/tests.rs
+++ b/crates/controller/src/contacts/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::contacts::Contacts;
+use types::{Address, Moment, Span, ViewEpoch};
+use wire::{ControllerContact, CoreLocation, Letter, PollResponse, seal};
 
 fn at(port: u16) -> Address {
     Address::loopback(port)
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,6 +1,11 @@
-use crate::prelude::*;
+use crate::contacts::Contacts;
+use config::{Command, Ledger, Proposal};
+use quota::{Authority, QuotaBounds};
+use replication::{Input, LeaseTable, Note, Output, Record, Replica, Ticket, Timing, View};
 use schematic::ConfigEnum;
 use std::collections::{BTreeMap, VecDeque};
+use types::{Address, Epoch, Moment, Span, TokenKey, ViewEpoch};
+use wire::{CoreLocation, Letter, Poll, Reading, SPLICE_MOST};
 
 mod members;
 mod operators;
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/controller/members.rs
@@ -1,7 +1,11 @@
 //! The members: their leases, the news that they are told, who joins and who is let go.
 
 use super::*;
+use crate::controller::{Controller, Quorum};
+use config::Command;
 use std::collections::BTreeSet;
+use types::{Address, Epoch, Span, ZoneName};
+use wire::{CoreLocation, Letter, Member, News, Poll, PollResponse};
 
 /// Between calls of members without a lease,
 const CALL_PERIOD: Span = Span(1000);
--- a/crates/controller/src/controller/operators.rs
+++ b/crates/controller/src/controller/operators.rs
@@ -1,6 +1,11 @@
 //! What operators wait for: readings at the tail and proposals to the head, tried again until their time is up.
 
 use super::*;
+use crate::controller::{Controller, ControllerOutput, OperatorAsk};
+use config::{Command, Proposal};
+use replication::Input;
+use types::{Address, Epoch, ResultCode, Span};
+use wire::{Letter, Reading};
 
 /// What the newest epoch was when a zone's change came in must be known within this, or it is not proposed: an
 /// answer from later may be younger than what its operator did since. Under the second after which an operator
--- a/crates/controller/src/controller/quotas.rs
+++ b/crates/controller/src/controller/quotas.rs
@@ -1,7 +1,10 @@
 //! Tenants' quotas: the tail grants credit of them.
 
-use super::*;
-use quota::prelude::{Authority, CreditAsk};
+use crate::controller::Controller;
+use quota::{Authority, CreditAsk};
+use replication::View;
+use types::Address;
+use wire::Letter;
 
 impl Controller {
     /// This is the tail, and may answer for the core.
--- a/crates/controller/src/controller/reading.rs
+++ b/crates/controller/src/controller/reading.rs
@@ -1,6 +1,9 @@
 //! What the ledger says, as status and body.
 
-use super::*;
+use crate::controller::Controller;
+use config::{AsSent, Fate, NotKept};
+use types::{Address, Epoch, Moment, ResultCode, Span};
+use wire::Reading;
 
 /// Who was not heard for this long, by the core or by any member that polls, may be lost. Longer than a
 /// lease, than a peer check counts, and than a view takes to change.
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -1,4 +1,12 @@
 use super::*;
+use crate::contacts::Contacts;
+use crate::controller::{
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+};
+use config::{Command, Ledger, Proposal};
+use replication::{Kept, Note, Record, Replica, Seat, View, Voter};
+use types::{Address, DiskId, Epoch, Moment, ResultCode, TokenKey, ViewEpoch};
+use wire::{Letter, Member, Poll, Reading};
 
 /// Controller 2 in a chain of 1, 2, 3: it proposes to 1 and asks 3.
 struct Played {
@@ -487,7 +495,7 @@
 }
 
 fn credit_ask(number: u64) -> Letter {
-    use quota::prelude::{Amount, CreditAsk, CreditRequest, QuotaLimit};
+    use quota::{Amount, CreditAsk, CreditRequest, QuotaLimit};
     let limit = QuotaLimit {
         rate: Amount::units(10),
         burst: Amount::units(10),
--- a/crates/controller/src/core_line.rs
+++ b/crates/controller/src/core_line.rs
@@ -1,7 +1,9 @@
-use crate::prelude::*;
+use crate::controller::{ControllerInput, OperatorAsk};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+use transport::{Client, Response};
+use types::{Clock, Moment, ResultCode, Span};
 
 /// Bounds the operators' requests that wait in this process.
 const OPERATORS: usize = 64;
--- a/crates/controller/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -1,14 +1,23 @@
+use crate::contacts::Contacts;
 use crate::control_event::ControlEvent;
+use crate::controller::{Controller, ControllerInput, ControllerOutput, ControllerTiming};
 use crate::core_line::Responses;
+use crate::core_line::{Attempt, CoreLine};
+use crate::disk_thread::{DiskEvent, DiskThread};
 use crate::own_interface::OwnInterface;
-use crate::prelude::*;
+use crate::process::Dialects;
 use crate::process::{SETTINGS_PERIOD, operators_gate, stop_flag};
 use crate::relay_daemon::run_relay;
+use crate::settings::Settings;
 use crate::tallies::Tallies;
+use config::{Ledger, parse_addresses};
+use replication::{Kept, Replica, Seat, Voter};
 use std::net::TcpListener;
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use transport::{Post, PostClass, Request, Response};
+use types::{Address, Clock, DiskId, Moment, ResultCode, Span, TokenKey, ZoneName, random_bytes};
 
 /// Between clock events, at least and at most.
 const SHORTEST_TICK: Span = Span(20);
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -1,6 +1,8 @@
-use crate::prelude::*;
+use replication::{Kept, Record};
 use std::path::Path;
 use std::time::Duration;
+use storage::{Opened, Storage, StorageFault};
+use types::{DiskId, random_bytes};
 
 /// What the disk's own thread tells the control thread.
 #[derive(Debug)]
--- a/crates/controller/src/disk_thread/tests.rs
+++ b/crates/controller/src/disk_thread/tests.rs
@@ -1,6 +1,11 @@
 use super::*;
+use crate::disk_thread::{DiskEvent, DiskThread};
+use config::Ledger;
+use replication::{Change, Record, Replica, Seat, StateMachine, Ticket, Timing, View, Voter};
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use storage::StorageFault;
+use types::{Address, DiskId, Moment, Seq};
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -17,26 +17,17 @@
 mod settings;
 mod tallies;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::admin::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
-    pub use crate::contacts::{ContactTiming, Contacts};
-    pub use crate::controller::{
-        Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
-    };
-    pub use crate::core_line::{Attempt, CoreLine, Told};
-    pub use crate::daemon::run;
-    pub use crate::disk_thread::{DiskEvent, DiskThread};
-    pub use crate::process::{Dialects, ReadSeeds};
-    pub use crate::redirect::ReadAddresses;
-    pub use crate::relay::{Relay, RelayInput};
-    pub use crate::settings::Settings;
-    pub use config::prelude::*;
-    pub use quota::prelude::{Authority, QuotaBounds};
-    pub use replication::prelude::*;
-    pub use storage::prelude::*;
-    pub use transport::prelude::*;
-    pub use wire::prelude::*;
-}
+pub use admin::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
+pub use contacts::{ContactTiming, Contacts};
+pub use controller::{
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+};
+pub use core_line::{Attempt, CoreLine, Told};
+pub use daemon::run;
+pub use disk_thread::{DiskEvent, DiskThread};
+pub use process::{Dialects, ReadSeeds};
+pub use redirect::ReadAddresses;
+pub use relay::{Relay, RelayInput};
+pub use settings::Settings;
 
-pub use admin_command::{AdminCommand, AdminTask};
+pub use admin_command::{AdminCommand, AdminSubcommand};
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,7 +1,9 @@
 use clap::{Parser, Subcommand};
-use controller::{AdminCommand, prelude::*};
+use config::read_settings;
+use controller::{AdminCommand, Dialects, Settings, run};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use types::{Address, ResultCode};
 
 /// The control plane of cobaltfall: keeps what operators had accepted, and tells the routers.
 #[derive(Debug, Parser)]
--- a/crates/controller/src/own_interface.rs
+++ b/crates/controller/src/own_interface.rs
@@ -1,11 +1,16 @@
 //! The product's own interface for operators, over HTTP.
 
 use crate::control_event::ControlEvent;
+use crate::controller::OperatorAsk;
 use crate::core_line::OPERATOR_PATIENCE;
-use crate::prelude::*;
+use crate::core_line::{Attempt, CoreLine};
 use crate::tallies::Tallies;
+use config::{Command, Fault, Proposal};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
+use transport::{Request, Response};
+use types::{Address, Epoch, ResultCode, ServiceName, Span};
+use wire::Reading;
 
 /// The control thread tells what it believes within this.
 const BELIEVES_PATIENCE: Duration = Duration::from_secs(5);
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -1,9 +1,12 @@
 //! What a controller's process has in common, with a disk and without.
 
-use crate::prelude::*;
+use crate::admin::AdminDialect;
 use crate::redirect::ReadAddresses;
+use config::{OwnPlans, PlanDialect};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
+use transport::{Gate, GateBounds};
+use types::{Address, Span};
 
 /// Between readings of the settings' seeds.
 pub(crate) const SETTINGS_PERIOD: Span = Span(1000);
--- a/crates/controller/src/redirect.rs
+++ b/crates/controller/src/redirect.rs
@@ -1,8 +1,9 @@
 //! A control node without a disk sends operators on to one that serves the core.
 
-use crate::prelude::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use transport::{Request, Response, ask_get};
+use types::{Address, ResultCode, Span};
 
 /// How long another node may take to say whether it serves.
 const PROBE_PATIENCE: Span = Span(150);
--- a/crates/controller/src/redirect/tests.rs
+++ b/crates/controller/src/redirect/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use std::sync::atomic::AtomicBool;
+use types::Address;
 use yare::parameterized;
 
 fn nodes(ports: &[u16]) -> Vec<Address> {
--- a/crates/controller/src/relay.rs
+++ b/crates/controller/src/relay.rs
@@ -1,7 +1,9 @@
 //! A controller without a disk: it keeps nothing and votes on nothing, but may be all that a process is told of. It
 //! tells nodes that ask it where the core is, and knows where operators are served.
 
-use crate::prelude::*;
+use crate::contacts::Contacts;
+use types::{Address, Moment};
+use wire::Letter;
 
 /// What a relay is told.
 #[derive(Debug, Clone)]
--- a/crates/controller/src/relay/tests.rs
+++ b/crates/controller/src/relay/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use crate::relay::{Relay, RelayInput};
+use types::{Address, Epoch, Moment, Span, ViewEpoch};
+use wire::{ControllerContact, CoreLocation, Letter, Member, Poll, PollResponse};
 
 fn at(port: u16) -> Address {
     Address::loopback(port)
--- a/crates/controller/src/relay_daemon.rs
+++ b/crates/controller/src/relay_daemon.rs
@@ -1,11 +1,16 @@
 //! Runs a controller without a disk.
 
-use crate::prelude::*;
+use crate::process::Dialects;
 use crate::process::{SETTINGS_PERIOD, operators_gate, stop_flag};
 use crate::redirect::Redirector;
+use crate::relay::{Relay, RelayInput};
+use crate::settings::Settings;
+use config::parse_addresses;
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError, RwLock};
+use transport::{Post, PostClass};
+use types::{Address, Clock, Moment, Span};
 
 /// Letters that may wait for the control thread.
 const QUEUE: usize = 1024;
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,5 +1,8 @@
-use crate::prelude::*;
+use crate::controller::Quorum;
+use config::{a_name, addresses, an_address, within};
+use quota::QuotaBounds;
 use schematic::Config;
+use types::Span;
 
 /// A controller's settings file.
 #[derive(Debug, Clone, Config)]
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -4,9 +4,12 @@
 
 mod control;
 
+use config::{Fault, OwnPlans, Plan, PlanDialect};
 use control::{Carriage, Core, Mutant};
-use controller::prelude::*;
+use controller::{AdminAnswer, AdminCall, AdminTask, ControllerInput, OperatorAsk, SchedulerStep};
 use std::collections::{BTreeMap, BTreeSet};
+use types::{ResultCode, ZoneName};
+use wire::Reading;
 
 /// An operator turns to another machine after this silence.
 const SILENCE: u64 = 1000;
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -3,8 +3,12 @@
 
 #![allow(dead_code)] // Each test file uses its part.
 
-use controller::prelude::*;
+use config::Ledger;
+use controller::{Contacts, Controller, ControllerInput, ControllerOutput, ControllerTiming};
+use replication::{Kept, Note, Preview, Record, Replica, Seat, StateMachine, View, Voter};
 use std::collections::{BTreeMap, VecDeque};
+use types::{Address, DiskId, Moment, TokenKey, ViewEpoch};
+use wire::Letter;
 
 /// Between two clock events.
 const TICK: u64 = 25;
--- a/crates/controller/tests/delayed_and_refused.rs
+++ b/crates/controller/tests/delayed_and_refused.rs
@@ -2,9 +2,10 @@
 
 mod control;
 
-use config::prelude::{Command, OwnPlans, Proposal};
+use config::{Command, OwnPlans, Proposal};
 use control::{Carriage, Core};
-use controller::prelude::*;
+use controller::{ControllerInput, OperatorAsk};
+use types::Epoch;
 
 const HEAD: usize = 0;
 const MIDDLE: usize = 1;
--- a/crates/loadgen/src/asker.rs
+++ b/crates/loadgen/src/asker.rs
@@ -1,7 +1,9 @@
-use crate::prelude::*;
+use crate::mix::PlannedRequest;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::time::Instant;
+use transport::{AskError, Heard, ask_get, ask_post, read_all};
+use types::{Address, Span};
 
 /// What became of a request, as its client saw it.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/loadgen/src/campaign.rs
+++ b/crates/loadgen/src/campaign.rs
@@ -1,7 +1,9 @@
-use crate::prelude::*;
+use crate::asker::{Asked, ask};
+use crate::mix::Mix;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
+use types::{Address, Span};
 
 /// How a campaign goes.
 #[derive(Debug, Clone)]
--- a/crates/loadgen/src/lib.rs
+++ b/crates/loadgen/src/lib.rs
@@ -6,13 +6,7 @@
 mod mix;
 mod report;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::asker::{Asked, Fate, ask, print_of};
-    pub use crate::campaign::{Campaign, CampaignRules};
-    pub use crate::mix::{Mix, MixKind, PlannedRequest, Shape};
-    pub use crate::report::{Report, ServiceReport};
-    pub use placement::prelude::mix;
-    pub use transport::prelude::*;
-    pub use types::prelude::*;
-}
+pub use asker::{Asked, Fate, ask, print_of};
+pub use campaign::{Campaign, CampaignRules};
+pub use mix::{Mix, MixKind, PlannedRequest, Shape};
+pub use report::{Report, ServiceReport};
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -1,6 +1,7 @@
 use clap::Parser;
-use loadgen::prelude::*;
+use loadgen::{Campaign, CampaignRules, Mix, MixKind, Report};
 use std::process::ExitCode;
+use types::{Address, Span};
 
 /// Plays the clients of a fleet for a while and checks every answer. Exit codes: 0 nothing that must
 /// never be was seen, 1 something was, 2 the call can't be used.
--- a/crates/loadgen/src/mix.rs
+++ b/crates/loadgen/src/mix.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use placement::mix;
 
 /// Whose traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
--- a/crates/loadgen/src/mix/tests.rs
+++ b/crates/loadgen/src/mix/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use crate::mix::{Mix, MixKind};
 
 #[test]
 fn a_seed_gives_the_same_traffic_at_the_rates_asked_for() {
--- a/crates/loadgen/src/report.rs
+++ b/crates/loadgen/src/report.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use crate::asker::{Asked, Fate};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/placement/examples/placing_speed.rs
+++ b/crates/placement/examples/placing_speed.rs
@@ -1,6 +1,10 @@
 //! How long one choice takes with 90 servers and 90 peers: `cargo run --release --example placing_speed`.
 
-use placement::prelude::*;
+use placement::{
+    BtbRules, Dated, Demand, Event, Holding, Hot, InFlight, PrefixHash, Rules, Scheduler,
+    SchedulerRules, ServerEntry, ServiceRules, Sketch, mix,
+};
+use types::{Address, Epoch, Moment, RequestId, Span};
 
 fn main() {
     let rules = ServiceRules {
--- a/crates/placement/src/allowance.rs
+++ b/crates/placement/src/allowance.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use types::{Moment, Span};
 
 /// What one node may spend on repeats of one service.
 ///
--- a/crates/placement/src/allowance/tests.rs
+++ b/crates/placement/src/allowance/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::allowance::Allowance;
+use types::Moment;
 
 #[test]
 fn a_fifth_and_the_allowance_a_minute_and_no_more() {
--- a/crates/placement/src/blocks.rs
+++ b/crates/placement/src/blocks.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use crate::share::mix;
+use crate::sketch::PrefixHash;
 
 /// Cuts a prompt into blocks and hashes each with all before it, so equal hashes mean equal
 /// prefixes. A last block that is not full has none: its KV is not shared.
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use types::{Epoch, Moment, Span};
 
 /// This node's claim to its part of what fresh and cold servers bear.
 ///
--- a/crates/placement/src/digest.rs
+++ b/crates/placement/src/digest.rs
@@ -1,5 +1,7 @@
-use crate::prelude::*;
+use crate::share::{key_of, mix};
+use crate::sketch::{Holding, Hot, InFlight, PrefixHash, Sketch};
 use std::collections::{BTreeMap, BTreeSet};
+use types::{Address, ServerName, messages};
 
 /// What a digest counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/placement/src/digest/tests.rs
+++ b/crates/placement/src/digest/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use crate::digest::{Digest, DigestKey};
+use crate::sketch::{Holding, Hot, InFlight, PrefixHash, Sketch};
+use types::ServerName;
 
 fn sketch(count: u32) -> Sketch {
     Sketch {
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,4 +1,7 @@
-use crate::prelude::*;
+use crate::rules::Rules;
+use crate::sketch::{PrefixHash, Sketch};
+use serde::{Deserialize, Serialize};
+use types::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName, messages};
 
 messages! {
     /// One server in the platform's list.
@@ -160,7 +163,7 @@
     },
     /// A peer's sketch, or the sum of all other nodes.
     PeerSketch {
-        /// The peer, or [`FLEET`].
+        /// The peer, or [`FLEET`](crate::FLEET).
         from: Address,
         /// Its sketch.
         sketch: Sketch,
--- a/crates/placement/src/repeat_window.rs
+++ b/crates/placement/src/repeat_window.rs
@@ -1,5 +1,5 @@
-use crate::prelude::*;
 use std::collections::VecDeque;
+use types::{Moment, Span};
 
 /// One node's repeats of one service, bounded in each sliding window.
 ///
--- a/crates/placement/src/residency.rs
+++ b/crates/placement/src/residency.rs
@@ -1,6 +1,8 @@
-use crate::prelude::*;
+use crate::share::mix;
+use crate::sketch::PrefixHash;
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
+use types::{Moment, Span};
 
 /// What one server is believed to hold, part by part. What was sent there is expected to be held
 /// soon; a first token makes it known. Forgotten when first-token times, a failure or a restart speak
--- a/crates/placement/src/residency/tests.rs
+++ b/crates/placement/src/residency/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::residency::Residency;
+use crate::sketch::PrefixHash;
+use types::Moment;
 
 #[test]
 fn the_longest_held_prefix_counts_and_old_belief_fades() {
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -1,5 +1,6 @@
-use crate::prelude::*;
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use types::{Epoch, ServerName, ServiceName, Span, ZoneName};
 
 /// The settings of BTB for one service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/placement/src/scheduler.rs
+++ b/crates/placement/src/scheduler.rs
@@ -1,7 +1,16 @@
-use crate::prelude::*;
+use crate::allowance::Allowance;
+use crate::claim::Claim;
+use crate::event::{Dated, Decision, Event, Outcome, ServerEntry};
+use crate::repeat_window::RepeatWindow;
+use crate::rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
+use crate::server_state::ServerState;
+use crate::share::{key_of, rank, share, share_at};
+use crate::sketch::{Holding, InFlight, PrefixHash, Sketch};
+use crate::window::Window;
 use peer_totals::PeerTotals;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use types::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
 
 mod peer_totals;
 mod placing;
@@ -12,7 +21,7 @@
 /// decisions.
 ///
 /// Invariants: whatever others told is kept apart from what was seen here, by who told it, and replaced
-/// whole by the next sketch from there; a sum of all others comes under [`FLEET`] and lacks what was seen
+/// whole by the next sketch from there; a sum of all others comes under [`FLEET`](crate::FLEET) and lacks what was seen
 /// here. Only servers that the newest server list lists, that are not leaving,
 /// suspected or in a withdrawn zone, and that the service's rules allow, are ever chosen.
 #[derive(Debug, Clone)]
--- a/crates/placement/src/scheduler/peer_totals.rs
+++ b/crates/placement/src/scheduler/peer_totals.rs
@@ -1,6 +1,9 @@
 //! What peers told, summed up once for each sketch.
 
 use super::*;
+use crate::server_state::Load;
+use crate::sketch::{PrefixHash, Sketch};
+use types::ServerName;
 
 /// The sum of all sketches that count.
 ///
--- a/crates/placement/src/scheduler/placing.rs
+++ b/crates/placement/src/scheduler/placing.rs
@@ -1,6 +1,15 @@
 //! Choosing a server for a request.
 
 use super::*;
+use crate::allowance::Allowance;
+use crate::event::{Candidate, Decision, Demand, PlaceReason};
+use crate::repeat_window::RepeatWindow;
+use crate::rules::{SchedulerRules, ServiceRules};
+use crate::scheduler::Scheduler;
+use crate::server_state::ServerState;
+use crate::share::{key_of, mix, rank, share_at};
+use crate::sketch::PrefixHash;
+use types::{Moment, RequestId, ResultCode, ServerName, ServiceName, Span};
 
 /// A request that wants a server.
 pub(super) struct Ask<'a> {
--- a/crates/placement/src/scheduler/tests.rs
+++ b/crates/placement/src/scheduler/tests.rs
@@ -1,5 +1,9 @@
-use super::*;
+use crate::event::{Dated, Decision, Demand, Event, Outcome, PlaceReason, ServerEntry};
+use crate::rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
+use crate::scheduler::Scheduler;
+use crate::sketch::{Hot, PrefixHash, Sketch};
 use std::collections::BTreeSet;
+use types::{Address, Epoch, Moment, RequestId, ResultCode, ServerName, Span};
 use yare::parameterized;
 
 fn rules() -> Rules {
--- a/crates/placement/src/scheduler/timing.rs
+++ b/crates/placement/src/scheduler/timing.rs
@@ -4,6 +4,13 @@
 use super::peer_totals::ToldHolding;
 use super::placing::{Ask, Choice, Refusal, SpanExt, WAIT_LEAST, late_words};
 use super::*;
+use crate::event::{Candidate, Demand, PlaceReason};
+use crate::rules::{BtbRules, ServiceRules};
+use crate::scheduler::Scheduler;
+use crate::server_state::ServerState;
+use crate::share::{key_of, mix, share_at};
+use crate::sketch::PrefixHash;
+use types::{Moment, ResultCode, ServerName, Span};
 
 /// How many of the weighed servers a decision shows.
 const SHOWN: usize = 4;
--- a/crates/placement/src/scheduler/warming.rs
+++ b/crates/placement/src/scheduler/warming.rs
@@ -1,6 +1,12 @@
 //! Bursts: which prefixes are active, who copies them where, when they cool.
 
 use super::*;
+use crate::event::Decision;
+use crate::rules::ServiceRules;
+use crate::scheduler::Scheduler;
+use crate::share::{key_of, mix, rank};
+use crate::sketch::PrefixHash;
+use types::{Address, Moment, ServerName, ServiceName, Span};
 
 impl Scheduler {
     /// Makes a prefix active when its count fires, and orders copies that are due.
--- a/crates/placement/src/server_state.rs
+++ b/crates/placement/src/server_state.rs
@@ -1,5 +1,9 @@
-use crate::prelude::*;
+use crate::event::ServerEntry;
+use crate::residency::Residency;
+use crate::rules::SchedulerRules;
+use crate::share::key_of;
 use std::collections::VecDeque;
+use types::{Moment, Span, ZoneName};
 
 /// What others have in hand at a server.
 #[derive(Debug, Clone, Copy, Default)]
--- a/crates/placement/src/server_state/tests.rs
+++ b/crates/placement/src/server_state/tests.rs
@@ -1,4 +1,7 @@
-use super::*;
+use crate::event::ServerEntry;
+use crate::rules::SchedulerRules;
+use crate::server_state::ServerState;
+use types::Moment;
 
 fn state() -> ServerState {
     let entry = ServerEntry {
--- a/crates/placement/src/share.rs
+++ b/crates/placement/src/share.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use types::Address;
 
 /// Spreads a number's bits (the finisher of splitmix64).
 pub fn mix(number: u64) -> u64 {
--- a/crates/placement/src/share/tests.rs
+++ b/crates/placement/src/share/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::share::share;
+use types::Address;
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/sketch.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use serde::{Deserialize, Serialize};
+use types::{Address, ServerName, messages};
 
 /// The hash of a prefix of whole blocks.
 #[derive(
--- a/crates/placement/src/window.rs
+++ b/crates/placement/src/window.rs
@@ -1,5 +1,6 @@
-use crate::prelude::*;
+use crate::sketch::{Hot, PrefixHash};
 use std::collections::{BTreeMap, VecDeque};
+use types::{Moment, Span};
 
 /// Counts arrivals of prefixes within a sliding window.
 ///
--- a/crates/placement/src/window/tests.rs
+++ b/crates/placement/src/window/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use crate::sketch::PrefixHash;
+use crate::window::Window;
+use types::{Moment, Span};
 
 #[test]
 fn arrivals_leave_the_window_one_by_one() {
--- a/crates/placement/tests/by_time.rs
+++ b/crates/placement/tests/by_time.rs
@@ -1,6 +1,10 @@
 //! Placement where clients tell what they ask: tokens, targets, deadlines.
 
-use placement::prelude::*;
+use placement::{
+    BtbRules, Dated, Decision, Demand, Event, InFlight, Outcome, PlaceReason, PrefixHash, Rules,
+    Scheduler, SchedulerRules, ServerEntry, ServiceRules, Sketch,
+};
+use types::{Address, Epoch, Moment, RequestId, ResultCode, ServerName, Span};
 use yare::parameterized;
 
 /// Long after the machine came up.
--- a/crates/placement/tests/cold_shares.rs
+++ b/crates/placement/tests/cold_shares.rs
@@ -1,8 +1,12 @@
 //! What a cold server gets from a whole fleet whose nodes know different memberships: some are cut off from the core,
 //! some have just started, some were retired and don't know. Pure, seeded, in steps of a millisecond.
 
-use placement::prelude::*;
+use placement::{
+    BtbRules, Dated, Decision, Demand, Event, Outcome, Rules, Scheduler, SchedulerRules,
+    ServerEntry, ServiceRules, mix,
+};
 use std::collections::{BTreeSet, VecDeque};
+use types::{Address, Epoch, Moment, RequestId, Span};
 use yare::parameterized;
 
 const START: u64 = 1_000_000;
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -1,7 +1,11 @@
 //! A small fleet of schedulers that share engines: pure, seeded, in steps of a millisecond.
 
-use placement::prelude::*;
+use placement::{
+    BtbRules, Dated, Decision, Demand, Event, Outcome, PlaceReason, PrefixHash, Rules, Scheduler,
+    SchedulerRules, ServerEntry, ServiceRules, Sketch, mix,
+};
 use std::collections::{BTreeMap, BTreeSet};
+use types::{Address, Epoch, Moment, RequestId, ServerName, Span};
 
 const START: u64 = 1_000_000;
 const READ_PER_MS: f64 = 112.0;
--- a/crates/placement/tests/repeat_window.rs
+++ b/crates/placement/tests/repeat_window.rs
@@ -1,6 +1,7 @@
 //! One node's repeats in each sliding window.
 
-use placement::prelude::*;
+use placement::RepeatWindow;
+use types::{Moment, Span};
 
 #[test]
 fn no_window_has_more_than_its_bound_and_a_new_life_begins_without_the_extra() {
--- a/crates/placement/tests/residency.rs
+++ b/crates/placement/tests/residency.rs
@@ -1,6 +1,7 @@
 //! What a server is believed to hold, bounded by its memory.
 
-use placement::prelude::*;
+use placement::{PrefixHash, Residency};
+use types::Moment;
 
 #[test]
 fn what_was_not_used_for_longest_makes_room_and_a_part_counts_only_after_all_before_it() {
--- a/crates/placement/tests/urgency.rs
+++ b/crates/placement/tests/urgency.rs
@@ -1,4 +1,5 @@
-use placement::prelude::*;
+use placement::Demand;
+use types::Span;
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/quota/src/authority.rs
+++ b/crates/quota/src/authority.rs
@@ -1,5 +1,7 @@
-use crate::prelude::*;
+use crate::limit::{Amount, QuotaBounds, QuotaLimit};
+use crate::messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
 use std::collections::{BTreeMap, VecDeque};
+use types::{Address, Epoch, Moment, Span, TenantName};
 
 /// Grants credit of tenants' quotas. There is one authority at a time: the core's tail.
 ///
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,5 +1,7 @@
-use crate::prelude::*;
+use crate::limit::{Amount, QuotaLimit};
+use crate::messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
 use std::collections::{BTreeMap, VecDeque};
+use types::{Address, Epoch, Moment, Span, TenantName};
 
 /// A node's credit: what it may let in of each tenant without asking.
 ///
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -10,14 +10,10 @@
 #[cfg(test)]
 mod tests;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::authority::{Authority, TenantUse};
-    pub use crate::holder::{Admission, CreditHolder, HeldCredit, QuotaDenial, Settlement};
-    pub use crate::limit::{Amount, QuotaBounds, QuotaLimit};
-    pub use crate::messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
-    pub use types::prelude::*;
-}
+pub use authority::{Authority, TenantUse};
+pub use holder::{Admission, CreditHolder, HeldCredit, QuotaDenial, Settlement};
+pub use limit::{Amount, QuotaBounds, QuotaLimit};
+pub use messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
 
 /// A deliberate fault, by which the tests show that they see it.
 #[cfg(test)]
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use types::{Span, messages};
 
 messages! {
     /// Requests or tokens, in thousandths.
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use crate::limit::{Amount, QuotaLimit};
+use types::{Epoch, Span, TenantName, messages};
 
 messages! {
     /// What a node tells and wants of one tenant.
--- a/crates/quota/src/tests.rs
+++ b/crates/quota/src/tests.rs
@@ -2,8 +2,12 @@
 //! holds more than the bound, and what is within the limit is let in.
 
 use crate::Mutant;
-use crate::prelude::*;
+use crate::authority::Authority;
+use crate::holder::{Admission, CreditHolder, Settlement};
+use crate::limit::{Amount, QuotaBounds, QuotaLimit};
+use crate::messages::{CreditAsk, CreditGrant, CreditRequest};
 use std::collections::BTreeMap;
+use types::{Address, Epoch, Moment, Span, TenantName};
 use yare::parameterized;
 
 /// Numbers from a seed (splitmix64).
--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -4,8 +4,11 @@
 //! An embedder does the same with its own network, disks and clock: feed [`Replica::step`], do what it
 //! returns.
 
-use replication::prelude::*;
+use replication::{
+    Input, Kept, Note, Output, Preview, Record, Replica, StateMachine, Timing, Voter,
+};
 use std::collections::VecDeque;
+use types::{Address, DiskId, Moment, Span};
 
 /// A word, and who holds the duty to keep it.
 #[derive(Debug, Clone, Default, PartialEq)]
--- a/crates/replication/src/lease_state.rs
+++ b/crates/replication/src/lease_state.rs
@@ -1,5 +1,5 @@
-use crate::prelude::*;
 use std::collections::BTreeMap;
+use types::{Address, Epoch, Moment, Span};
 
 /// Whether a member may take new work, and why.
 ///
--- a/crates/replication/src/lease_state/tests.rs
+++ b/crates/replication/src/lease_state/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::lease_state::{LeaseState, LeaseStatus};
+use types::{Address, Epoch, Moment, Span};
 
 fn lease_state() -> LeaseState {
     let members = (1..=4).map(Address::loopback).collect();
--- a/crates/replication/src/leases.rs
+++ b/crates/replication/src/leases.rs
@@ -1,5 +1,5 @@
-use crate::prelude::*;
 use std::collections::BTreeMap;
+use types::{Address, Epoch, Moment, messages};
 
 messages! {
     /// The members of the fleet, as the chain keeps them.
--- a/crates/replication/src/leases/tests.rs
+++ b/crates/replication/src/leases/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::leases::{LeaseTable, Membership};
+use types::{Address, Epoch, Moment};
 
 fn members(ports: &[u16]) -> Vec<Address> {
     ports.iter().map(|p| Address::loopback(*p)).collect()
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -6,7 +6,7 @@
 //! How it's used, whole, is in `examples/register.rs`. The heart of it:
 //!
 //! ```
-//! use replication::prelude::*;
+//! use replication::*;
 //!
 //! struct Count(u64);
 //! impl StateMachine for Count {
@@ -31,11 +31,11 @@
 //! # Ok::<(), KeptFault>(())
 //! ```
 //!
-//! - [`Replica`](prelude::Replica): one machine of the chain. It replicates what a
-//!   [`StateMachine`](prelude::StateMachine) keeps, answers from the tail, votes on views, and repairs those
+//! - [`Replica`]: one machine of the chain. It replicates what a
+//!   [`StateMachine`] keeps, answers from the tail, votes on views, and repairs those
 //!   that are behind with a snapshot and then changes.
-//! - [`LeaseTable`](prelude::LeaseTable): who is a member, by leases renewed at the tail.
-//! - [`LeaseState`](prelude::LeaseState): whether a member may act, with its lease or, the core being
+//! - [`LeaseTable`]: who is a member, by leases renewed at the tail.
+//! - [`LeaseState`]: whether a member may act, with its lease or, the core being
 //!   out of reach, with half of the members that it last saw.
 
 #![warn(missing_docs)]
@@ -47,13 +47,9 @@
 mod state_machine;
 mod view;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::lease_state::{LeaseState, LeaseStatus};
-    pub use crate::leases::{LeaseTable, Membership};
-    pub use crate::notes::{Ballot, Change, Note, Record, Round, Ticket};
-    pub use crate::replica::{Input, Kept, KeptFault, Output, Replica, ReplicaState, Timing};
-    pub use crate::state_machine::{Preview, StateMachine};
-    pub use crate::view::{Seat, View, Voter};
-    pub use types::prelude::*;
-}
+pub use lease_state::{LeaseState, LeaseStatus};
+pub use leases::{LeaseTable, Membership};
+pub use notes::{Ballot, Change, Note, Record, Round, Ticket};
+pub use replica::{Input, Kept, KeptFault, Output, Replica, ReplicaState, Timing};
+pub use state_machine::{Preview, StateMachine};
+pub use view::{Seat, View, Voter};
--- a/crates/replication/src/notes.rs
+++ b/crates/replication/src/notes.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use crate::view::View;
+use types::{Address, DiskId, Seq, ViewEpoch, messages};
 
 messages! {
     /// Requests ballots of one instance: the greater one wins.
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,5 +1,8 @@
-use crate::prelude::*;
+use crate::notes::{Ballot, Change, Note, Record, Round, Ticket};
+use crate::state_machine::StateMachine;
+use crate::view::{View, Voter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use types::{Address, DiskId, Moment, Seq, Span, ViewEpoch};
 
 mod ballots;
 mod chain;
--- a/crates/replication/src/replica/ballots.rs
+++ b/crates/replication/src/replica/ballots.rs
@@ -1,6 +1,11 @@
 //! Views: the founding, ballots, and the tail's lease.
 
 use super::*;
+use crate::notes::{Ballot, Note, Record, Round};
+use crate::replica::{Output, Replica};
+use crate::state_machine::StateMachine;
+use crate::view::{Seat, View, Voter};
+use types::{Address, DiskId, Moment, Seq, Span, ViewEpoch};
 
 impl<C: StateMachine> Replica<C> {
     /// Whether it votes on the first view: it was told that it is a founder when its disk was empty, and that
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,6 +1,11 @@
 //! The chain: changes enter at the head, pass down, and are replied at the tail.
 
 use super::*;
+use crate::notes::{Change, Note, Record, Ticket};
+use crate::replica::{Output, Replica};
+use crate::state_machine::{Preview, StateMachine};
+use crate::view::Voter;
+use types::{Address, DiskId, Seq, Span, ViewEpoch};
 
 impl<C: StateMachine> Replica<C> {
     pub(super) fn on_propose_here(&mut self, number: u64, body: Vec<u8>) {
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -5,7 +5,10 @@
 //! from another are left out or counted from the newest one.
 
 use super::*;
+use crate::replica::Replica;
+use crate::state_machine::StateMachine;
 use std::hash::{Hash, Hasher};
+use types::{Moment, Span};
 
 impl<C: StateMachine> Replica<C> {
     /// Feeds the digest of the state at this moment.
--- a/crates/replication/src/replica/leaving.rs
+++ b/crates/replication/src/replica/leaving.rs
@@ -5,7 +5,11 @@
 //! may come back with its disk. A tail that leaves gives its lease up by that proposal, so that the next
 //! one needn't wait for the lease to run out.
 
-use super::*;
+use crate::notes::Note;
+use crate::replica::{Output, Replica};
+use crate::state_machine::StateMachine;
+use crate::view::{Seat, View, Voter};
+use types::{Address, DiskId, Span};
 
 /// A leaving member with a follower about leaves the exchange of votes to the tail for so long.
 const EXCHANGE_SPAN: Span = Span(1000);
--- a/crates/replication/src/replica/pacing.rs
+++ b/crates/replication/src/replica/pacing.rs
@@ -1,6 +1,7 @@
 //! How fast changes enter, so that the span in which a repeat is known as one can't be used up at once.
 
-use super::*;
+use crate::replica::Timing;
+use types::Moment;
 
 /// A bucket that holds at most [`Timing::burst`] changes and fills by [`Timing::changes_per_second`].
 ///
--- a/crates/replication/src/replica/repair.rs
+++ b/crates/replication/src/replica/repair.rs
@@ -1,6 +1,11 @@
 //! Repair: one that is behind takes a snapshot, then follows changes; the log is folded into snapshots.
 
 use super::*;
+use crate::notes::{Change, Note, Record};
+use crate::replica::Replica;
+use crate::state_machine::StateMachine;
+use crate::view::Voter;
+use types::{Address, DiskId, Seq, Span, ViewEpoch};
 
 /// A piece or a feed that brings no word is sent again after a while that doubles up to so many times
 /// [`Timing::suspect`]: a slow line isn't filled with copies.
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -1,4 +1,9 @@
 use super::*;
+use crate::notes::{Ballot, Change, Note, Record, Round, Ticket};
+use crate::replica::{Input, Kept, KeptFault, Output, Replica, Timing};
+use crate::state_machine::{Preview, StateMachine};
+use crate::view::{Seat, View, Voter};
+use types::{Address, DiskId, Moment, Seq, ViewEpoch};
 
 /// Counts the bodies that it applied.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/replication/src/replica/tests/founding.rs
+++ b/crates/replication/src/replica/tests/founding.rs
@@ -1,4 +1,8 @@
 use super::*;
+use crate::notes::{Note, Record, Ticket};
+use crate::replica::{Input, Kept, Output, Replica, Timing};
+use crate::view::Voter;
+use types::{Address, DiskId, Moment};
 
 /// Replicas that write at once and lose no letter but those to and from the `down`.
 struct Played {
--- a/crates/replication/src/replica/tests/leaving.rs
+++ b/crates/replication/src/replica/tests/leaving.rs
@@ -1,6 +1,9 @@
 //! Members that leave, votes that move, leases over a change of voters.
 
 use super::*;
+use crate::notes::{Note, Record};
+use crate::replica::{Input, Replica};
+use types::{Moment, ViewEpoch};
 
 /// The next view is decided by its own voters: most of them may never have given the tail their word.
 #[test]
--- a/crates/replication/src/replica/tests/pacing.rs
+++ b/crates/replication/src/replica/tests/pacing.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::replica::Timing;
 
 /// What the state machine remembers must not be used up within a few of the users' waits for an answer.
 #[test]
--- a/crates/replication/src/replica/tests/proposals.rs
+++ b/crates/replication/src/replica/tests/proposals.rs
@@ -1,6 +1,9 @@
 //! What a ballot proposes: what the view should be once most have promised, not what it should have been before.
 
 use super::*;
+use crate::notes::{Ballot, Note, Record, Round};
+use crate::replica::{Input, Replica};
+use types::{DiskId, ViewEpoch};
 
 fn promise(n: u16, round: Round) -> Note {
     Note::Promise {
--- a/crates/replication/src/replica/tests/restart.rs
+++ b/crates/replication/src/replica/tests/restart.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::notes::{Note, Record};
+use crate::replica::{Input, Kept, KeptFault, Output, Replica, Timing};
+use types::{Address, Moment, Seq, ViewEpoch};
 use yare::parameterized;
 
 fn snapshot(last: u64) -> Record {
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use types::{Address, DiskId, ViewEpoch, messages};
 
 messages! {
     /// Who votes: an address together with one disk's contents.
--- a/crates/replication/src/view/tests.rs
+++ b/crates/replication/src/view/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::view::{Seat, View, Voter};
+use types::{Address, DiskId, ViewEpoch};
 use yare::parameterized;
 
 fn voter(n: u16) -> Voter {
--- a/crates/router/src/authorization.rs
+++ b/crates/router/src/authorization.rs
@@ -1,6 +1,10 @@
 //! Which tenant a request is of: by its API key, under the plan in force.
 
-use crate::prelude::*;
+use crate::node::Denial;
+use config::{KeyDigest, QuotaUnit, TenantPlan, TenantTable};
+use placement::Demand;
+use quota::{Amount, QuotaLimit};
+use types::{ApiKey, ResultCode, Span};
 
 /// What of a tenant is needed to let a request in.
 #[derive(Debug, Clone, Copy)]
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,5 +1,9 @@
-use crate::prelude::*;
+use crate::judgement::{AnswerClaim, AnswerIdentity};
+use crate::node::Denial;
 use bytes::Bytes;
+use placement::{Demand, PrefixHash, ServerEntry};
+use transport::{Request, Response};
+use types::{ApiKey, RequestId, ServerName, Span, TenantName};
 
 /// A client's request as the product knows it, whatever it was spoken in.
 #[derive(Debug, Clone)]
--- a/crates/router/src/call_limits.rs
+++ b/crates/router/src/call_limits.rs
@@ -1,11 +1,13 @@
 //! The limits of the plan in force that bind connections: of clients to this node, and of this node to
 //! servers.
 
-use crate::prelude::*;
+use config::{Plan, ServicePlan};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use transport::{GateLimiter, GateLimits, Lines, RequestLimits};
+use types::{ServiceName, Span};
 
 /// Connections of one node to one server, idle ones among them, whatever a plan allows.
 pub(crate) const MOST_TO_ONE_SERVER: usize = 64;
--- a/crates/router/src/call_limits/tests.rs
+++ b/crates/router/src/call_limits/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 use bytes::Bytes;
+use config::{Plan, parse_plan};
+use transport::{Gate, GateBounds, Line, LineError, Lines, LinesBounds, Response, Waits};
+use types::{Address, Clock, Span};
 use yare::parameterized;
 
 /// Nothing is judged by it: it ends a test that would hang.
--- a/crates/router/src/carrier.rs
+++ b/crates/router/src/carrier.rs
@@ -1,13 +1,25 @@
 //! Carries one request from its client to a server and the answer back.
 
+use crate::chart::Failure;
 use crate::control_event::ControlEvent;
-use crate::prelude::*;
+use crate::errand::ErrandOutput;
+use crate::interface::{ClientRequest, LIFE_HEADER, ResumeRequest, RunRequest};
+use crate::node::{NodeInput, Placing, resume_id};
+use crate::piece_reader::{Passed, PieceReader};
 use crate::shared::{Place, Shared, silence};
+use crate::tallies::Tallies;
+use crate::token::Token;
 use crate::trip::{Gone, NotTaken, Trip, Wanted};
+use config::ServiceKind;
+use placement::{Event, Outcome, block_hashes};
 use std::io::{BufRead, BufReader, Read};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
+use transport::{
+    Ask, AskError, Heard, PieceSource, Pull, Response, ask_delete, read_all, read_page,
+};
+use types::{ApiKey, RequestId, ResultCode, RunId, ServerName, ServiceName, Span};
 
 const CONNECT: Span = Span(400);
 /// A server that has a run begins to give it within this.
--- a/crates/router/src/chart.rs
+++ b/crates/router/src/chart.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use placement::Outcome;
+use types::ResultCode;
 
 /// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/router/src/chart/tests.rs
+++ b/crates/router/src/chart/tests.rs
@@ -1,5 +1,7 @@
-use super::*;
+use crate::chart::{Chart, ChartInput, ChartOutput, Failure, RequestState};
 use ChartInput::{Admit, Break, Deny, Fail, Finish, Give, LoseLease, Open, Supersede, Tear};
+use placement::mix;
+use types::ResultCode;
 use yare::parameterized;
 
 const ONCE: ChartInput = ChartInput::Place { may_repeat: false };
--- a/crates/router/src/control_event.rs
+++ b/crates/router/src/control_event.rs
@@ -1,6 +1,7 @@
 //! What reaches the control thread from all others.
 
-use crate::prelude::*;
+use crate::node::{Denial, NodeInput, Placing};
+use crate::token::Token;
 
 /// One message to the control thread.
 pub(crate) enum ControlEvent {
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -1,17 +1,32 @@
+use crate::call::CallDialect;
 use crate::call_limits::SharedLimits;
 use crate::carrier::{fetch, resume, take_request};
 use crate::control_event::ControlEvent;
 use crate::ingress::Ingress;
+use crate::journal::Journal;
 use crate::list_reader;
+use crate::node::{Denial, KvTask, Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, Placing};
 use crate::poller;
-use crate::prelude::*;
 use crate::replay::ReplayHead;
+use crate::server_list::ReadEffort;
+use crate::settings::Settings;
 use crate::shared::{NEVER, Shared};
+use crate::tallies::Tallies;
+use crate::token::Token;
+use config::{OwnPlans, PlanDialect, parse_addresses};
+use placement::{Decision, PlaceReason};
+use replication::LeaseStatus;
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
+use transport::{
+    Gate, GateBounds, PieceSource, Post, PostClass, Pull, Request, Response, ask_delete, ask_post,
+};
+use types::{
+    Address, ApiKey, Clock, Epoch, Moment, ResultCode, ServerName, Span, ZoneName, random_bytes,
+};
 
 /// Between clock events, at most.
 const LONGEST_TICK: Span = Span(250);
@@ -501,7 +516,7 @@
 
 /// Orders the holder to export and the target to import. Both say whether they take the order, not
 /// whether the copy was made.
-fn do_kv(task: KvTask) -> Option<placement::prelude::Event> {
+fn do_kv(task: KvTask) -> Option<placement::Event> {
     const PATIENCE: Span = Span(500);
     match task {
         KvTask::Copy {
@@ -529,7 +544,7 @@
             };
             let is_unknown = |status: u16| status == 404 || status == 405;
             let (is_taken, knows_kv) = (export == 202 && import == 202, !is_unknown(import));
-            Some(placement::prelude::Event::CopyFate {
+            Some(placement::Event::CopyFate {
                 prefix,
                 server: target,
                 is_taken,
@@ -634,7 +649,7 @@
             .enumerate()
             .filter(|(_, line)| !line.trim().is_empty())
         {
-            use placement::prelude::Event as E;
+            use placement::Event as E;
             match serde_json::from_str::<E>(line) {
                 Ok(
                     E::Rules { .. }
--- a/crates/router/src/daemon/tests.rs
+++ b/crates/router/src/daemon/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::settings::Settings;
+use config::read_settings;
+use types::Moment;
 
 fn schedule(linger_ms: u64, drain_ms: u64, has_calls: bool) -> LeavingSchedule {
     let defaults = read_settings::<Settings>(None).expect("defaults");
--- a/crates/router/src/dissemination.rs
+++ b/crates/router/src/dissemination.rs
@@ -1,6 +1,8 @@
-use crate::prelude::*;
+use placement::{Digest, DigestChange};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use types::{Address, Moment, Span, ZoneName};
+use wire::{DigestLeg, Letter, Member};
 
 /// The spans that digests go by.
 #[derive(Debug, Clone, Copy)]
--- a/crates/router/src/dissemination/tests.rs
+++ b/crates/router/src/dissemination/tests.rs
@@ -1,4 +1,8 @@
 use super::*;
+use crate::dissemination::{DigestTiming, Dissemination};
+use placement::{Digest, DigestKey, PrefixHash, mix};
+use types::{Address, Moment, ZoneName};
+use wire::{Letter, Member, seal};
 
 /// Nodes with a wire between them on which each letter takes 5 ms.
 struct Wire {
--- a/crates/router/src/errand.rs
+++ b/crates/router/src/errand.rs
@@ -1,4 +1,6 @@
-use crate::prelude::*;
+use crate::chart::{Chart, ChartInput, ChartOutput, Failure};
+use crate::node::{Denial, Placing};
+use types::{ResultCode, ServerName, Span};
 
 /// What an errand is told.
 #[derive(Debug, Clone)]
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -4,14 +4,26 @@
 pub(crate) mod detached;
 
 use crate::authorization::authorize;
-use crate::prelude::*;
+use crate::call::{Call, CallDialect, Sending};
+use crate::chart::{Chart, ChartInput, Failure};
+use crate::errand::{ErrandInput, ErrandOutput};
+use crate::event_splitter::{EventSplitter, StreamEvent};
+use crate::judgement::{AnswerIdentity, AnswerPlace, Judgement};
+use crate::node::{Denial, NodeInput, Placing};
 use crate::shared::Shared;
+use crate::tallies::Tallies;
 use crate::trip::{Gone, NotTaken, Trip, Wanted};
 use bytes::Bytes;
+use config::{RouteKind, ServiceKind};
+use placement::{Demand, Event, Outcome};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+use transport::{
+    Client, Line, LineError, LinePull, Lines, PieceSource, Pull, Request, Response, Waits,
+};
+use types::{Clock, Moment, RequestId, ResultCode, ServiceName, Span};
 
 /// What forwarding threads share.
 pub(crate) struct Forwarder {
--- a/crates/router/src/forward/detached.rs
+++ b/crates/router/src/forward/detached.rs
@@ -2,11 +2,15 @@
 //! state charts are those of the daemon.
 
 use super::Forwarder;
+use crate::call::CallDialect;
 use crate::control_event::ControlEvent;
-use crate::prelude::*;
+use crate::node::{Denial, NodeInput, PlaceAsk, Placing};
 use crate::shared::Shared;
+use config::Plan;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
+use transport::{Lines, LinesBounds, Request, Response};
+use types::Epoch;
 
 /// Requests that it takes at once.
 const BOUND: u64 = 64;
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/forward/tests.rs
@@ -1,10 +1,18 @@
 //! A forwarder between real clients and stand-in servers over TCP, with a scripted control thread.
 
 use super::*;
+use crate::call::{Access, Call, CallDialect, Sending, ServerLoad};
 use crate::control_event::ControlEvent;
+use crate::judgement::{AnswerClaim, AnswerIdentity};
+use crate::node::{Denial, NodeInput, PlaceAsk, Placing};
+use crate::token::run_id;
+use config::parse_plan;
+use placement::{Demand, Event, Outcome, ServerEntry};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
+use transport::{Gate, GateBounds, Lines, LinesBounds, Request, Response};
+use types::{ApiKey, Clock, Epoch, RequestId, ResultCode, ServerName, Span};
 use yare::parameterized;
 
 /// Nothing is judged by it: it ends a test that would hang.
--- a/crates/router/src/ingress.rs
+++ b/crates/router/src/ingress.rs
@@ -1,11 +1,14 @@
 //! The door for clients of another dialect than the product's own.
 
+use crate::call::CallDialect;
 use crate::call_limits::{CallLimits, MOST_TO_ONE_SERVER};
 use crate::forward::Forwarder;
-use crate::prelude::*;
+use crate::settings::Settings;
 use crate::shared::Shared;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use transport::{Gate, GateBounds, GateCloser, Lines, LinesBounds, Request, Response};
+use types::{Address, Clock, ResultCode, Span};
 
 /// Open doors: one for clients, one for the question whether this node is ready.
 pub(crate) struct Ingress {
--- a/crates/router/src/ingress/tests.rs
+++ b/crates/router/src/ingress/tests.rs
@@ -1,9 +1,12 @@
 use super::*;
 use crate::forward::tests::{Plain, shared};
+use crate::settings::Settings;
+use config::{parse_plan, read_settings};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
+use types::{Address, Moment, Span};
 
 /// Nothing is judged by it: it ends a test that would hang.
 const GUARD: Duration = Duration::from_secs(30);
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -1,4 +1,6 @@
-use crate::prelude::*;
+use placement::ServerEntry;
+use serde::{Deserialize, Serialize};
+use types::{RequestId, RunId, ServiceName};
 
 /// What a client posts to `/v1/requests`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/router/src/list_reader.rs
+++ b/crates/router/src/list_reader.rs
@@ -1,9 +1,13 @@
 //! Reads the platform's list of servers in a dialect, page by page, on a thread of its own.
 
-use crate::prelude::*;
+use crate::call::CallDialect;
+use crate::server_list::{ListReading, ReadEffort};
 use bytes::Bytes;
+use placement::ServerEntry;
 use std::sync::Arc;
 use std::time::Duration;
+use transport::{Lines, LinesBounds, Waits};
+use types::{Address, Clock, Moment, Span};
 
 /// A page comes within this.
 const PATIENCE: Span = Span(700);
--- a/crates/router/src/list_reader/tests.rs
+++ b/crates/router/src/list_reader/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
 use crate::forward::tests::Plain;
+use crate::server_list::{ListReading, ReadEffort};
 use std::sync::atomic::{AtomicUsize, Ordering};
+use transport::{Gate, GateBounds, Request, Response};
+use types::Address;
 use yare::parameterized;
 
 /// A platform of two pages that refuses so many calls before it answers the second.
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,8 +1,11 @@
 use clap::{Parser, Subcommand};
-use router::prelude::*;
+use config::read_settings;
+use router::{Dialects, Settings, replay, run};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use transport::{AskError, Heard, ask_get, ask_post, read_all};
+use types::{Address, ResultCode, Span};
 
 /// The data plane of cobaltfall: takes clients' requests and carries their streams.
 #[derive(Debug, Parser)]
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,6 +1,13 @@
-use crate::prelude::*;
+use crate::dissemination::{DigestTiming, Dissemination};
+use crate::server_list::{ListOutput, ListPeers, ListTiming, ServerList};
+use config::{KeyHasher, Plan, TenantTable};
+use placement::{Dated, Decision, Digest, Event, FLEET, Scheduler, SchedulerRules, ServerEntry};
+use quota::{CreditHolder, HeldCredit};
+use replication::{LeaseState, LeaseStatus};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
+use types::{Address, Epoch, Moment, RequestId, ServerName, Span, TokenKey, ViewEpoch, ZoneName};
+use wire::{Letter, Member, News};
 
 mod credit;
 mod messages;
--- a/crates/router/src/node/credit.rs
+++ b/crates/router/src/node/credit.rs
@@ -2,7 +2,13 @@
 
 use super::*;
 use crate::authorization::{quota_amount, quota_limit, unauthorized};
-use quota::prelude::{Admission, CreditGrant, QuotaDenial, Settlement};
+use crate::call::Access;
+use crate::node::{Denial, Node, NodeOutput, PlaceAsk};
+use config::{KeyDigest, Plan, TenantPlan, TenantTable};
+use quota::{Admission, CreditGrant, QuotaDenial, Settlement};
+use quota::{Amount, QuotaLimit};
+use types::{Address, ResultCode, Span, TenantName};
+use wire::Letter;
 
 impl Node {
     /// The plan was replaced: its tenants and their limits are taken up.
--- a/crates/router/src/node/messages.rs
+++ b/crates/router/src/node/messages.rs
@@ -1,6 +1,13 @@
 //! What a node is told, and what it wants done.
 
 use super::*;
+use crate::call::Access;
+use crate::server_list::{ListReading, ReadEffort};
+use crate::token::Token;
+use config::{Fault, KeyDigest, Plan, ServiceKind};
+use placement::{Dated, Decision, Demand, Event, PrefixHash};
+use types::{Address, Epoch, Moment, RequestId, ResultCode, RunId, ServerName, ServiceName, Span};
+use wire::Letter;
 
 /// A request that wants a server.
 #[derive(Debug, Clone)]
--- a/crates/router/src/node/news.rs
+++ b/crates/router/src/node/news.rs
@@ -1,6 +1,11 @@
 //! What is in force: news, the plan that goes with it, and taking both up.
 
 use super::*;
+use crate::node::{Node, NodeOutput};
+use config::{Fault, Plan};
+use placement::Event;
+use types::{Address, Epoch, Moment, ResultCode, Span, Splice};
+use wire::{Letter, News};
 
 impl Node {
     /// What is known here, whole.
--- a/crates/router/src/node/placing.rs
+++ b/crates/router/src/node/placing.rs
@@ -1,6 +1,10 @@
 //! Where a request goes, and which ids are in hand.
 
-use super::*;
+use crate::node::{Denial, Node, NodeOutput, PlaceAsk, Placing};
+use crate::token::Token;
+use config::ServicePlan;
+use placement::{Decision, Event};
+use types::{RequestId, ResultCode, ServerName, Span};
 
 /// Ids of ended requests that are remembered.
 pub(super) const ENDED_IDS: usize = 8192;
--- a/crates/router/src/node/polling.rs
+++ b/crates/router/src/node/polling.rs
@@ -1,6 +1,11 @@
 //! Asking the core for a lease, and the members whether they are there.
 
 use super::*;
+use crate::node::Node;
+use placement::Event;
+use replication::LeaseStatus;
+use types::{Address, Epoch, Span};
+use wire::{CoreLocation, Letter, Member, Poll, PollResponse};
 
 /// A piece of a plan that has not come by then is given up.
 const FETCH_DEADLINE: Span = Span(700);
--- a/crates/router/src/node/tests.rs
+++ b/crates/router/src/node/tests.rs
@@ -1,5 +1,15 @@
 use super::placing::ENDED_IDS;
 use super::*;
+use crate::call::Access;
+use crate::node::{Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, Placing, resume_id};
+use crate::server_list::{ListReading, ListTiming};
+use crate::token::{Token, run_id};
+use config::{ServiceKind, parse_plan};
+use placement::{Demand, Event, Outcome, SchedulerRules, ServerEntry};
+use quota::Amount;
+use replication::LeaseStatus;
+use types::{Address, Epoch, Moment, RequestId, ResultCode, Span, TokenKey, ViewEpoch, ZoneName};
+use wire::{CoreLocation, Letter, Member, News, PollResponse, seal};
 
 const PLAN: &[u8] = br#"{"services":{"drafts":{"slots":8}}}"#;
 
@@ -889,7 +899,7 @@
 
 // ---- Tenants.
 
-use quota::prelude::{CreditGrant, TenantGrant};
+use quota::{CreditGrant, TenantGrant};
 
 const TENANTS: &str = r#"{"services":{"drafts":{"slots":8}},"tenants":[
     {"name":"limited","api_keys":["k1"],"rate_per_s":10.0,"burst":10.0},
--- a/crates/router/src/piece_reader.rs
+++ b/crates/router/src/piece_reader.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use crate::interface::RunPiece;
+use types::{ResultCode, RunId};
 
 /// What a line of a server's stream comes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/router/src/piece_reader/tests.rs
+++ b/crates/router/src/piece_reader/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use crate::interface::RunPiece;
+use crate::piece_reader::{Passed, PieceReader};
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/router/src/poller.rs
+++ b/crates/router/src/poller.rs
@@ -1,8 +1,11 @@
 //! Reads the platform's list and the servers' reports, each on threads of its own.
 
-use crate::prelude::*;
+use crate::interface::{ServerListReport, ServerReport};
+use placement::Event;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use transport::{AskError, ask_get, read_all};
+use types::{ServerName, Span};
 
 const PATIENCE: Span = Span(400);
 
--- a/crates/router/src/replay.rs
+++ b/crates/router/src/replay.rs
@@ -1,5 +1,7 @@
-use crate::prelude::*;
+use placement::{Dated, Scheduler, SchedulerRules};
+use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
+use types::Address;
 
 /// Feeds recorded events, JSON lines, to a scheduler and writes its decisions, JSON lines. The first line
 /// tells whose scheduler it was. Gives the number of a line that can't be read, if there is one.
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -1,5 +1,7 @@
-use crate::prelude::*;
+use placement::ServerEntry;
 use std::collections::{BTreeMap, BTreeSet};
+use types::{Address, Moment, ServerName, Span};
+use wire::{Letter, ListChange, ListPiece, ListState, ListVersion};
 
 /// The spans and bounds that the list of servers is read and told by.
 #[derive(Debug, Clone, Copy)]
--- a/crates/router/src/server_list/tests.rs
+++ b/crates/router/src/server_list/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
-use placement::prelude::mix;
+use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
+use placement::ServerEntry;
 use std::collections::VecDeque;
+use types::{Address, Moment, Span};
+use wire::{Letter, ListChange, ListPiece, ListState, seal};
 use yare::parameterized;
 
 mod restart;
--- a/crates/router/src/server_list/tests/restart.rs
+++ b/crates/router/src/server_list/tests/restart.rs
@@ -1,6 +1,10 @@
 //! A whole fleet that starts at once, in front of a platform that takes few calls.
 
 use super::*;
+use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
+use placement::{ServerEntry, mix};
+use types::{Address, Moment};
+use wire::Letter;
 
 /// Nodes of each zone.
 const ZONE_SIZE: usize = 60;
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,7 +1,8 @@
-use crate::prelude::{ListTiming, Span};
-use config::prelude::*;
-use placement::prelude::SchedulerRules;
+use crate::server_list::ListTiming;
+use config::{a_name, addresses, an_address, within};
+use placement::SchedulerRules;
 use schematic::Config;
+use types::Span;
 
 /// A router's settings file.
 #[derive(Debug, Clone, Config)]
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,10 +1,15 @@
 use crate::authorization::authorize;
 use crate::call_limits::SharedLimits;
 use crate::control_event::ControlEvent;
-use crate::prelude::*;
+use crate::node::{Denial, NodeInput, Placing};
+use crate::tallies::Tallies;
+use config::{KeyDigest, KeyHasher, Plan, RouteTable, TenantTable};
+use placement::{Event, Outcome};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
+use transport::Response;
+use types::{ApiKey, Clock, Epoch, Moment, RequestId, ResultCode, Span};
 
 /// What carriers share.
 pub(crate) struct Shared {
--- a/crates/router/src/tallies.rs
+++ b/crates/router/src/tallies.rs
@@ -1,5 +1,5 @@
-use crate::prelude::ResultCode;
 use std::sync::atomic::{AtomicU64, Ordering};
+use types::ResultCode;
 
 macro_rules! tallies {
     ($($(#[$meta:meta])* $name:ident: $kind:literal,)*) => {
--- a/crates/router/src/token.rs
+++ b/crates/router/src/token.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+use serde::{Deserialize, Serialize};
+use types::{RequestId, RunId, ServerName, ServiceName, TokenKey};
 
 /// What a client holds to read a stream on: which run, at which server. Opaque to clients.
 ///
--- a/crates/router/src/token/tests.rs
+++ b/crates/router/src/token/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::token::Token;
+use types::TokenKey;
 
 const KEY: TokenKey = TokenKey([7; 32]);
 
--- a/crates/router/src/trip.rs
+++ b/crates/router/src/trip.rs
@@ -1,6 +1,13 @@
-use crate::prelude::*;
+use crate::chart::{Chart, Failure};
+use crate::errand::{Errand, ErrandInput, ErrandOutput};
+use crate::node::{Denial, NodeInput, PlaceAsk, Placing};
 use crate::shared::{Place, Shared};
+use crate::tallies::Tallies;
+use crate::token::run_id;
+use config::{KeyDigest, ServiceKind};
+use placement::{Demand, Event, Outcome, PrefixHash};
 use std::sync::Arc;
+use types::{ServiceName, random_bytes};
 
 /// Why a server has not taken a request.
 pub(crate) enum NotTaken {
--- a/crates/router/tests/answers_fuzz.rs
+++ b/crates/router/tests/answers_fuzz.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use router::prelude::*;
+use router::{EventSplitter, Passed, PieceReader, StreamEvent, Token};
+use types::TokenKey;
 
 const CASES: u32 = 4000;
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -4,9 +4,5 @@
 mod checked_file;
 mod write_ahead_log;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::checked_file::{read_file, write_file};
-    pub use crate::write_ahead_log::{Opened, Storage, StorageFault};
-    pub use types::prelude::*;
-}
+pub use checked_file::{read_file, write_file};
+pub use write_ahead_log::{Opened, Storage, StorageFault};
--- a/crates/storage/src/write_ahead_log.rs
+++ b/crates/storage/src/write_ahead_log.rs
@@ -5,7 +5,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
-use types::prelude::*;
+use types::DiskId;
 
 /// Why a folder can't be used. Nothing in it is served.
 #[derive(Debug, thiserror::Error)]
--- a/crates/storage/src/write_ahead_log/tests.rs
+++ b/crates/storage/src/write_ahead_log/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use types::DiskId;
 
 fn records(words: &[&str]) -> Vec<Vec<u8>> {
     words.iter().map(|word| word.as_bytes().to_vec()).collect()
--- a/crates/storage/tests/fuzz.rs
+++ b/crates/storage/tests/fuzz.rs
@@ -7,7 +7,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::fs;
 use std::path::{Path, PathBuf};
-use storage::prelude::*;
+use storage::Storage;
+use types::DiskId;
 
 /// What is done to a file's bytes; places are parts of its length in use.
 #[derive(Debug, Clone)]
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -10,7 +10,8 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard};
-use storage::prelude::*;
+use storage::{Opened, Storage, StorageFault};
+use types::DiskId;
 
 type Inode = u64;
 type Names = BTreeMap<PathBuf, Inode>;
--- a/crates/testbed/src/answers/dialect.rs
+++ b/crates/testbed/src/answers/dialect.rs
@@ -1,10 +1,10 @@
 //! How the stand-ins of `answers` speak.
 
-use crate::prelude::*;
 use bytes::Bytes;
-use router::prelude::{
-    AnswerClaim, AnswerIdentity, Call, CallDialect, Denial, Sending, ServerLoad,
-};
+use placement::ServerEntry;
+use router::{AnswerClaim, AnswerIdentity, Call, CallDialect, Denial, Sending, ServerLoad};
+use transport::{Request, Response};
+use types::{RequestId, ResultCode, Span};
 
 /// The header that names a call.
 pub const ID: &str = "x-call";
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -7,13 +7,16 @@
 use super::play::Play;
 use super::server::{Server, play_of};
 use super::{AnswersMutant, AnswersRules, Fate};
-use crate::prelude::*;
-use router::prelude::{Access, Denial, DetachedForwarder, PlaceAsk, Placed, Placing, run_id};
+use config::parse_plan;
+use placement::mix;
+use router::{Access, Denial, DetachedForwarder, PlaceAsk, Placed, Placing, run_id};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
+use transport::{Gate, GateBounds, LinesBounds};
+use types::{Address, Epoch, ResultCode, Span};
 
 /// Servers of a lane.
 const SERVERS: usize = 3;
--- a/crates/testbed/src/answers/ledger.rs
+++ b/crates/testbed/src/answers/ledger.rs
@@ -1,7 +1,7 @@
 //! What the servers of a lane saw, and what must never be.
 
 use super::play::Play;
-use crate::prelude::*;
+use placement::mix;
 use std::collections::BTreeMap;
 
 /// What calls of a route allow.
--- a/crates/testbed/src/answers/play.rs
+++ b/crates/testbed/src/answers/play.rs
@@ -1,7 +1,7 @@
 //! What a stand-in server does with one request: each row of the state chart in docs/request-safety.md.
 
-use crate::prelude::*;
 use clap::ValueEnum;
+use placement::mix;
 
 /// How a server treats a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, ValueEnum)]
--- a/crates/testbed/src/answers/server.rs
+++ b/crates/testbed/src/answers/server.rs
@@ -4,7 +4,7 @@
 use super::ledger::{CallKind, Ledger, body_of};
 use super::message::{Message, read_body, read_head};
 use super::play::Play;
-use crate::prelude::mix;
+use placement::mix;
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{self, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,6 +1,10 @@
-use crate::prelude::*;
+use crate::crew::{Crew, Deployment};
+use crate::fleet::{Fleet, FleetOptions, join_logs, plan_of};
+use crate::schedule::ScheduleRules;
+use loadgen::{Campaign, CampaignRules, Mix, Report};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use types::Span;
 
 /// What is set against what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
--- a/crates/testbed/src/crew.rs
+++ b/crates/testbed/src/crew.rs
@@ -1,5 +1,10 @@
-use crate::prelude::*;
+use crate::platform::Platform;
+use crate::schedule::ScheduleRules;
+use crate::stand_in::{RunLog, StandIn};
+use loadgen::MixKind;
+use placement::ServerEntry;
 use std::collections::{BTreeMap, BTreeSet};
+use types::{Address, Span, ZoneName};
 
 /// Whose fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
--- a/crates/testbed/src/explorer/cluster.rs
+++ b/crates/testbed/src/explorer/cluster.rs
@@ -4,9 +4,10 @@
 use super::properties::History;
 use super::register::{Command, Register};
 use super::stored_disk::StoredDisk;
-use replication::prelude::*;
+use replication::{Input, Kept, Note, Output, Record, Replica, Timing, Voter};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
+use types::{Address, DiskId, Moment, Seq, Span};
 
 /// Between ticks, in ms.
 pub const TICK: u64 = 100;
--- a/crates/testbed/src/explorer/properties.rs
+++ b/crates/testbed/src/explorer/properties.rs
@@ -1,8 +1,9 @@
 //! What must never be seen, and the history by which it's judged.
 
 use super::register::{CONFIRMED, Command, REFUSED};
-use replication::prelude::*;
+use replication::View;
 use std::collections::BTreeMap;
+use types::ViewEpoch;
 
 /// What operators were told and which views were decided.
 #[derive(Debug, Clone, Default, Hash)]
--- a/crates/testbed/src/explorer/register.rs
+++ b/crates/testbed/src/explorer/register.rs
@@ -1,6 +1,6 @@
 //! The replicated state of the explored cores: a list of commands, each built on the one before.
 
-use replication::prelude::*;
+use replication::{Preview, StateMachine};
 
 /// First byte of an answer: the command was taken.
 pub const CONFIRMED: u8 = 1;
--- a/crates/testbed/src/explorer/stored_disk.rs
+++ b/crates/testbed/src/explorer/stored_disk.rs
@@ -1,7 +1,7 @@
 //! What a machine's disk holds, in a form in which equal contents compare equal.
 
 use super::register::Command;
-use replication::prelude::*;
+use replication::Record;
 
 /// Records as a restart would find them, without those that later ones made void.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,10 +1,15 @@
-use crate::prelude::*;
+use crate::crew::{Deployment, Shape};
+use crate::stand_in::RunLog;
+use config::{ServicePlan, parse_plan};
+use loadgen::{Asked, Fate, Report};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
+use transport::{ask_get, ask_with, read_all};
+use types::{Address, Clock, Span};
 
 /// A process of the fleet.
 pub struct Daemon {
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,12 +1,15 @@
 //! Many nodes without clients: the routers' own control state and inner protocol, real controllers, loopback.
 
-use crate::prelude::*;
+use crate::crew::Shape;
+use crate::fleet::{Fleet, FleetOptions};
 use hdrhistogram::Histogram;
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::time::Duration;
+use types::{Address, Clock, Moment, Span, ZoneName};
 
 pub mod host;
 mod pages;
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -1,14 +1,18 @@
 //! A process with many hollow nodes: one thread owns them all.
 
 use super::{HollowRules, HostCommand, HostWord};
-use crate::prelude::*;
-use placement::prelude::{Demand, Event, Outcome, SchedulerRules, mix};
-use router::prelude::{Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, ServiceKind, run_id};
+use config::ServiceKind;
+use config::parse_plan;
+use placement::{Demand, Event, Outcome, SchedulerRules, mix};
+use placement::{PrefixHash, ServerEntry};
+use router::{Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, run_id};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::io::{BufRead, Write};
 use std::net::TcpListener;
-use wire::prelude::Letter;
+use transport::{Post, PostClass};
+use types::{Address, Clock, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
+use wire::Letter;
 
 enum Input {
     Letter(usize, Address, Letter),
--- a/crates/testbed/src/hollow/tests.rs
+++ b/crates/testbed/src/hollow/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use crate::hollow::HollowRules;
 use clap::Parser;
 
 #[derive(Parser)]
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,8 +1,15 @@
 use clap::{Parser, Subcommand};
+use loadgen::{Campaign, CampaignRules, Mix, Report};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use testbed::prelude::*;
+use testbed::{
+    AnswersMutant, AnswersRules, ClusterRules, CompareRules, Counterexample, Crew, DeliberateFault,
+    Deployment, FaultKind, Fleet, FleetOptions, HollowReport, HollowRules, Limits, MeasureRules,
+    Mutant, Question, ScheduleRules, Sweep, Walk, World, WorldRules, compare, explore, hollow,
+    join_logs, measure, plan_of, play_answers, plot, serve_hollow, walk,
+};
+use types::{ServiceName, Span};
 
 /// Plays the whole thing on one machine: stand-ins, a fleet, clients, failures.
 #[derive(Debug, Parser)]
@@ -175,7 +182,7 @@
         operators_ms: u64,
         /// Who must know a change before it is told as accepted.
         #[arg(long, default_value = "majority")]
-        quorum: controller::prelude::Quorum,
+        quorum: controller::Quorum,
         /// With a deliberate fault in the system itself.
         #[arg(long)]
         mutant: Option<Mutant>,
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,8 +1,11 @@
-use crate::prelude::*;
-use placement::prelude::SchedulerRules;
+use crate::crew::Deployment;
+use crate::schedule::ScheduleRules;
+use crate::world::{Witness, World, WorldRules};
+use placement::SchedulerRules;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
+use types::Span;
 
 /// What is measured in simulated fleets without faults: ways of working under the same traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -1,6 +1,9 @@
-use crate::prelude::*;
+use placement::ServerEntry;
+use router::ServerListReport;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
+use transport::{Gate, GateBounds, GateCloser, Response};
+use types::{Address, Clock, Moment, ServerName, Span};
 
 /// The platform's list of servers, which lags behind what is true.
 pub struct Platform {
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -1,5 +1,8 @@
-use crate::prelude::*;
+use loadgen::print_of;
+use placement::{PrefixHash, block_hashes};
+use router::RunRequest;
 use std::collections::{BTreeMap, HashMap};
+use types::{Moment, RunId, Span};
 
 /// How a stand-in server works.
 #[derive(Debug, Clone)]
--- a/crates/testbed/src/schedule/tests.rs
+++ b/crates/testbed/src/schedule/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use crate::schedule::{Progress, Schedule, ScheduleRules};
+use router::RunRequest;
+use types::{Moment, RunId, Span};
 
 fn request(run: &str, prompt: &str) -> RunRequest {
     RunRequest {
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -1,7 +1,12 @@
-use crate::prelude::*;
+use crate::schedule::{Progress, Schedule, ScheduleRules, Strike};
+use loadgen::print_of;
+use placement::PrefixHash;
+use router::{LIFE_HEADER, RunPiece, RunRequest, ServerReport};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use transport::{Gate, GateBounds, GateCloser, PieceSource, Pull, Request, Response};
+use types::{Address, Clock, Moment, RunId, ServerName, Span};
 
 /// What a server remembers of a request that it took.
 #[derive(Debug, Clone)]
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -1,14 +1,17 @@
-use crate::prelude::*;
-use config::prelude::{AsSent, Command, Ledger, Proposal};
-use controller::prelude::{
+use crate::schedule::Schedule;
+use config::ServiceKind;
+use config::{AsSent, Command, Ledger, Proposal};
+use controller::{
     Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
 };
-use placement::prelude::{Decision, Event as SchedulerEvent, Outcome, SchedulerRules};
-use replication::prelude::{Kept, Record, Replica, Voter};
-use router::prelude::{Node, NodeInput, NodeOutput, NodeTiming, ServiceKind};
+use placement::{Decision, Event as SchedulerEvent, Outcome, SchedulerRules};
+use placement::{ServerEntry, mix};
+use replication::{Kept, Record, Replica, Voter};
+use router::{Node, NodeInput, NodeOutput, NodeTiming};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use wire::prelude::Letter;
+use types::{Address, DiskId, Epoch, Moment, RequestId, RunId, ServerName, ServiceName, ZoneName};
+use wire::Letter;
 
 mod aimed;
 mod checks;
@@ -173,7 +176,7 @@
     service: ServiceName,
     router: usize,
     life: u64,
-    errand: router::prelude::Errand,
+    errand: router::Errand,
     prompt: String,
     /// The server that it was last sent to.
     asked: Option<ServerName>,
@@ -194,7 +197,7 @@
     /// Whose it is, where there are tenants.
     owner: Option<tenants::Ownership>,
     /// As what it was last sent.
-    access: router::prelude::Access,
+    access: router::Access,
 }
 
 impl World {
--- a/crates/testbed/src/world/aimed.rs
+++ b/crates/testbed/src/world/aimed.rs
@@ -2,6 +2,9 @@
 
 use super::operators::Wish;
 use super::*;
+use crate::world::{FaultKind, World};
+use placement::mix;
+use types::{Address, ZoneName};
 
 /// After a change was sent, a fault that is aimed at it comes this much later.
 const AFTER_SEND: std::ops::Range<u64> = 5..400;
--- a/crates/testbed/src/world/aimed/tests.rs
+++ b/crates/testbed/src/world/aimed/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use crate::crew::Deployment;
+use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
+use types::Span;
 use yare::parameterized;
 
 /// Four faults of one kind, in a run that must show nothing.
--- a/crates/testbed/src/world/checks.rs
+++ b/crates/testbed/src/world/checks.rs
@@ -1,8 +1,10 @@
 //! What must never be, judged by what clients, servers and operators see.
 
 use super::*;
-use replication::prelude::View;
+use crate::world::World;
+use replication::View;
 use std::fmt;
+use types::{Address, Epoch, Moment, RequestId, ResultCode, ServerName, ServiceName, ZoneName};
 
 /// What was seen in a run.
 #[derive(Debug, Default)]
@@ -172,7 +174,7 @@
     pub(super) fn proposed(&mut self, now: u64, id: &str, command: &Command, base: &[u8]) {
         let read = |bytes: &[u8]| serde_json::from_slice::<serde_json::Value>(bytes).ok();
         // A change that was merged into another plan than the one that it builds on never takes effect.
-        let is_of_its_base = |revisions: &config::prelude::Revisions| {
+        let is_of_its_base = |revisions: &config::Revisions| {
             let found = read(base)
                 .and_then(|plan| plan["revision"].as_u64())
                 .unwrap_or(0);
@@ -536,7 +538,7 @@
         let Some(view) = self.witness.decided.values().next_back() else {
             return false;
         };
-        let is_up = |seat: &replication::prelude::Seat| {
+        let is_up = |seat: &replication::Seat| {
             let mut machines = self
                 .controllers
                 .iter()
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -5,7 +5,9 @@
 //! unacknowledged for too long, and a new one, which works at once, is made for the next letter.
 
 use super::*;
-use wire::prelude::Reading;
+use crate::world::{Mutant, World};
+use types::Address;
+use wire::Reading;
 
 /// As in the daemons' own lines (`SWIFT_DEAD_AFTER`, `BULK_DEAD_AFTER`).
 const LINE_DEAD_AFTER: u64 = 1500;
--- a/crates/testbed/src/world/connections/tests.rs
+++ b/crates/testbed/src/world/connections/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::crew::Deployment;
+use crate::world::{Mutant, World, WorldRules};
+use types::{Address, Epoch};
 
 /// Two controllers of a world in which nothing else goes on.
 struct Pair {
--- a/crates/testbed/src/world/disk_losses.rs
+++ b/crates/testbed/src/world/disk_losses.rs
@@ -1,6 +1,8 @@
 //! Disks that are lost, and machines that are replaced.
 
 use super::*;
+use crate::world::{FaultKind, Mutant, World};
+use types::{Address, DiskId, ZoneName};
 
 impl World {
     /// Whether the chain has all its seats, each of them level and taken by a controller that is up: only then may
@@ -17,7 +19,7 @@
         else {
             return false;
         };
-        let is_up = |seat: &replication::prelude::Seat| {
+        let is_up = |seat: &replication::Seat| {
             let mut machines = self
                 .controllers
                 .iter()
--- a/crates/testbed/src/world/door.rs
+++ b/crates/testbed/src/world/door.rs
@@ -2,8 +2,10 @@
 
 use super::operators::{Asked, Basis, Wish};
 use super::*;
-use config::prelude::{Fault as PlanFault, OwnPlans};
-use wire::prelude::Reading;
+use crate::world::{Mutant, World};
+use config::{Fault as PlanFault, OwnPlans};
+use types::{Epoch, ResultCode};
+use wire::Reading;
 
 /// Where a patch stands at the door.
 #[derive(Debug, Clone)]
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -2,6 +2,10 @@
 
 use super::fault_kinds::KINDS;
 use super::*;
+use crate::schedule::Strike;
+use crate::world::{FaultKind, World};
+use placement::mix;
+use types::{Address, ZoneName};
 
 /// One fault: what, when, for how long, whom.
 #[derive(Debug, Clone)]
--- a/crates/testbed/src/world/happening.rs
+++ b/crates/testbed/src/world/happening.rs
@@ -1,6 +1,8 @@
 //! What is to happen, and who takes it.
 
 use super::*;
+use crate::world::World;
+use types::{Address, RequestId, RunId, ServerName, ZoneName};
 
 /// What is to happen.
 #[derive(Debug, Clone)]
@@ -38,7 +40,7 @@
         machine: usize,
         life: u64,
         number: u64,
-        outcome: Result<router::prelude::Placing, router::prelude::Denial>,
+        outcome: Result<router::Placing, router::Denial>,
     },
     Connected {
         request: RequestId,
@@ -52,7 +54,7 @@
     },
     RunOutcome {
         request: RequestId,
-        failure: Option<router::prelude::Failure>,
+        failure: Option<router::Failure>,
     },
     OtherLife {
         request: RequestId,
--- a/crates/testbed/src/world/history.rs
+++ b/crates/testbed/src/world/history.rs
@@ -5,6 +5,7 @@
     ZoneAnswer, ZoneRegister, check_linearizable,
 };
 use super::*;
+use types::ZoneName;
 
 /// What an operator's call asks for.
 #[derive(Debug, Clone)]
--- a/crates/testbed/src/world/linearizability/tests.rs
+++ b/crates/testbed/src/world/linearizability/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::prelude::Deployment;
+use crate::crew::Deployment;
 use crate::world::{FaultKind, Mutant, World, WorldRules};
 use yare::parameterized;
 
--- a/crates/testbed/src/world/machines.rs
+++ b/crates/testbed/src/world/machines.rs
@@ -1,9 +1,12 @@
 //! Controllers and routers: started, fed, frozen, killed.
 
 use super::*;
-use config::prelude::{History, REMEMBERED_CHANGES};
-use controller::prelude::RelayInput;
-use wire::prelude::PollResponse;
+use crate::world::{Mutant, World};
+use config::{History, REMEMBERED_CHANGES};
+use controller::RelayInput;
+use placement::mix;
+use types::{Address, Moment, RequestId, Span, TokenKey};
+use wire::PollResponse;
 
 impl World {
     pub(super) fn start_controller(&mut self, machine: usize) {
@@ -552,7 +555,7 @@
                     }
                 }
                 NodeOutput::Read { plan_epoch, bytes } => {
-                    let plan = config::prelude::parse_plan(&bytes).map(std::sync::Arc::new);
+                    let plan = config::parse_plan(&bytes).map(std::sync::Arc::new);
                     self.step_node(
                         machine,
                         NodeInput::Plan {
--- a/crates/testbed/src/world/operators.rs
+++ b/crates/testbed/src/world/operators.rs
@@ -2,6 +2,8 @@
 
 use super::history::{CallAction, CallAnswer};
 use super::*;
+use crate::world::{Mutant, World};
+use types::{Address, ResultCode, ZoneName};
 
 /// What operators want, asked and were told.
 #[derive(Default)]
--- a/crates/testbed/src/world/relays.rs
+++ b/crates/testbed/src/world/relays.rs
@@ -1,8 +1,10 @@
 //! Controllers without a disk, and settings that come to name other seeds.
 
 use super::*;
-use controller::prelude::{Contacts, Relay, RelayInput};
-use replication::prelude::LeaseStatus;
+use crate::world::{Mutant, World};
+use controller::{Contacts, Relay, RelayInput};
+use replication::LeaseStatus;
+use types::{Address, Moment, ZoneName};
 
 /// Running processes read their settings this often.
 const SETTINGS_PERIOD: u64 = 1000;
--- a/crates/testbed/src/world/rules.rs
+++ b/crates/testbed/src/world/rules.rs
@@ -1,6 +1,10 @@
 //! How a run goes.
 
 use super::*;
+use crate::crew::Deployment;
+use crate::schedule::ScheduleRules;
+use crate::world::{FaultKind, Mutant};
+use types::Span;
 
 /// How a run goes.
 #[derive(Debug, Clone)]
--- a/crates/testbed/src/world/streams.rs
+++ b/crates/testbed/src/world/streams.rs
@@ -2,7 +2,12 @@
 //! read on elsewhere when a stream is cut.
 
 use super::*;
-use router::prelude::{ChartInput, Passed, PieceReader, resume_id};
+use crate::schedule::Progress;
+use crate::world::{Mutant, World};
+use loadgen::print_of;
+use router::RunPiece;
+use router::{ChartInput, Passed, PieceReader, resume_id};
+use types::{Moment, RequestId, RunId};
 
 /// A stream as it stands, on its client's side and on its router's.
 pub(super) struct SimStream {
--- a/crates/testbed/src/world/tenants.rs
+++ b/crates/testbed/src/world/tenants.rs
@@ -2,9 +2,11 @@
 //! than a quota's bound.
 
 use super::*;
-use config::prelude::KeyDigest;
-use quota::prelude::{Amount, QuotaBounds, QuotaLimit};
-use router::prelude::Access;
+use crate::world::{Mutant, Witness, World};
+use config::KeyDigest;
+use quota::{Amount, QuotaBounds, QuotaLimit};
+use router::Access;
+use types::{RequestId, Span};
 
 /// By how much quotas may be exceeded here.
 pub(super) const QUOTA_BOUNDS: QuotaBounds = QuotaBounds {
--- a/crates/testbed/src/world/tests.rs
+++ b/crates/testbed/src/world/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::crew::Deployment;
+use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
+use types::{ResultCode, Span};
 use yare::parameterized;
 
 /// A short run of this seed; prints how to play it again where it fails.
--- a/crates/testbed/src/world/touch.rs
+++ b/crates/testbed/src/world/touch.rs
@@ -1,7 +1,7 @@
 //! Whom a router was in touch with, judged by the letters that reached it: its leases, and who knew more.
 
 use super::*;
-use wire::prelude::PollResponse;
+use wire::PollResponse;
 
 /// Whoever told it of more, and is out of reach for this long, stops it no more.
 const TOLD_FOR: u64 = 3000;
--- a/crates/testbed/src/world/traffic.rs
+++ b/crates/testbed/src/world/traffic.rs
@@ -1,11 +1,16 @@
 //! Clients, their requests' way through a router, and servers.
 
 use super::*;
-use placement::prelude::Demand;
-use router::prelude::{
+use crate::schedule::Schedule;
+use crate::world::{Mutant, World};
+use placement::Demand;
+use placement::block_hashes;
+use router::RunRequest;
+use router::{
     Access, ChartInput, ChartOutput, Denial, Errand, ErrandInput, ErrandOutput, Failure, KvTask,
     PlaceAsk, Placing, run_id,
 };
+use types::{Address, Epoch, Moment, RequestId, ResultCode, RunId, ServerName, Span};
 
 impl World {
     pub(super) fn on_arrival(&mut self) {
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -1,8 +1,12 @@
 //! Failures of real processes on loopback, as the BRIEF's rules see them. Needs the workspace to be
 //! built: `cargo build --workspace`.
 
+use loadgen::{Asked, Campaign, CampaignRules, Fate, Mix, PlannedRequest, Report, ask};
 use std::sync::{Arc, Mutex, MutexGuard};
-use testbed::prelude::*;
+use testbed::{
+    Crew, Daemon, Deployment, Fleet, FleetOptions, ScheduleRules, Strike, join_logs, plan_of,
+};
+use types::{Address, Clock, Moment, ResultCode, Span};
 
 const PATIENCE: Span = Span::seconds(30);
 
@@ -141,9 +145,8 @@
                 .expect("the chain is whole again");
         }
     });
-    let sum = |pick: fn(&loadgen::prelude::ServiceReport) -> u64| {
-        report.services.values().map(pick).sum::<u64>()
-    };
+    let sum =
+        |pick: fn(&loadgen::ServiceReport) -> u64| report.services.values().map(pick).sum::<u64>();
     assert_eq!(
         (sum(|s| s.broken), sum(|s| s.resumed)),
         (0, 0),
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! A fleet of real processes on loopback. Needs the workspace to be built: `cargo build --workspace`.
 
-use testbed::prelude::*;
+use loadgen::{Asked, Campaign, CampaignRules, Mix, Report};
+use testbed::{Crew, Deployment, Fleet, FleetOptions, ScheduleRules, join_logs, plan_of};
+use types::Span;
 
 /// A fleet that serves, with its crew.
 fn serving(deployment: Deployment, options: &FleetOptions) -> (Crew, Fleet) {
--- a/crates/testbed/tests/interfaces.rs
+++ b/crates/testbed/tests/interfaces.rs
@@ -1,9 +1,12 @@
 //! What operators and clients are told, good input and bad, by real processes. Needs the workspace
 //! to be built: `cargo build --workspace`.
 
+use loadgen::{Fate, PlannedRequest, ask};
 use serde_json::Value;
 use std::process::Command;
-use testbed::prelude::*;
+use testbed::{Crew, Deployment, Fleet, FleetOptions, ScheduleRules, Strike, plan_of};
+use transport::{ask_post, read_all};
+use types::{Address, RunId, ServerName, Span, TokenKey};
 
 const PATIENCE: Span = Span::seconds(30);
 
@@ -198,7 +201,7 @@
     let decisions =
         String::from_utf8(router.get("/v1/decisions?after=0").expect("decisions").1).expect("text");
     let mut replayed = vec![];
-    router::prelude::replay(&recorded[..], &mut replayed).expect("it can be played");
+    router::replay(&recorded[..], &mut replayed).expect("it can be played");
     let replayed = String::from_utf8(replayed).expect("text");
     let live: Vec<Value> = decisions
         .lines()
@@ -302,7 +305,7 @@
     // Forged, altered, and a neighbour's words behind one's own check: no byte leaves for what they name.
     let trap = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     trap.set_nonblocking(true).expect("it can be asked");
-    let forged = router::prelude::Token {
+    let forged = router::Token {
         request: "one".into(),
         service: "reviews".into(),
         server: ServerName(trap.local_addr().expect("an address").to_string()),
--- a/crates/testbed/tests/lives.rs
+++ b/crates/testbed/tests/lives.rs
@@ -1,6 +1,9 @@
 //! Servers that restart in place: what was meant for a former life of theirs is refused unrun.
 
-use testbed::prelude::*;
+use router::{LIFE_HEADER, RunRequest};
+use testbed::{ScheduleRules, StandIn};
+use transport::{Ask, read_all};
+use types::{Address, RunId, ServiceName, Span};
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/transport/src/ask.rs
+++ b/crates/transport/src/ask.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read, Write};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
-use types::prelude::*;
+use types::Span;
 
 /// Why an asked server gave no head.
 #[derive(Debug, thiserror::Error)]
--- a/crates/transport/src/gate.rs
+++ b/crates/transport/src/gate.rs
@@ -16,7 +16,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use types::prelude::*;
+use types::{Address, Span};
 
 /// One request over HTTP, read whole.
 pub struct Request {
--- a/crates/transport/src/gate/connection.rs
+++ b/crates/transport/src/gate/connection.rs
@@ -21,7 +21,7 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use types::prelude::*;
+use types::{Clock, Moment, ResultCode, Span};
 
 /// After leaving, requests that were on the wire have this long to come in.
 const LEAVE_LINGER: Span = Span(500);
--- a/crates/transport/src/gate/connection/tests.rs
+++ b/crates/transport/src/gate/connection/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::gate::GateLimits;
+use types::{Moment, Span};
 
 const IDLE: Span = Span(15_000);
 
--- a/crates/transport/src/gate/state.rs
+++ b/crates/transport/src/gate/state.rs
@@ -6,7 +6,7 @@
 use std::os::fd::OwnedFd;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use types::prelude::*;
+use types::{Clock, Moment, Span};
 
 /// Limits of a gate that may change while it serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/transport/src/gate/tests.rs
+++ b/crates/transport/src/gate/tests.rs
@@ -10,6 +10,7 @@
 use std::net::Shutdown;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
+use types::{Address, Span};
 
 /// Nothing is judged by it but that something came at all.
 const GUARD: Duration = Duration::from_secs(20);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,15 +11,12 @@
 mod response;
 mod socket;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::ask::{
-        Ask, AskError, AskExt, Heard, ask_delete, ask_get, ask_post, ask_with, read_all, read_page,
-    };
-    pub use crate::framing::RequestLimits;
-    pub use crate::gate::{Gate, GateBounds, GateCloser, GateLimiter, GateLimits, Request};
-    pub use crate::lines::{CHECK_LIFE, Line, LineError, LinePull, Lines, LinesBounds, Waits};
-    pub use crate::post::{Post, PostClass, PostTally};
-    pub use crate::response::{PieceSource, Pull, Response};
-    pub use crate::socket::Client;
-}
+pub use ask::{
+    Ask, AskError, AskExt, Heard, ask_delete, ask_get, ask_post, ask_with, read_all, read_page,
+};
+pub use framing::RequestLimits;
+pub use gate::{Gate, GateBounds, GateCloser, GateLimiter, GateLimits, Request};
+pub use lines::{CHECK_LIFE, Line, LineError, LinePull, Lines, LinesBounds, Waits};
+pub use post::{Post, PostClass, PostTally};
+pub use response::{PieceSource, Pull, Response};
+pub use socket::Client;
--- a/crates/transport/src/lines.rs
+++ b/crates/transport/src/lines.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use types::prelude::*;
+use types::{Clock, Moment, Span};
 
 /// Kept-alive connections to servers, shared by all threads.
 ///
--- a/crates/transport/src/lines/tests.rs
+++ b/crates/transport/src/lines/tests.rs
@@ -5,6 +5,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 use std::sync::mpsc;
+use types::{Clock, Span};
 
 const PATIENCE: Span = Span::seconds(5);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
--- a/crates/transport/src/post.rs
+++ b/crates/transport/src/post.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
-use types::prelude::*;
-use wire::prelude::*;
+use types::Address;
+use wire::{Letter, SealFault, open, seal};
 
 /// Which of a peer's two connections a letter takes: pieces of snapshots never delay the rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/transport/src/post/tests.rs
+++ b/crates/transport/src/post/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use types::Address;
 use yare::parameterized;
 
 /// The day `pahana-cut-off-then-read-back`: a control node that had been cut off for 17 s heard nobody for 7 s more,
--- a/crates/transport/src/response.rs
+++ b/crates/transport/src/response.rs
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use std::time::Duration;
-use types::prelude::*;
+use types::{ResultCode, Span};
 
 /// What a stream gives when asked for its next piece.
 pub enum Pull {
--- a/crates/transport/src/response/tests.rs
+++ b/crates/transport/src/response/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use types::{ResultCode, Span};
 
 #[test]
 fn each_code_tells_when_to_come_back_exactly_where_that_helps() {
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Weak};
 use std::task::{Context, Poll, Wake};
 use std::time::Duration;
-use types::prelude::*;
+use types::{Clock, Moment};
 
 /// A TCP connection and what is known of it between two polls, so that no system call asks again.
 pub(crate) struct Wire {
--- a/crates/transport/tests/gate_keep_alive.rs
+++ b/crates/transport/tests/gate_keep_alive.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc;
 use std::time::Duration;
-use transport::prelude::*;
-use types::prelude::*;
+use transport::{Gate, GateBounds, GateCloser, PieceSource, Pull, Request, Response};
+use types::{Address, Clock, Span};
 
 const PATIENCE: Duration = Duration::from_secs(5);
 
--- a/crates/transport/tests/library_traps.rs
+++ b/crates/transport/tests/library_traps.rs
@@ -4,8 +4,10 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc;
 use std::time::Duration;
-use transport::prelude::*;
-use types::prelude::*;
+use transport::{
+    Ask, AskError, Gate, GateBounds, PieceSource, Pull, Response, ask_get, ask_post, read_all,
+};
+use types::{Address, Clock, Span};
 
 const PATIENCE: Span = Span::seconds(5);
 
--- a/crates/transport/tests/lines.rs
+++ b/crates/transport/tests/lines.rs
@@ -6,8 +6,11 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
 use std::time::Duration;
-use transport::prelude::*;
-use types::prelude::*;
+use transport::{
+    CHECK_LIFE, Client, Gate, GateBounds, Line, LineError, LinePull, Lines, LinesBounds, Response,
+    Waits,
+};
+use types::{Address, Clock, Span};
 
 const PATIENCE: Span = Span::seconds(5);
 const BOUNDS: LinesBounds = LinesBounds {
--- a/crates/transport/tests/upstream_fuzz.rs
+++ b/crates/transport/tests/upstream_fuzz.rs
@@ -6,8 +6,8 @@
 use proptest::test_runner::{Config, TestCaseError, TestRunner};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
-use transport::prelude::*;
-use types::prelude::*;
+use transport::{Line, LineError, Lines, LinesBounds, Waits};
+use types::{Clock, Span};
 
 const CASES: u32 = 1500;
 const PATIENCE: Span = Span::seconds(10);
--- a/crates/types/tests/api_key.rs
+++ b/crates/types/tests/api_key.rs
@@ -1,4 +1,4 @@
-use types::prelude::*;
+use types::{ApiKey, ApiKeys};
 
 #[test]
 fn a_key_is_read_and_never_shown() {
--- a/crates/wire/src/letter.rs
+++ b/crates/wire/src/letter.rs
@@ -1,6 +1,7 @@
-use placement::prelude::{DigestChange, ServerEntry};
-use quota::prelude::{CreditAsk, CreditGrant};
-use replication::prelude::*;
+use placement::{DigestChange, ServerEntry};
+use quota::{CreditAsk, CreditGrant};
+use replication::Note;
+use types::{Address, Epoch, ServerName, Span, Splice, TokenKey, ViewEpoch, ZoneName, messages};
 
 messages! {
     /// A node of the data plane, as others see it.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -3,11 +3,8 @@
 mod letter;
 mod seal;
 
-/// What each file imports.
-pub mod prelude {
-    pub use crate::letter::{
-        ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState,
-        ListVersion, Member, News, Poll, PollResponse, Reading, SPLICE_MOST,
-    };
-    pub use crate::seal::{PROTOCOL, SealFault, open, seal};
-}
+pub use letter::{
+    ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState,
+    ListVersion, Member, News, Poll, PollResponse, Reading, SPLICE_MOST,
+};
+pub use seal::{PROTOCOL, SealFault, open, seal};
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -1,6 +1,6 @@
 use crate::letter::Letter;
 use std::io::{self, Read};
-use types::prelude::*;
+use types::{Address, ResultCode};
 
 /// The version of the inner protocol that this build speaks.
 pub const PROTOCOL: u16 = 6;
--- a/crates/wire/src/seal/tests.rs
+++ b/crates/wire/src/seal/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use types::{Address, Epoch, ResultCode};
 use yare::parameterized;
 
 fn letter() -> Letter {
