--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -5,11 +5,12 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use config::prelude::{
-    Address, AsSent, Command, CommandOutcome, Epoch, Fault, Forgotten, History, KeptCommand,
-    Ledger, NotKept, Proposal, Revisions, Splice, TokenKey, ZoneName, parse_plan,
+use config::{
+    AsSent, Command, CommandOutcome, Fault, Forgotten, History, KeptCommand, Ledger, NotKept,
+    Proposal, Revisions, parse_plan,
 };
-use replication::prelude::StateMachine;
+use replication::StateMachine;
+use types::{Address, Epoch, Splice, TokenKey, ZoneName};
 
 variant_names!(ALL_COMMANDS, command_name(Command) {
     Command::Plan { .. } => "Plan",
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -8,12 +8,13 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use config::prelude::{AsSent, Command, Epoch, Ledger, Proposal, TenantTable, parse_plan};
-use controller::prelude::{
+use config::read_settings;
+use config::{AsSent, Command, Ledger, Proposal, TenantTable, parse_plan};
+use controller::{
     Contacts, Controller, ControllerInput, ControllerOutput, ControllerTiming, DiskEvent,
-    DiskThread, OperatorAsk, Reading, Settings, read_settings,
+    DiskThread, OperatorAsk, Settings,
 };
-use replication::prelude::{
+use replication::{
     Ballot, Change, Kept, Record, Replica, Round, Seat, StateMachine, Ticket, View, Voter,
 };
 use schematic::Config;
@@ -21,8 +22,10 @@
 use std::fs;
 use std::path::Path;
 use std::time::Duration;
-use storage::prelude::Storage;
-use types::prelude::{Address, DiskId, Moment, Seq, TokenKey, ViewEpoch, ZoneName};
+use storage::Storage;
+use types::Epoch;
+use types::{Address, DiskId, Moment, Seq, TokenKey, ViewEpoch, ZoneName};
+use wire::Reading;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_controller");
 /// Longer than any disk takes here; a fault of the disk ends the test at once.
@@ -267,9 +270,9 @@
     let plan = parse_plan(&ledger.plan).expect("a plan");
     assert_eq!(plan.services["drafts"].slots, 5);
     assert_eq!(plan.tenants[0].name, "acme");
-    let hasher = config::prelude::KeyHasher::draw();
+    let hasher = config::KeyHasher::draw();
     let tenants = TenantTable::new(&plan.tenants, hasher);
-    let digest = tenants.digest(&types::prelude::ApiKey::from("k-1"));
+    let digest = tenants.digest(&types::ApiKey::from("k-1"));
     let owner = tenants.tenant(&digest).map(|tenant| tenant.name.as_str());
     assert_eq!(owner, Some("acme"));
     assert_eq!(ledger.history.entries.len(), 7);
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -4,13 +4,13 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use placement::prelude::{
+use placement::{
     BtbRules, Candidate, Dated, Decision, Demand, Event, Holding, Hot, InFlight, Outcome,
     PlaceReason, PrefixHash, Rules, SchedulerRules, ServerEntry, ServiceRules, Sketch, life_key,
     server_key,
 };
 use std::collections::BTreeMap;
-use types::prelude::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
+use types::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
 
 variant_names!(ALL_EVENTS, event_name(Event) {
     Event::Rules { .. } => "rules",
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -4,10 +4,8 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use replication::prelude::{
-    Address, Ballot, Change, DiskId, LeaseStatus, Record, Round, Seat, Seq, Ticket, Timing, View,
-    ViewEpoch, Voter,
-};
+use replication::{Ballot, Change, LeaseStatus, Record, Round, Seat, Ticket, Timing, View, Voter};
+use types::{Address, DiskId, Seq, ViewEpoch};
 
 variant_names!(ALL_RECORDS, record_name(Record) {
     Record::Promised { .. } => "Promised",
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -4,15 +4,17 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use quota::prelude::{Amount, HeldCredit};
-use router::prelude::{
+use config::read_settings;
+use placement::ServerEntry;
+use quota::{Amount, HeldCredit};
+use router::{
     ClientRequest, LIFE_HEADER, Passed, PieceReader, ResumeRequest, RunPiece, RunRequest,
-    ServerEntry, ServerListReport, ServerReport, Settings, Tallies, Token, TokenKey, read_settings,
-    run_id,
+    ServerListReport, ServerReport, Settings, Tallies, Token, run_id,
 };
 use schematic::Config;
 use std::sync::atomic::Ordering;
-use types::prelude::{RequestId, ResultCode, RunId, ServerName, ServiceName, TenantName, ZoneName};
+use types::TokenKey;
+use types::{RequestId, ResultCode, RunId, ServerName, ServiceName, TenantName, ZoneName};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_router");
 
--- a/crates/types/tests/golden.rs
+++ b/crates/types/tests/golden.rs
@@ -3,7 +3,7 @@
 
 mod golden_file;
 
-use types::prelude::{
+use types::{
     Address, ApiKey, ApiKeys, DiskId, Epoch, Moment, RequestId, ResultCode, RunId, Seq, ServerName,
     ServiceName, Span, TenantName, ViewEpoch, ZoneName,
 };
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -4,14 +4,14 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use placement::prelude::{DigestChange, ServerEntry};
-use quota::prelude::{Amount, CreditAsk, CreditGrant, CreditRequest, QuotaLimit, TenantGrant};
-use replication::prelude::{Ballot, Change, Note, Round, Seat, Ticket, View, Voter};
-use types::prelude::{
+use placement::{DigestChange, ServerEntry};
+use quota::{Amount, CreditAsk, CreditGrant, CreditRequest, QuotaLimit, TenantGrant};
+use replication::{Ballot, Change, Note, Round, Seat, Ticket, View, Voter};
+use types::{
     Address, DiskId, Epoch, Seq, ServerName, Span, Splice, TenantName, TokenKey, ViewEpoch,
     ZoneName,
 };
-use wire::prelude::{
+use wire::{
     ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState,
     ListVersion, Member, News, Poll, PollResponse, Reading, open, seal,
 };
