--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use transport::{ask_get, ask_with, read_all};
-use types::{Address, Clock, Span};
+use transport::{AskError, ask_get, ask_with, read_all};
+use types::{Address, Clock, Moment, Span};
 
 /// A process of the fleet.
 pub struct Daemon {
