--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -32,11 +32,11 @@
     KeptCommand::Forget { .. } => "Forget",
 });
 
-const PLAN: &[u8] = br#"{"services":{"drafts":{"slots":4,"zones":["north","south"]}},"tenants":[{"name":"acme","api_keys":["k-1"],"rate_per_s":5.0,"burst":10.0}],"note":"one"}"#;
-const NEXT_PLAN: &[u8] = br#"{"services":{"drafts":{"slots":5,"zones":["north","south"]}},"tenants":[{"name":"acme","api_keys":["k-1"],"rate_per_s":5.0,"burst":10.0}],"note":"one"}"#;
+const PLAN: &[u8] = br#"{"services":{"drafts":{"slots":4,"zones":["north","south","centre"]}},"tenants":[{"name":"acme","api_keys":["k-1"],"rate_per_s":5.0,"burst":10.0}],"note":"one"}"#;
+const NEXT_PLAN: &[u8] = br#"{"services":{"drafts":{"slots":5,"zones":["north","south","centre"]}},"tenants":[{"name":"acme","api_keys":["k-1"],"rate_per_s":5.0,"burst":10.0}],"note":"one"}"#;
 
 fn zones() -> Vec<ZoneName> {
-    vec![ZoneName::from("north"), ZoneName::from("south")]
+    ["centre", "north", "south"].map(ZoneName::from).to_vec()
 }
 
 fn proposal(id: &str, builds_on: Option<u64>, seen: u64, command: Command) -> Proposal {
@@ -120,11 +120,15 @@
 
 /// A ledger that remembers so many changes and has taken all of them.
 fn ledger(span: usize) -> Ledger {
+    ledger_of(span, &proposals())
+}
+
+fn ledger_of(span: usize, proposals: &[Proposal]) -> Ledger {
     let mut ledger = Ledger {
         history: History::of_span(span),
         ..Ledger::default()
     };
-    for (place, proposal) in proposals().iter().enumerate() {
+    for (place, proposal) in proposals.iter().enumerate() {
         let outcome = ledger.apply(&proposal.to_bytes());
         let outcome: serde_json::Value = serde_json::from_slice(&outcome).expect("JSON");
         let expected = (300, place as u64 + 1);
@@ -162,10 +166,13 @@
 #[test]
 fn a_ledgers_golden_snapshot_is_written_and_read_as_ever() {
     let (whole, short) = (ledger(WHOLE_SPAN), ledger(SHORT_SPAN));
+    // Here the members differ from those before.
+    let joined = ledger_of(WHOLE_SPAN, &proposals()[..2]);
     let snapshots = [
         ("empty", Ledger::default().snapshot()),
         ("whole", whole.snapshot()),
         ("short", short.snapshot()),
+        ("joined", joined.snapshot()),
     ];
     golden_file::compare_entries("ledgers.txt", &snapshots);
     let golden = golden_file::read_entries("ledgers.txt");
@@ -173,7 +180,7 @@
         .iter()
         .map(|(name, bytes)| Ledger::restore(bytes).unwrap_or_else(|| panic!("{name}")))
         .collect();
-    assert_eq!(restored, vec![Ledger::default(), whole, short]);
+    assert_eq!(restored, vec![Ledger::default(), whole, short, joined]);
     let kept = restored[1].history.entries.iter();
     let names = kept.map(|entry| kept_command_name(&entry.command));
     golden_file::check_all_named(ALL_KEPT_COMMANDS, names);
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -11,9 +11,10 @@
 use config::read_settings;
 use config::{AsSent, Command, Ledger, Proposal, TenantTable, parse_plan};
 use controller::{
-    Contacts, Controller, ControllerInput, ControllerOutput, ControllerTiming, DiskEvent,
-    DiskThread, OperatorAsk, Settings,
+    ContactTiming, Contacts, Controller, ControllerInput, ControllerOutput, ControllerTiming,
+    DiskEvent, DiskThread, OperatorAsk, Quorum, Settings,
 };
+use quota::{Amount, TenantUse};
 use replication::{
     Ballot, Change, Kept, Record, Replica, Round, Seat, StateMachine, Ticket, View, Voter,
 };
@@ -24,7 +25,7 @@
 use std::time::Duration;
 use storage::Storage;
 use types::Epoch;
-use types::{Address, DiskId, Moment, Seq, TokenKey, ViewEpoch, ZoneName};
+use types::{Address, DiskId, Moment, Seq, TenantName, TokenKey, ViewEpoch, ZoneName};
 use wire::Reading;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_controller");
@@ -249,7 +250,10 @@
 }
 
 fn controller(kept: Kept) -> Controller {
-    let mut timing = ControllerTiming::default();
+    let mut timing = ControllerTiming {
+        quorum: Quorum::Holders,
+        ..ControllerTiming::default()
+    };
     (timing.replica.copies, timing.replica.voters) = (1, 1);
     let now = Moment(10_000);
     let founders = vec![me().address];
@@ -431,6 +435,21 @@
     golden_file::compare_json_lines("outcomes.txt", &lines);
 }
 
+#[test]
+fn tenants_have_their_golden_json() {
+    let amount = |thousandths: u64| Amount { thousandths };
+    let tenant = TenantUse {
+        tenant: TenantName::from("acme"),
+        rate: amount(1),
+        burst: amount(2),
+        spent_in_window: amount(3),
+        outstanding: amount(4),
+        denied: 5,
+    };
+    let json = serde_json::to_string(&tenant).expect("JSON");
+    golden_file::compare_json_lines("tenants.jsonl", &[json]);
+}
+
 #[test]
 fn settings_have_their_golden_keys_and_defaults() {
     let defaults = <Settings as Config>::default_partial();
@@ -454,7 +473,9 @@
 #[test]
 fn the_spans_and_bounds_of_a_controller_are_as_ever() {
     let timing = ControllerTiming::default();
-    golden_file::compare_text("timing.txt", &golden_file::values_of(&timing));
+    let contacts = golden_file::values_of(&ContactTiming::default());
+    let text = format!("{}{contacts}", golden_file::values_of(&timing));
+    golden_file::compare_text("timing.txt", &text);
 }
 
 #[test]
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -8,8 +8,8 @@
 use placement::ServerEntry;
 use quota::{Amount, HeldCredit};
 use router::{
-    ClientRequest, LIFE_HEADER, Passed, PieceReader, ResumeRequest, RunPiece, RunRequest,
-    ServerListReport, ServerReport, Settings, Tallies, Token, run_id,
+    ClientRequest, LIFE_HEADER, ListTiming, NodeTiming, Passed, PieceReader, ResumeRequest,
+    RunPiece, RunRequest, ServerListReport, ServerReport, Settings, Tallies, Token, run_id,
 };
 use schematic::Config;
 use std::sync::atomic::Ordering;
@@ -232,3 +232,10 @@
     assert_eq!(golden_file::exit_code(PROGRAM, &["replay"]), Some(0));
     assert_eq!(golden_file::exit_code(PROGRAM, &["--version"]), Some(0));
 }
+
+#[test]
+fn the_spans_and_bounds_of_a_router_are_as_ever() {
+    let node = golden_file::values_of(&NodeTiming::default());
+    let list = golden_file::values_of(&ListTiming::default());
+    golden_file::compare_text("timing.txt", &format!("{node}{list}"));
+}
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -144,7 +144,17 @@
             replied: Seq(11),
             is_level: true,
             is_sound: false,
-            has_members: true,
+            has_members: false,
+        },
+        Note::Beat {
+            disk,
+            view: ViewEpoch(7),
+            last: Seq(12),
+            stamp: ViewEpoch(6),
+            replied: Seq(11),
+            is_level: false,
+            is_sound: true,
+            has_members: false,
         },
         Note::Prepare {
             instance: ViewEpoch(8),
