--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -1,8 +1,8 @@
 //! What is kept of accepted changes: a bounded span, the newest ones.
 
-use crate::ledger::{Command, Proposal};
+use crate::state_machine::{Command, Proposal};
 use std::collections::{BTreeMap, VecDeque};
-use types::{Address, Epoch, Splice, ZoneName, messages, unwind};
+use types::{Address, ConfigEpoch, Delta, ZoneName, messages, revert};
 
 /// Operators' changes of which the id, and so the fate, is known: the newest so many. The users' days
 /// have some hundreds, their years about 1,200 a day. [`replication::Timing::changes_per_second`]
@@ -48,11 +48,11 @@
     #[derive(Eq)]
     pub struct Entry {
         /// As this epoch.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// The operator's id for it.
         pub id: String,
         /// What it built on.
-        pub builds_on: Option<Epoch>,
+        pub builds_on: Option<ConfigEpoch>,
         /// By the operators' own count, the number that it built on, if it is a plan or a change.
         pub base_revision: Option<u64>,
         /// What.
@@ -63,16 +63,16 @@
     #[derive(Eq)]
     pub struct Undo {
         /// From the plan of this epoch.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// By this.
-        pub splice: Splice,
+        pub delta: Delta,
     }
 
     /// A change as it was sent.
     #[derive(Eq)]
     pub struct SentChange {
         /// Accepted as this epoch.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// Its bytes.
         pub bytes: Vec<u8>,
     }
@@ -81,7 +81,7 @@
     #[derive(Default, Copy, Eq)]
     pub struct Forgotten {
         /// The epoch of the newest entry that was.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// The newest number of the operators' own that a forgotten plan or change built on.
         pub base_revision: Option<u64>,
     }
@@ -102,7 +102,7 @@
         pub entries: VecDeque<Entry>,
         /// Their epochs by their ids. Made of the entries, not archived.
         #[rkyv(with = rkyv::with::Skip)]
-        ids: BTreeMap<String, Epoch>,
+        ids: BTreeMap<String, ConfigEpoch>,
         /// From the plan in force back.
         undos: VecDeque<Undo>,
         /// As they were sent.
@@ -140,7 +140,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
     /// It was accepted as this epoch.
-    Accepted(Epoch),
+    Accepted(ConfigEpoch),
     /// It was not accepted so far: nothing has been forgotten yet.
     NotAccepted,
     /// It's not among those that are remembered. Whether it was accepted before them isn't known.
@@ -216,7 +216,7 @@
     }
 
     /// What was accepted as this epoch, if it's remembered.
-    pub fn entry(&self, epoch: Epoch) -> Option<&Entry> {
+    pub fn entry(&self, epoch: ConfigEpoch) -> Option<&Entry> {
         let place = self
             .entries
             .binary_search_by_key(&epoch, |entry| entry.epoch)
@@ -228,7 +228,7 @@
     pub fn fate(&self, id: &str) -> Fate {
         match self.entry_by_id(id) {
             Some(entry) => Fate::Accepted(entry.epoch),
-            None if self.forgotten.epoch == Epoch(0) => Fate::NotAccepted,
+            None if self.forgotten.epoch == ConfigEpoch(0) => Fate::NotAccepted,
             None => Fate::TooOldToKnow,
         }
     }
@@ -240,7 +240,7 @@
     /// later one, or on a newer number than any forgotten one, was never accepted before. One that names
     /// neither can't be told from a new one.
     pub(crate) fn may_have_forgotten(&self, proposal: &Proposal) -> bool {
-        if self.forgotten.epoch == Epoch(0) {
+        if self.forgotten.epoch == ConfigEpoch(0) {
             return false;
         }
         match (base_revision(&proposal.command), proposal.builds_on) {
@@ -254,9 +254,9 @@
     }
 
     /// What was accepted as this epoch, as it was sent; `plan` is the one in force.
-    pub(crate) fn as_sent(&self, epoch: Epoch, plan: &[u8]) -> Result<AsSent, NotKept> {
+    pub(crate) fn as_sent(&self, epoch: ConfigEpoch, plan: &[u8]) -> Result<AsSent, NotKept> {
         let Some(entry) = self.entry(epoch) else {
-            let is_forgotten = epoch > Epoch(0) && epoch <= self.forgotten.epoch;
+            let is_forgotten = epoch > ConfigEpoch(0) && epoch <= self.forgotten.epoch;
             return Err(if is_forgotten {
                 NotKept::NoLonger
             } else {
@@ -273,13 +273,18 @@
     }
 
     /// A plan comes back from the one in force by what undoes those after it.
-    fn plan_as_sent(&self, epoch: Epoch, plan: &[u8], hash: &[u8; 32]) -> Result<AsSent, NotKept> {
+    fn plan_as_sent(
+        &self,
+        epoch: ConfigEpoch,
+        plan: &[u8],
+        hash: &[u8; 32],
+    ) -> Result<AsSent, NotKept> {
         let later = self
             .undos
             .iter()
             .rev()
             .take_while(|undo| undo.epoch > epoch);
-        let bytes = unwind(plan, later.map(|undo| &undo.splice)).ok_or(NotKept::NoLonger)?;
+        let bytes = revert(plan, later.map(|undo| &undo.delta)).ok_or(NotKept::NoLonger)?;
         if blake3::hash(&bytes) == *hash {
             Ok(AsSent::Body(bytes))
         } else {
@@ -287,7 +292,7 @@
         }
     }
 
-    fn change_as_sent(&self, epoch: Epoch) -> Result<AsSent, NotKept> {
+    fn change_as_sent(&self, epoch: ConfigEpoch) -> Result<AsSent, NotKept> {
         let place = self
             .changes
             .binary_search_by_key(&epoch, |change| change.epoch);
@@ -296,12 +301,12 @@
     }
 
     /// Takes in what leads from a new plan back to the one before.
-    pub(crate) fn remember_undo(&mut self, epoch: Epoch, splice: Splice) {
-        self.undos.push_back(Undo { epoch, splice });
+    pub(crate) fn remember_undo(&mut self, epoch: ConfigEpoch, delta: Delta) {
+        self.undos.push_back(Undo { epoch, delta });
     }
 
     /// Takes an accepted proposal in, and forgets what is beyond the bounds.
-    pub(crate) fn remember(&mut self, epoch: Epoch, proposal: Proposal) {
+    pub(crate) fn remember(&mut self, epoch: ConfigEpoch, proposal: Proposal) {
         if let Some(command) = KeptCommand::of(&proposal.command) {
             let base_revision = base_revision(&proposal.command);
             self.ids.insert(proposal.id.clone(), epoch);
@@ -348,7 +353,7 @@
                 bytes -= self
                     .undos
                     .pop_front()
-                    .map_or(0, |undo| undo.splice.inserted.len());
+                    .map_or(0, |undo| undo.delta.inserted.len());
             }
             if oldest_change == Some(oldest) {
                 bytes -= self
@@ -364,23 +369,23 @@
         let undos: usize = self
             .undos
             .iter()
-            .map(|undo| undo.splice.inserted.len())
+            .map(|undo| undo.delta.inserted.len())
             .sum();
         let changes: usize = self.changes.iter().map(|change| change.bytes.len()).sum();
         undos + changes
     }
 
     /// After it was read: makes the index; `None` if the invariants don't hold.
-    pub(crate) fn indexed(mut self, newest: Epoch) -> Option<History> {
+    pub(crate) fn indexed(mut self, newest: ConfigEpoch) -> Option<History> {
         self.ids = self
             .entries
             .iter()
             .map(|entry| (entry.id.clone(), entry.epoch))
             .collect();
-        let epochs: Vec<Epoch> = self.entries.iter().map(|entry| entry.epoch).collect();
-        let undone: Vec<Epoch> = self.undos.iter().map(|undo| undo.epoch).collect();
-        let sent: Vec<Epoch> = self.changes.iter().map(|change| change.epoch).collect();
-        let is_rising = |epochs: &[Epoch]| {
+        let epochs: Vec<ConfigEpoch> = self.entries.iter().map(|entry| entry.epoch).collect();
+        let undone: Vec<ConfigEpoch> = self.undos.iter().map(|undo| undo.epoch).collect();
+        let sent: Vec<ConfigEpoch> = self.changes.iter().map(|change| change.epoch).collect();
+        let is_rising = |epochs: &[ConfigEpoch]| {
             epochs.is_sorted_by(|one, next| one < next)
                 && epochs.last().is_none_or(|last| *last <= newest)
         };
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,10 +3,10 @@
 
 mod dialect;
 mod history;
-mod ledger;
 mod plan;
 mod routing;
 mod settings;
+mod state_machine;
 mod tenants;
 
 pub use dialect::{OwnPlans, PlanDialect};
@@ -14,13 +14,13 @@
     AsSent, Entry, Fate, Forgotten, History, KeptCommand, NotKept, REMEMBERED_BYTES,
     REMEMBERED_CHANGES, SentChange, Undo,
 };
-pub use ledger::{Command, CommandOutcome, Ledger, Proposal, Revisions};
 pub use plan::{
     BoundsPlan, BtbPlan, Fault, Plan, RouteKind, RoutePlan, ServiceKind, ServicePlan, SharePlan,
     merge_change, parse_plan,
 };
 pub use routing::RouteTable;
 pub use settings::{
-    SettingsFault, a_name, addresses, an_address, parse_addresses, read_settings, within,
+    SettingsError, a_name, addresses, an_address, parse_addresses, read_settings, within,
 };
+pub use state_machine::{Command, CommandOutcome, ConfigStateMachine, Proposal, Revisions};
 pub use tenants::{KeyDigest, KeyHasher, QuotaUnit, TenantPlan, TenantTable};
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -4,7 +4,7 @@
 use schematic::{Config, ConfigEnum, ConfigError, ConfigLoader, ValidateError, ValidateResult};
 use serde::Serialize;
 use std::collections::BTreeMap;
-use types::{Epoch, Span, ZoneName};
+use types::{ConfigEpoch, Milliseconds, ZoneName};
 
 /// A fault in a plan or in settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -392,7 +392,7 @@
         zones
     }
     /// What it says for placement, under this epoch and with these zones withdrawn.
-    pub fn rules(&self, epoch: Epoch, withdrawn: Vec<ZoneName>) -> Rules {
+    pub fn rules(&self, epoch: ConfigEpoch, withdrawn: Vec<ZoneName>) -> Rules {
         let of_service = |plan: &ServicePlan| ServiceRules {
             pool: plan.pool.clone(),
             zones: plan.zones.iter().map(|name| name.as_str().into()).collect(),
@@ -401,18 +401,18 @@
                 .iter()
                 .map(|name| name.as_str().into())
                 .collect(),
-            first_token: Span(plan.first_token_ms),
+            first_token: Milliseconds(plan.first_token_ms),
             slots: plan.slots as u32,
             btb: BtbRules {
                 is_on: plan.btb.on,
                 blocks: plan.btb.y as u32,
                 arrivals: plan.btb.x as u32,
-                window: Span(plan.btb.z_ms),
+                window: Milliseconds(plan.btb.z_ms),
                 copies: plan.btb.m as u32,
                 most_copies: plan.btb.m_most as u32,
             },
             cold_per_second: plan.cold_per_s as u32,
-            cold_span: Span(plan.cold_ms),
+            cold_span: Milliseconds(plan.cold_ms),
             memory_tokens: plan.memory_tokens,
         };
         let services = self
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -6,27 +6,27 @@
 /// Why settings can't be used: each fault with its field.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", .0.iter().map(|fault| format!("settings: {}: {}", fault.path, fault.why)).collect::<Vec<_>>().join("\n"))]
-pub struct SettingsFault(pub Vec<Fault>);
+pub struct SettingsError(pub Vec<Fault>);
 
 /// Reads a daemon's settings file (TOML), unknown fields being faults.
-pub fn read_settings<T: Config>(file: Option<&Path>) -> Result<T, SettingsFault> {
+pub fn read_settings<T: Config>(file: Option<&Path>) -> Result<T, SettingsError> {
     let mut loader = ConfigLoader::<T>::new();
     if let Some(file) = file {
         let text = std::fs::read_to_string(file).map_err(|fault| {
             let path = file.display().to_string();
-            SettingsFault(vec![Fault {
+            SettingsError(vec![Fault {
                 path,
                 why: format!("can't be read: {fault}"),
             }])
         })?;
         loader
             .code(text, "settings.toml")
-            .map_err(|fault| SettingsFault(faults_of(&fault)))?;
+            .map_err(|fault| SettingsError(faults_of(&fault)))?;
     }
     loader
         .load()
         .map(|loaded| loaded.config)
-        .map_err(|fault| SettingsFault(faults_of(&fault)))
+        .map_err(|fault| SettingsError(faults_of(&fault)))
 }
 
 /// A setting that is an IP number with a port.
@@ -44,7 +44,7 @@
 
 /// A setting that is a plain name.
 pub fn a_name<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
-    if ZoneName::from(text).is_sound() {
+    if ZoneName::from(text).is_healthy() {
         Ok(())
     } else {
         Err(ValidateError::new(format!(
--- a/crates/config/src/ledger.rs
+++ b/crates/config/src/state_machine.rs
@@ -3,7 +3,7 @@
 use crate::plan::{Fault, Plan};
 use replication::{Membership, Preview, StateMachine};
 use std::collections::BTreeMap;
-use types::{Address, Epoch, ResultCode, Splice, TokenKey, ZoneName, messages};
+use types::{Address, ConfigEpoch, Delta, ResultCode, TokenKey, ZoneName, messages};
 
 messages! {
     /// A plan's number where operators count by their own, and the number of the plan that it builds on;
@@ -33,9 +33,9 @@
             /// As sent.
             bytes: Vec<u8>,
             /// The epoch of the plan that it was merged into.
-            base: Epoch,
+            base: ConfigEpoch,
             /// What makes of that plan the one that came of it.
-            splice: Splice,
+            delta: Delta,
             /// The zones that this names.
             zones: Vec<ZoneName>,
             /// By the operators' own count.
@@ -71,7 +71,7 @@
         /// operator's command.
         Settle {
             /// When the membership became what it is.
-            since: Epoch,
+            since: ConfigEpoch,
         },
         /// What tokens are checked with. Not an operator's command; the first one stays.
         Key {
@@ -86,10 +86,10 @@
         /// Chosen by the proposer; a repeat has the same one.
         pub id: String,
         /// The epoch that the proposer looked at. Plans and changes without a revision must name it.
-        pub builds_on: Option<Epoch>,
+        pub builds_on: Option<ConfigEpoch>,
         /// The newest accepted epoch when the request came in, as the tail told it then. An evacuation that
         /// was overtaken since is not applied. 0: nothing was read.
-        pub seen: Epoch,
+        pub seen: ConfigEpoch,
         /// What.
         pub command: Command,
     }
@@ -103,11 +103,11 @@
     /// of it, whole. What was accepted before is in `history` for a bounded span; what is forgotten there
     /// is never applied again ([`History`]).
     #[derive(Default)]
-    pub struct Ledger {
+    pub struct ConfigStateMachine {
         /// The newest epoch.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// The epoch of the last plan or change.
-        pub plan_epoch: Epoch,
+        pub plan_epoch: ConfigEpoch,
         /// The plan in force; empty before the first.
         pub plan: Vec<u8>,
         /// The newest number of the operators' own; 0 before the first.
@@ -118,7 +118,7 @@
         pub withdrawn: Vec<ZoneName>,
         /// The epoch of each zone's newest withdrawal or restoring, whether or not it changed anything: what
         /// an older request that comes late is judged against (docs/control-safety.md).
-        pub zone_changes: Vec<(ZoneName, Epoch)>,
+        pub zone_changes: Vec<(ZoneName, ConfigEpoch)>,
         /// The members.
         pub membership: Membership,
         /// The zones of the members.
@@ -128,7 +128,7 @@
         /// What operators had accepted lately.
         pub history: History,
         /// What made the plan in force of the one before, and that one's epoch.
-        pub newest: Option<(Epoch, Splice)>,
+        pub newest: Option<(ConfigEpoch, Delta)>,
     }
 }
 
@@ -140,9 +140,9 @@
     /// Its word.
     pub result: &'static str,
     /// The epoch that the command became, if accepted; else the newest.
-    pub epoch: Epoch,
+    pub epoch: ConfigEpoch,
     /// The epoch of the plan in force, which a plan must build on.
-    pub plan_epoch: Epoch,
+    pub plan_epoch: ConfigEpoch,
     /// More about it.
     pub why: String,
     /// Faults by path.
@@ -161,28 +161,22 @@
     }
 }
 
-impl Ledger {
+impl ConfigStateMachine {
     /// The accepted command of an operator with this id, if it's remembered.
     pub fn entry_by_id(&self, id: &str) -> Option<&Entry> {
         self.history.entry_by_id(id)
     }
     /// What was accepted as this epoch, as it was sent.
-    pub fn as_sent(&self, epoch: Epoch) -> Result<AsSent, NotKept> {
+    pub fn as_sent(&self, epoch: ConfigEpoch) -> Result<AsSent, NotKept> {
         self.history.as_sent(epoch, &self.plan)
     }
     /// Takes a new plan up and keeps what leads back.
-    fn set_plan(
-        &mut self,
-        plan: Vec<u8>,
-        splice: Splice,
-        zones: &[ZoneName],
-        revisions: Revisions,
-    ) {
-        let undo = splice
+    fn set_plan(&mut self, plan: Vec<u8>, delta: Delta, zones: &[ZoneName], revisions: Revisions) {
+        let undo = delta
             .reverse(&self.plan)
             .expect("it was made for the plan in force");
         self.history.remember_undo(self.epoch, undo);
-        self.newest = Some((self.plan_epoch, splice));
+        self.newest = Some((self.plan_epoch, delta));
         self.plan = plan;
         self.plan_zones = zones.to_vec();
         self.plan_epoch = self.epoch;
@@ -203,7 +197,7 @@
     fn outcome(
         &self,
         code: ResultCode,
-        epoch: Epoch,
+        epoch: ConfigEpoch,
         why: impl Into<String>,
         faults: Vec<Fault>,
     ) -> CommandOutcome {
@@ -295,7 +289,7 @@
             Command::Plan { revisions, .. } => follows(revisions),
             Command::Change {
                 base,
-                splice,
+                delta,
                 revisions,
                 ..
             } => {
@@ -308,9 +302,9 @@
                     );
                     return Err(self.outcome(ResultCode::CoreNotReady, self.epoch, why, vec![]));
                 }
-                if !splice.fits(&self.plan) {
+                if !delta.fits(&self.plan) {
                     let why = "the change is not one of the plan in force";
-                    return Err(self.outcome(ResultCode::BadLetter, self.epoch, why, vec![]));
+                    return Err(self.outcome(ResultCode::BadMessage, self.epoch, why, vec![]));
                 }
                 Ok(())
             }
@@ -402,7 +396,7 @@
     }
 }
 
-impl StateMachine for Ledger {
+impl StateMachine for ConfigStateMachine {
     fn needs_members(&self, body: &[u8]) -> bool {
         // Those that join could never do so if it took members to let them in, nor act without a key; and
         // those that are lost are forgotten just because too many are.
@@ -417,7 +411,8 @@
 
     fn preview(&self, body: &[u8]) -> Preview {
         let Some(proposal) = read(body) else {
-            let outcome = self.outcome(ResultCode::BadLetter, self.epoch, "not a proposal", vec![]);
+            let outcome =
+                self.outcome(ResultCode::BadMessage, self.epoch, "not a proposal", vec![]);
             return Preview::TurnAway(outcome.to_bytes());
         };
         match self.judge(&proposal) {
@@ -441,17 +436,17 @@
                 zones,
                 revisions,
             } => {
-                let splice = Splice::between(&self.plan, bytes);
-                self.set_plan(bytes.clone(), splice, zones, *revisions);
+                let delta = Delta::between(&self.plan, bytes);
+                self.set_plan(bytes.clone(), delta, zones, *revisions);
             }
             Command::Change {
-                splice,
+                delta,
                 zones,
                 revisions,
                 ..
             } => {
-                let plan = splice.apply(&self.plan).expect("it was judged to fit");
-                self.set_plan(plan, splice.clone(), zones, *revisions);
+                let plan = delta.apply(&self.plan).expect("it was judged to fit");
+                self.set_plan(plan, delta.clone(), zones, *revisions);
             }
             Command::Withdraw { zone } => {
                 self.note_zone_change(zone);
@@ -505,9 +500,10 @@
     fn restore(snapshot: &[u8]) -> Option<Self> {
         let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(snapshot.len());
         aligned.extend_from_slice(snapshot);
-        let mut ledger = rkyv::from_bytes::<Ledger, rkyv::rancor::Error>(&aligned).ok()?;
-        ledger.history = ledger.history.indexed(ledger.epoch)?;
-        Some(ledger)
+        let mut config_state =
+            rkyv::from_bytes::<ConfigStateMachine, rkyv::rancor::Error>(&aligned).ok()?;
+        config_state.history = config_state.history.indexed(config_state.epoch)?;
+        Some(config_state)
     }
 }
 
@@ -542,7 +538,7 @@
     }
     /// A change in the product's own words, to the plan that was accepted as `base`, if what comes of it
     /// has no faults.
-    pub fn change(bytes: Vec<u8>, base: Epoch, plan: &[u8]) -> Result<Command, Vec<Fault>> {
+    pub fn change(bytes: Vec<u8>, base: ConfigEpoch, plan: &[u8]) -> Result<Command, Vec<Fault>> {
         Self::change_in(&OwnPlans, bytes, base, plan, None)
     }
     /// A whole plan in this dialect, if it has no faults. Where operators count by their own revisions,
@@ -564,18 +560,18 @@
     pub fn change_in(
         dialect: &dyn PlanDialect,
         bytes: Vec<u8>,
-        base: Epoch,
+        base: ConfigEpoch,
         plan: &[u8],
         base_revision: Option<u64>,
     ) -> Result<Command, Vec<Fault>> {
         let whole = dialect.merge(plan, &bytes)?;
         let merged = dialect.parse(&whole)?;
         let revisions = Revisions::of(&merged, base_revision)?;
-        let splice = Splice::between(plan, &whole);
+        let delta = Delta::between(plan, &whole);
         Ok(Command::Change {
             bytes,
             base,
-            splice,
+            delta,
             zones: merged.zones(),
             revisions,
         })
--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -1,10 +1,10 @@
 //! Snapshots and proposals that were bent at random, by a fixed seed: none makes the ledger panic.
 
-use config::{Command, History, Ledger, OwnPlans, Proposal};
+use config::{Command, ConfigStateMachine, History, OwnPlans, Proposal};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use replication::StateMachine;
-use types::{Address, Epoch, ZoneName};
+use types::{Address, ConfigEpoch, ZoneName};
 
 fn runner() -> TestRunner {
     let config = Config {
@@ -26,33 +26,33 @@
     Proposal {
         id: format!("plan-{n}"),
         builds_on: None,
-        seen: Epoch(0),
+        seen: ConfigEpoch(0),
         command,
     }
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger {
+fn config_state() -> ConfigStateMachine {
+    let mut config_state = ConfigStateMachine {
         history: History::of_span(6),
-        ..Ledger::default()
+        ..ConfigStateMachine::default()
     };
-    (0..10).for_each(|n| drop(ledger.apply(&plan(n).to_bytes())));
+    (0..10).for_each(|n| drop(config_state.apply(&plan(n).to_bytes())));
     let withdraw = Command::Withdraw {
         zone: "north".into(),
     };
     let members = vec![(Address::loopback(3), ZoneName::from("north"))];
     for (id, command) in [("", Command::Join { members }), ("w", withdraw)] {
-        ledger.apply(
+        config_state.apply(
             &Proposal {
                 id: id.into(),
                 builds_on: None,
-                seen: Epoch(0),
+                seen: ConfigEpoch(0),
                 command,
             }
             .to_bytes(),
         );
     }
-    ledger
+    config_state
 }
 
 /// Bytes with some put in place of others.
@@ -72,33 +72,37 @@
 
 #[test]
 fn a_bent_snapshot_is_refused_or_a_ledger_that_keeps_its_invariants() {
-    let whole = ledger().snapshot();
+    let whole = config_state().snapshot();
     let bends = proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6);
     let length = prop_oneof![3 => Just(usize::MAX), 1 => 0..whole.len()];
     let outcome = runner().run(&(bends, length), |(bends, length)| {
-        let Some(mut ledger) = Ledger::restore(&bent(&whole, &bends, length)) else {
+        let Some(mut config_state) = ConfigStateMachine::restore(&bent(&whole, &bends, length))
+        else {
             return Ok(());
         };
         prop_assert!(
-            ledger
+            config_state
                 .history
                 .entries
                 .iter()
-                .all(|entry| entry.epoch <= ledger.epoch)
+                .all(|entry| entry.epoch <= config_state.epoch)
         );
         prop_assert!(
-            ledger
+            config_state
                 .history
                 .entries
                 .iter()
-                .all(|entry| entry.epoch > ledger.history.forgotten.epoch)
+                .all(|entry| entry.epoch > config_state.history.forgotten.epoch)
         );
         for epoch in 0..14 {
-            let _ = ledger.as_sent(Epoch(epoch));
+            let _ = config_state.as_sent(ConfigEpoch(epoch));
         }
-        ledger.apply(&plan(9).to_bytes());
-        ledger.apply(&plan(10).to_bytes());
-        prop_assert_eq!(Ledger::restore(&ledger.snapshot()), Some(ledger));
+        config_state.apply(&plan(9).to_bytes());
+        config_state.apply(&plan(10).to_bytes());
+        prop_assert_eq!(
+            ConfigStateMachine::restore(&config_state.snapshot()),
+            Some(config_state)
+        );
         Ok(())
     });
     outcome.unwrap_or_else(|fault| panic!("{fault}"));
@@ -106,14 +110,14 @@
 
 #[test]
 fn a_bent_proposal_is_judged_without_a_panic_and_alike_by_all() {
-    let base = ledger();
+    let base = config_state();
     let whole = plan(10).to_bytes();
     let bends = proptest::collection::vec((any::<usize>(), any::<u8>()), 1..6);
     let outcome = runner().run(&bends, |bends| {
         let body = bent(&whole, &bends, usize::MAX);
         let (mut one, mut other) = (
             base.clone(),
-            Ledger::restore(&base.snapshot()).expect("a ledger"),
+            ConfigStateMachine::restore(&base.snapshot()).expect("a ledger"),
         );
         let _ = one.preview(&body);
         prop_assert_eq!(one.apply(&body), other.apply(&body));
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -6,11 +6,11 @@
 mod golden_file;
 
 use config::{
-    AsSent, Command, CommandOutcome, Fault, Forgotten, History, KeptCommand, Ledger, NotKept,
-    Proposal, Revisions, parse_plan,
+    AsSent, Command, CommandOutcome, ConfigStateMachine, Fault, Forgotten, History, KeptCommand,
+    NotKept, Proposal, Revisions, parse_plan,
 };
 use replication::StateMachine;
-use types::{Address, Epoch, Splice, TokenKey, ZoneName};
+use types::{Address, ConfigEpoch, Delta, TokenKey, ZoneName};
 
 variant_names!(ALL_COMMANDS, command_name(Command) {
     Command::Plan { .. } => "Plan",
@@ -42,18 +42,18 @@
 fn proposal(id: &str, builds_on: Option<u64>, seen: u64, command: Command) -> Proposal {
     Proposal {
         id: id.into(),
-        builds_on: builds_on.map(Epoch),
-        seen: Epoch(seen),
+        builds_on: builds_on.map(ConfigEpoch),
+        seen: ConfigEpoch(seen),
         command,
     }
 }
 
 fn change_of_slots() -> Command {
-    let next = Splice::between(PLAN, NEXT_PLAN);
+    let next = Delta::between(PLAN, NEXT_PLAN);
     Command::Change {
         bytes: br#"{"services":{"drafts":{"slots":5}}}"#.to_vec(),
-        base: Epoch(3),
-        splice: next,
+        base: ConfigEpoch(3),
+        delta: next,
         zones: zones(),
         revisions: Revisions { own: 2, base: 1 },
     }
@@ -90,7 +90,14 @@
                 zone: "north".into(),
             },
         ),
-        proposal("", None, 0, Command::Settle { since: Epoch(2) }),
+        proposal(
+            "",
+            None,
+            0,
+            Command::Settle {
+                since: ConfigEpoch(2),
+            },
+        ),
         proposal(
             "",
             None,
@@ -119,23 +126,23 @@
 }
 
 /// A ledger that remembers so many changes and has taken all of them.
-fn ledger(span: usize) -> Ledger {
+fn config_state(span: usize) -> ConfigStateMachine {
     ledger_of(span, &proposals())
 }
 
-fn ledger_of(span: usize, proposals: &[Proposal]) -> Ledger {
-    let mut ledger = Ledger {
+fn ledger_of(span: usize, proposals: &[Proposal]) -> ConfigStateMachine {
+    let mut config_state = ConfigStateMachine {
         history: History::of_span(span),
-        ..Ledger::default()
+        ..ConfigStateMachine::default()
     };
     for (place, proposal) in proposals.iter().enumerate() {
-        let outcome = ledger.apply(&proposal.to_bytes());
+        let outcome = config_state.apply(&proposal.to_bytes());
         let outcome: serde_json::Value = serde_json::from_slice(&outcome).expect("JSON");
         let expected = (300, place as u64 + 1);
         let found = (&outcome["code"], &outcome["epoch"]);
         assert_eq!(found, (&expected.0.into(), &expected.1.into()), "{outcome}");
     }
-    ledger
+    config_state
 }
 
 const WHOLE_SPAN: usize = 100;
@@ -165,22 +172,25 @@
 
 #[test]
 fn a_ledgers_golden_snapshot_is_written_and_read_as_ever() {
-    let (whole, short) = (ledger(WHOLE_SPAN), ledger(SHORT_SPAN));
+    let (whole, short) = (config_state(WHOLE_SPAN), config_state(SHORT_SPAN));
     // Here the members differ from those before.
     let joined = ledger_of(WHOLE_SPAN, &proposals()[..2]);
     let snapshots = [
-        ("empty", Ledger::default().snapshot()),
+        ("empty", ConfigStateMachine::default().snapshot()),
         ("whole", whole.snapshot()),
         ("short", short.snapshot()),
         ("joined", joined.snapshot()),
     ];
     golden_file::compare_entries("ledgers.txt", &snapshots);
     let golden = golden_file::read_entries("ledgers.txt");
-    let restored: Vec<Ledger> = golden
+    let restored: Vec<ConfigStateMachine> = golden
         .iter()
-        .map(|(name, bytes)| Ledger::restore(bytes).unwrap_or_else(|| panic!("{name}")))
+        .map(|(name, bytes)| ConfigStateMachine::restore(bytes).unwrap_or_else(|| panic!("{name}")))
         .collect();
-    assert_eq!(restored, vec![Ledger::default(), whole, short, joined]);
+    assert_eq!(
+        restored,
+        vec![ConfigStateMachine::default(), whole, short, joined]
+    );
     let kept = restored[1].history.entries.iter();
     let names = kept.map(|entry| kept_command_name(&entry.command));
     golden_file::check_all_named(ALL_KEPT_COMMANDS, names);
@@ -189,29 +199,37 @@
 #[test]
 fn a_restored_golden_ledger_holds_what_was_accepted() {
     let golden = golden_file::read_entries("ledgers.txt");
-    let restore = |place: usize| Ledger::restore(&golden[place].1).expect("a ledger");
+    let restore = |place: usize| ConfigStateMachine::restore(&golden[place].1).expect("a ledger");
     let (whole, short) = (restore(1), restore(2));
-    assert_eq!((whole.epoch, whole.plan_epoch), (Epoch(11), Epoch(4)));
+    assert_eq!(
+        (whole.epoch, whole.plan_epoch),
+        (ConfigEpoch(11), ConfigEpoch(4))
+    );
     assert_eq!((whole.plan.as_slice(), whole.revision), (NEXT_PLAN, 2));
     assert_eq!(whole.plan_zones, zones());
     assert_eq!(whole.withdrawn, vec!["north".into(), "south".into()]);
-    let changed: Vec<(ZoneName, Epoch)> =
-        vec![("south".into(), Epoch(6)), ("north".into(), Epoch(11))];
+    let changed: Vec<(ZoneName, ConfigEpoch)> = vec![
+        ("south".into(), ConfigEpoch(6)),
+        ("north".into(), ConfigEpoch(11)),
+    ];
     assert_eq!(whole.zone_changes, changed);
     let members = vec![Address::loopback(7201), Address::loopback(7202)];
     assert_eq!(whole.membership.members, members);
     assert_eq!(whole.membership.previous, members);
-    assert_eq!(whole.membership.since, Epoch(10));
+    assert_eq!(whole.membership.since, ConfigEpoch(10));
     assert_eq!(whole.key, Some(TokenKey([0x5a; 32])));
-    let newest = Splice::between(PLAN, NEXT_PLAN);
-    assert_eq!(whole.newest, Some((Epoch(3), newest)));
-    assert_eq!(whole.as_sent(Epoch(3)), Ok(AsSent::Body(PLAN.to_vec())));
+    let newest = Delta::between(PLAN, NEXT_PLAN);
+    assert_eq!(whole.newest, Some((ConfigEpoch(3), newest)));
+    assert_eq!(
+        whole.as_sent(ConfigEpoch(3)),
+        Ok(AsSent::Body(PLAN.to_vec()))
+    );
     let change = br#"{"services":{"drafts":{"slots":5}}}"#.to_vec();
-    assert_eq!(whole.as_sent(Epoch(4)), Ok(AsSent::Body(change)));
-    assert_eq!(whole.as_sent(Epoch(2)), Err(NotKept::Never));
-    assert_eq!(short.as_sent(Epoch(4)), Err(NotKept::NoLonger));
+    assert_eq!(whole.as_sent(ConfigEpoch(4)), Ok(AsSent::Body(change)));
+    assert_eq!(whole.as_sent(ConfigEpoch(2)), Err(NotKept::Never));
+    assert_eq!(short.as_sent(ConfigEpoch(4)), Err(NotKept::NoLonger));
     let forgotten = Forgotten {
-        epoch: Epoch(6),
+        epoch: ConfigEpoch(6),
         base_revision: Some(1),
     };
     assert_eq!(short.history.forgotten, forgotten);
@@ -227,13 +245,13 @@
     let outcome = CommandOutcome {
         code: 301,
         result: "bad-plan",
-        epoch: Epoch(11),
-        plan_epoch: Epoch(4),
+        epoch: ConfigEpoch(11),
+        plan_epoch: ConfigEpoch(4),
         why: "nothing changed".into(),
         faults: vec![fault],
     };
     let mut lines = vec![outcome.to_bytes()];
-    let mut ledger = ledger(SHORT_SPAN);
+    let mut config_state = config_state(SHORT_SPAN);
     let refused = [
         proposal(
             "w-3",
@@ -291,7 +309,14 @@
                 members: vec![Address::loopback(7299)],
             },
         ),
-        proposal("", None, 0, Command::Settle { since: Epoch(2) }),
+        proposal(
+            "",
+            None,
+            0,
+            Command::Settle {
+                since: ConfigEpoch(2),
+            },
+        ),
         proposal(
             "",
             None,
@@ -305,9 +330,9 @@
     lines.extend(
         refused
             .iter()
-            .map(|proposal| ledger.apply(&proposal.to_bytes())),
+            .map(|proposal| config_state.apply(&proposal.to_bytes())),
     );
-    lines.push(ledger.apply(b"not a proposal"));
+    lines.push(config_state.apply(b"not a proposal"));
     let text: String = lines
         .iter()
         .map(|line| format!("{}\n", String::from_utf8_lossy(line)))
--- a/crates/config/tests/hundreds.rs
+++ b/crates/config/tests/hundreds.rs
@@ -1,10 +1,12 @@
 //! Hundreds of changes: a member of the core is away, comes back and is level again, on virtual time, with
 //! lines and disks of real sizes and the real state machines.
 
-use config::{Command, Ledger, Proposal, Revisions};
-use replication::{Input, Kept, Note, Output, Record, Replica, StateMachine, Timing, Voter};
+use config::{Command, ConfigStateMachine, Proposal, Revisions};
+use replication::{
+    Input, Note, Output, Record, RecoveredRecords, Replica, StateMachine, Timing, Voter,
+};
 use std::collections::VecDeque;
-use types::{Address, DiskId, Epoch, Moment, Seq, Splice, ViewEpoch};
+use types::{Address, ConfigEpoch, Delta, DiskId, MonotonicInstant, SequenceNumber, ViewNumber};
 use yare::parameterized;
 
 /// Between steps of the virtual time.
@@ -40,16 +42,16 @@
     at: u64,
     timing: Timing,
     bulk: u64,
-    replicas: Vec<Option<Replica<Ledger>>>,
+    replicas: Vec<Option<Replica<ConfigStateMachine>>>,
     disks: Vec<Disk>,
     lines: Vec<Line>,
     next_change: u64,
     accepted: u64,
     /// The newest epoch that was told as accepted.
-    told: Epoch,
+    told: ConfigEpoch,
     plan: Box<dyn Fn(u64) -> Vec<u8>>,
     is_whole: bool,
-    offers: Vec<Seq>,
+    offers: Vec<SequenceNumber>,
     /// The mutant `lead-before-level`: one that is behind says that it has all, and
     /// takes all seats for level.
     leads_early: bool,
@@ -123,7 +125,7 @@
             lines: (0..18).map(|_| Line::default()).collect(),
             next_change: 0,
             accepted: 0,
-            told: Epoch(0),
+            told: ConfigEpoch(0),
             plan: Box::new(plan),
             is_whole,
             offers: vec![],
@@ -135,7 +137,7 @@
         core
     }
     fn start(&mut self, n: usize) {
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: self.disks[n].records.clone(),
         };
         let founders = (0..3).map(|n| voter(n).address).collect();
@@ -144,8 +146,8 @@
             founders,
             self.timing,
             kept,
-            Ledger::default(),
-            Moment(self.at),
+            ConfigStateMachine::default(),
+            MonotonicInstant(self.at),
         );
         self.replicas[n] = Some(made.expect("its disk is good"));
     }
@@ -160,24 +162,24 @@
             .take(6)
             .for_each(|line| line.notes.clear());
     }
-    fn tail(&self) -> Option<&Replica<Ledger>> {
+    fn tail(&self) -> Option<&Replica<ConfigStateMachine>> {
         self.replicas
             .iter()
             .flatten()
-            .find(|replica| replica.may_respond(Moment(self.at)))
+            .find(|replica| replica.may_respond(MonotonicInstant(self.at)))
     }
-    fn epoch(&self, n: usize) -> Epoch {
+    fn epoch(&self, n: usize) -> ConfigEpoch {
         self.replicas[n]
             .as_ref()
-            .map_or(Epoch(0), |replica| replica.state_machine().epoch)
+            .map_or(ConfigEpoch(0), |replica| replica.state_machine().epoch)
     }
     /// Whether it has a seat, by its own word and by that of the tail, and all that was told as accepted.
-    fn is_level(&self, n: usize) -> bool {
-        let seat_of = |replica: &Replica<Ledger>| {
+    fn is_caught_up(&self, n: usize) -> bool {
+        let seat_of = |replica: &Replica<ConfigStateMachine>| {
             replica
                 .view()
-                .seat(&voter(n))
-                .is_some_and(|seat| seat.is_level)
+                .position(&voter(n))
+                .is_some_and(|position| position.is_caught_up)
         };
         let says_so = self.replicas[n].as_ref().is_some_and(seat_of);
         says_so && self.tail().is_some_and(seat_of) && self.epoch(n) >= self.told
@@ -197,8 +199,8 @@
             }
         } else {
             // As the front of a controller makes it, which has the plan before.
-            let splice = Splice::between(&(self.plan)(n - 1), &plan);
-            let base = Epoch(n);
+            let delta = Delta::between(&(self.plan)(n - 1), &plan);
+            let base = ConfigEpoch(n);
             let bytes = format!(
                 r#"{{"revision":{},"services":{{"a":{{"slots":{}}}}}}}"#,
                 n + 1,
@@ -208,7 +210,7 @@
             Command::Change {
                 bytes,
                 base,
-                splice,
+                delta,
                 zones: vec![],
                 revisions,
             }
@@ -216,7 +218,7 @@
         Proposal {
             id,
             builds_on: None,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command,
         }
     }
@@ -302,7 +304,7 @@
         }
     }
     fn step(&mut self, n: usize, input: Input) {
-        let now = Moment(self.at);
+        let now = MonotonicInstant(self.at);
         let Some(replica) = &mut self.replicas[n] else {
             return;
         };
@@ -333,7 +335,7 @@
             }
         }
     }
-    fn newest_view(&self) -> Option<ViewEpoch> {
+    fn newest_view(&self) -> Option<ViewNumber> {
         self.replicas
             .iter()
             .flatten()
@@ -345,21 +347,21 @@
     fn assert_newest(&self, n: usize) {
         let may_respond = self.replicas[n]
             .as_ref()
-            .is_some_and(|replica| replica.may_respond(Moment(self.at)));
+            .is_some_and(|replica| replica.may_respond(MonotonicInstant(self.at)));
         assert!(
             !may_respond || self.epoch(n) >= self.told,
             "{n} responses with old state at {}",
             self.at
         );
-        let seat = self.replicas[n]
+        let position = self.replicas[n]
             .as_ref()
-            .and_then(|replica| replica.view().seat(&voter(n)));
+            .and_then(|replica| replica.view().position(&voter(n)));
         let is_behind = self.epoch(n).0 + self.timing.ahead < self.told.0;
         let is_newest_view = self.replicas[n]
             .as_ref()
             .map(|replica| replica.view().epoch)
             == self.newest_view();
-        let claims = seat.is_some_and(|seat| seat.is_level) && is_newest_view;
+        let claims = position.is_some_and(|position| position.is_caught_up) && is_newest_view;
         assert!(
             !claims || !is_behind,
             "{n} claims to be level and lacks changes at {}",
@@ -372,7 +374,7 @@
             self.accepted = self
                 .accepted
                 .max(outcome["epoch"].as_u64().expect("an epoch"));
-            self.told = Epoch(self.accepted);
+            self.told = ConfigEpoch(self.accepted);
         }
     }
     fn claim_all(&self, note: &mut Note) {
@@ -381,9 +383,10 @@
             .map(|tail| (tail.state().last, tail.view().epoch));
         match (note, newest) {
             (Note::Follow { last, stamp, .. }, Some(newest)) => (*last, *stamp) = newest,
-            (Note::Decided { view }, _) => {
-                view.chain.iter_mut().for_each(|seat| seat.is_level = true)
-            }
+            (Note::Decided { view }, _) => view
+                .chain
+                .iter_mut()
+                .for_each(|position| position.is_caught_up = true),
             _ => {}
         }
     }
@@ -436,7 +439,7 @@
                 .sum()
         };
         let (start, before) = (self.at, came(self));
-        while !self.is_level(n) {
+        while !self.is_caught_up(n) {
             assert!(
                 self.at - start < limit,
                 "{n} isn't level after {limit} ms; offers {:?}",
@@ -462,8 +465,8 @@
     let mut core = Core::new(4000, false, 1000);
     core.change(1);
     let seats = core.tail().expect("a tail").view().chain.clone();
-    let seat = [0, seats.len() - 1, 1][place.min(2)];
-    let away = usize::from(seats[seat].voter.address.0.port()) - 1;
+    let position = [0, seats.len() - 1, 1][place.min(2)];
+    let away = usize::from(seats[position].voter.address.0.port()) - 1;
     core.stop(away);
     core.run(3000);
     core.change(count);
--- a/crates/config/tests/revisions.rs
+++ b/crates/config/tests/revisions.rs
@@ -1,6 +1,6 @@
-use config::{AsSent, Command, Ledger, OwnPlans, Proposal};
+use config::{AsSent, Command, ConfigStateMachine, OwnPlans, Proposal};
 use replication::{Preview, StateMachine};
-use types::Epoch;
+use types::ConfigEpoch;
 
 fn plan_bytes(revision: u64, slots: u64) -> Vec<u8> {
     format!(r#"{{ "revision":{revision}, "services":{{"a":{{"slots":{slots}}}}} }}"#).into_bytes()
@@ -11,27 +11,33 @@
     Proposal {
         id: id.into(),
         builds_on: None,
-        seen: Epoch(0),
+        seen: ConfigEpoch(0),
         command,
     }
 }
-fn change(ledger: &Ledger, id: &str, base: u64, revision: u64, slots: u64) -> Proposal {
+fn change(
+    config_state: &ConfigStateMachine,
+    id: &str,
+    base: u64,
+    revision: u64,
+    slots: u64,
+) -> Proposal {
     let command = Command::change_in(
         &OwnPlans,
         plan_bytes(revision, slots),
-        ledger.plan_epoch,
-        &ledger.plan,
+        config_state.plan_epoch,
+        &config_state.plan,
         Some(base),
     );
     Proposal {
         id: id.into(),
         builds_on: None,
-        seen: Epoch(0),
+        seen: ConfigEpoch(0),
         command: command.expect("a good change"),
     }
 }
-fn take(ledger: &mut Ledger, proposal: &Proposal) -> u64 {
-    let outcome = ledger.apply(&proposal.to_bytes());
+fn take(config_state: &mut ConfigStateMachine, proposal: &Proposal) -> u64 {
+    let outcome = config_state.apply(&proposal.to_bytes());
     serde_json::from_slice::<serde_json::Value>(&outcome).expect("an outcome")["code"]
         .as_u64()
         .expect("a code")
@@ -43,48 +49,57 @@
 
 #[test]
 fn of_two_on_one_revision_one_is_taken_and_its_repeat_is_told_so_ever_after() {
-    let mut ledger = Ledger::default();
+    let mut config_state = ConfigStateMachine::default();
     let (first, second) = (plan("a", 0, 5, 4), plan("b", 0, 7, 6));
-    assert_eq!(take(&mut ledger, &first), ACCEPTED);
-    assert_eq!(take(&mut ledger, &second), CONFLICT);
-    assert_eq!(take(&mut ledger, &first), ACCEPTED);
-    assert_eq!((ledger.revision, ledger.history.entries.len()), (5, 1));
-    let third = change(&ledger, "c", 5, 9, 8);
-    let fourth = change(&ledger, "d", 5, 11, 9);
-    assert_eq!(take(&mut ledger, &third), ACCEPTED);
-    assert_eq!(take(&mut ledger, &fourth), CONFLICT);
+    assert_eq!(take(&mut config_state, &first), ACCEPTED);
+    assert_eq!(take(&mut config_state, &second), CONFLICT);
+    assert_eq!(take(&mut config_state, &first), ACCEPTED);
     assert_eq!(
-        (take(&mut ledger, &third), take(&mut ledger, &first)),
+        (config_state.revision, config_state.history.entries.len()),
+        (5, 1)
+    );
+    let third = change(&config_state, "c", 5, 9, 8);
+    let fourth = change(&config_state, "d", 5, 11, 9);
+    assert_eq!(take(&mut config_state, &third), ACCEPTED);
+    assert_eq!(take(&mut config_state, &fourth), CONFLICT);
+    assert_eq!(
+        (
+            take(&mut config_state, &third),
+            take(&mut config_state, &first)
+        ),
         (ACCEPTED, ACCEPTED)
     );
-    assert_eq!((ledger.revision, ledger.history.entries.len()), (9, 2));
-    let restored = Ledger::restore(&ledger.snapshot()).expect("a ledger");
-    assert_eq!(restored, ledger);
     assert_eq!(
-        restored.as_sent(Epoch(1)),
+        (config_state.revision, config_state.history.entries.len()),
+        (9, 2)
+    );
+    let restored = ConfigStateMachine::restore(&config_state.snapshot()).expect("a ledger");
+    assert_eq!(restored, config_state);
+    assert_eq!(
+        restored.as_sent(ConfigEpoch(1)),
         Ok(AsSent::Body(plan_bytes(5, 4)))
     );
     assert_eq!(
-        restored.as_sent(Epoch(2)),
+        restored.as_sent(ConfigEpoch(2)),
         Ok(AsSent::Body(plan_bytes(9, 8)))
     );
 }
 
 #[test]
 fn a_revision_that_is_not_above_the_newest_is_a_fault_and_changes_nothing() {
-    let mut ledger = Ledger::default();
-    assert_eq!(take(&mut ledger, &plan("a", 0, 5, 4)), ACCEPTED);
+    let mut config_state = ConfigStateMachine::default();
+    assert_eq!(take(&mut config_state, &plan("a", 0, 5, 4)), ACCEPTED);
     for (id, revision) in [("b", 5), ("c", 4)] {
-        assert_eq!(take(&mut ledger, &plan(id, 5, revision, 6)), BAD_PLAN);
-        let change = change(&ledger, id, 5, revision, 6);
-        assert_eq!(take(&mut ledger, &change), BAD_PLAN);
+        assert_eq!(take(&mut config_state, &plan(id, 5, revision, 6)), BAD_PLAN);
+        let change = change(&config_state, id, 5, revision, 6);
+        assert_eq!(take(&mut config_state, &change), BAD_PLAN);
     }
     assert!(matches!(
-        ledger.preview(&plan("d", 5, 5, 6).to_bytes()),
+        config_state.preview(&plan("d", 5, 5, 6).to_bytes()),
         Preview::TurnAway(_)
     ));
     assert_eq!(
-        (ledger.revision, ledger.plan.clone()),
+        (config_state.revision, config_state.plan.clone()),
         (5, plan_bytes(5, 4))
     );
 }
@@ -98,20 +113,20 @@
 
 #[test]
 fn zones_named_besides_the_plan_s_may_be_withdrawn() {
-    let mut ledger = Ledger::default();
+    let mut config_state = ConfigStateMachine::default();
     let mut first = plan("a", 0, 5, 4);
     first.command = first.command.with_zones(&["north".into()]);
-    take(&mut ledger, &first);
+    take(&mut config_state, &first);
     let withdraw = |zone: &str| Proposal {
         id: format!("w-{zone}"),
         builds_on: None,
-        seen: Epoch(0),
+        seen: ConfigEpoch(0),
         command: Command::Withdraw { zone: zone.into() },
     };
     assert_eq!(
         (
-            take(&mut ledger, &withdraw("north")),
-            take(&mut ledger, &withdraw("south"))
+            take(&mut config_state, &withdraw("north")),
+            take(&mut config_state, &withdraw("south"))
         ),
         (ACCEPTED, 306)
     );
--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -1,10 +1,10 @@
-use crate::controller::OperatorAsk;
+use crate::controller::OperatorRequest;
 use crate::core_line::OPERATOR_PATIENCE;
-use crate::core_line::{Attempt, CoreLine, Told};
+use crate::core_line::{Attempt, ReplicationTransport, Told};
 use config::{Command, Fault, PlanDialect, Proposal};
 use transport::{Request, Response};
-use types::{Epoch, ResultCode, Span, ZoneName, random_bytes};
-use wire::Reading;
+use types::{ConfigEpoch, Milliseconds, ResultCode, ZoneName, random_bytes};
+use wire::Query;
 
 /// What an operator's call asks for, in whatever dialect.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     /// Writes its answer.
     fn write(&self, answer: AdminAnswer) -> Response;
     /// How long whoever sent a call of so many bytes waits for its answer. Nothing is begun for it after that.
-    fn patience(&self, _body_bytes: usize) -> Span {
+    fn patience(&self, _body_bytes: usize) -> Milliseconds {
         OPERATOR_PATIENCE
     }
 }
@@ -106,7 +106,7 @@
 #[derive(Debug, Clone)]
 pub enum SchedulerStep {
     /// Ask the core; its answer goes to [`AdminTask::on_told`].
-    Ask(OperatorAsk),
+    Ask(OperatorRequest),
     /// It is over.
     Answer(AdminAnswer),
 }
@@ -125,7 +125,7 @@
     /// What became of a proposal.
     Proposed,
     /// The newest plan.
-    Reading,
+    Query,
     /// Nothing; it is over.
     Over,
 }
@@ -166,13 +166,15 @@
                     base,
                 };
                 // Merged into the tail's plan: an older one would be a conflict that isn't one.
-                SchedulerStep::Ask(OperatorAsk::Read(Reading::Base {
-                    at_least: Epoch(u64::MAX),
+                SchedulerStep::Ask(OperatorRequest::Read(Query::Base {
+                    at_least: ConfigEpoch(u64::MAX),
                 }))
             }
             AdminCall::ReadPlan => {
-                task.stage = Stage::Reading;
-                SchedulerStep::Ask(OperatorAsk::Read(Reading::Epoch { epoch: Epoch(0) }))
+                task.stage = Stage::Query;
+                SchedulerStep::Ask(OperatorRequest::Read(Query::ConfigEpoch {
+                    epoch: ConfigEpoch(0),
+                }))
             }
             AdminCall::Withdraw { zone } => task.propose(chance_id(), Command::Withdraw { zone }),
             AdminCall::Restore { zone } => task.propose(chance_id(), Command::Restore { zone }),
@@ -204,11 +206,11 @@
             Stage::Fate { faults } if status == ResultCode::UnknownChange.http_status() => {
                 SchedulerStep::Answer(refused(ResultCode::BadPlan, "nothing changed", faults))
             }
-            Stage::Reading if status == 200 => SchedulerStep::Answer(AdminAnswer::Plan(body)),
+            Stage::Query if status == 200 => SchedulerStep::Answer(AdminAnswer::Plan(body)),
             Stage::Merging { .. }
             | Stage::Fate { .. }
             | Stage::Proposed
-            | Stage::Reading
+            | Stage::Query
             | Stage::Over => SchedulerStep::Answer(answer_of(status, &body)),
         }
     }
@@ -225,7 +227,7 @@
         let command = Command::change_in(
             self.plans,
             bytes,
-            Epoch(u64::from_be_bytes(*epoch)),
+            ConfigEpoch(u64::from_be_bytes(*epoch)),
             plan,
             Some(base),
         );
@@ -240,10 +242,10 @@
 
     fn propose(&mut self, id: String, command: Command) -> SchedulerStep {
         self.stage = Stage::Proposed;
-        SchedulerStep::Ask(OperatorAsk::Propose(Proposal {
+        SchedulerStep::Ask(OperatorRequest::Propose(Proposal {
             id,
             builds_on: None,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command,
         }))
     }
@@ -258,13 +260,13 @@
             Ok(command) => self.propose(id, command.with_zones(self.zones)),
             Err(faults) => {
                 self.stage = Stage::Fate { faults };
-                SchedulerStep::Ask(OperatorAsk::Read(Reading::Fate { id }))
+                SchedulerStep::Ask(OperatorRequest::Read(Query::Fate { id }))
             }
         }
     }
 }
 
-impl CoreLine {
+impl ReplicationTransport {
     /// Carries a call out for as long as its attempt lasts. `zones` may be evacuated besides those that members
     /// and plans name.
     pub fn carry(
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 use crate::admin::{AdminAnswer, AdminCall};
 use crate::controller::ControllerInput;
-use crate::core_line::{Attempt, CoreLine};
+use crate::core_line::{Attempt, ReplicationTransport};
 use config::OwnPlans;
 use std::sync::Arc;
-use types::{ResultCode, Span};
+use types::{Milliseconds, ResultCode};
 
 /// A core that answers each question from the words given, in turn.
-fn core(words: Vec<(u16, Vec<u8>)>) -> CoreLine {
+fn core(words: Vec<(u16, Vec<u8>)>) -> ReplicationTransport {
     let responses = crate::core_line::Responses::default();
     let words = Arc::new(std::sync::Mutex::new(std::collections::VecDeque::from(
         words,
     )));
     let giver = responses.clone();
-    CoreLine::new(responses, move |input| {
+    ReplicationTransport::new(responses, move |input| {
         let ControllerInput::Operator { number, .. } = input else {
             return;
         };
@@ -43,7 +43,7 @@
     }
 }
 
-fn code_of(core: &CoreLine, call: AdminCall) -> ResultCode {
+fn code_of(core: &ReplicationTransport, call: AdminCall) -> ResultCode {
     match core.carry(
         call,
         &OwnPlans,
@@ -96,9 +96,9 @@
 #[test]
 fn what_an_attempt_leaves_unfinished_is_given_up() {
     let heard = Arc::new(std::sync::Mutex::new(vec![]));
-    let hears = heard.clone();
-    let silent = CoreLine::new(crate::core_line::Responses::default(), move |input| {
-        hears.lock().unwrap().push(input)
+    let reachable_peers = heard.clone();
+    let silent = ReplicationTransport::new(crate::core_line::Responses::default(), move |input| {
+        reachable_peers.lock().unwrap().push(input)
     });
     let call = AdminCall::Withdraw {
         zone: "east".into(),
@@ -108,7 +108,7 @@
         &OwnPlans,
         &[],
         true,
-        &Attempt::new(Span(0), None),
+        &Attempt::new(Milliseconds(0), None),
     );
     assert!(
         matches!(
@@ -124,7 +124,13 @@
         heard.lock().unwrap().is_empty(),
         "nobody waits for it, so nothing was begun"
     );
-    silent.carry(call, &OwnPlans, &[], true, &Attempt::new(Span(20), None));
+    silent.carry(
+        call,
+        &OwnPlans,
+        &[],
+        true,
+        &Attempt::new(Milliseconds(20), None),
+    );
     let heard = heard.lock().unwrap();
     let [
         ControllerInput::Operator { number, .. },
--- a/crates/controller/src/admin_command.rs
+++ b/crates/controller/src/admin_command.rs
@@ -1,8 +1,8 @@
 use clap::Subcommand;
 use std::io::Write;
 use std::path::PathBuf;
-use transport::{ask_with, read_all};
-use types::{Address, Span};
+use transport::{http_request, read_all};
+use types::{Address, Milliseconds};
 
 /// The operators' command line: each task is one call to a controller's HTTP interface.
 #[derive(Debug, clap::Args)]
@@ -149,12 +149,12 @@
                 return 2;
             }
         };
-        let outcome = ask_with(
+        let outcome = http_request(
             method,
             &format!("{base}{path}"),
             body,
-            Span(1000),
-            Span(15_000),
+            Milliseconds(1000),
+            Milliseconds(15_000),
         );
         let (status, body) = match outcome
             .map_err(|fault| fault.to_string())
--- a/crates/controller/src/contacts.rs
+++ b/crates/controller/src/contacts.rs
@@ -4,32 +4,32 @@
 //! or without, exchanges with its seeds where the core is: those of the core tell the seeds, all others are told.
 
 use std::collections::BTreeMap;
-use types::{Address, Moment, Span, ViewEpoch};
-use wire::{ControllerContact, CoreLocation, Letter, PollResponse};
+use types::{Address, Milliseconds, MonotonicInstant, ViewNumber};
+use wire::{ControllerContact, CoreLocation, LeaseResponse, Message};
 
 /// The spans and bounds that the exchange goes by.
 #[derive(Debug, Clone, Copy)]
 pub struct ContactTiming {
     /// Between exchanges of a controller with a disk with the seeds.
-    pub exchange: Span,
+    pub exchange: Milliseconds,
     /// The same of one without, which has nothing of its own to tell.
-    pub relay_exchange: Span,
+    pub relay_exchange: Milliseconds,
     /// The same until a seed has answered since the start or since the seeds changed.
-    pub first_exchange: Span,
+    pub first_exchange: Milliseconds,
     /// Operators are sent to controllers that were heard within this time, where there are any.
-    pub recent: Span,
+    pub recent: Milliseconds,
     /// A controller that nobody heard for this long is told of no more.
-    pub life: Span,
+    pub incarnation: Milliseconds,
 }
 
 impl Default for ContactTiming {
     fn default() -> Self {
         ContactTiming {
-            exchange: Span(2000),
-            relay_exchange: Span(4000),
-            first_exchange: Span(250),
-            recent: Span::seconds(7),
-            life: Span::seconds(30),
+            exchange: Milliseconds(2000),
+            relay_exchange: Milliseconds(4000),
+            first_exchange: Milliseconds(250),
+            recent: Milliseconds::seconds(7),
+            incarnation: Milliseconds::seconds(30),
         }
     }
 }
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Contact {
     admin: Address,
-    heard: Moment,
+    heard: MonotonicInstant,
 }
 
 /// What a controller knows of where the core is.
@@ -49,28 +49,33 @@
 /// Invariant: `voters` are those of `view`, which never falls. Nothing is decided by what stands here: it only says
 /// whom to ask.
 #[derive(Debug, Clone)]
-pub struct Contacts {
+pub struct PeerDiscovery {
     own: Address,
     /// Where operators reach this one, if it has a disk.
     own_admin: Option<Address>,
     seeds: Vec<Address>,
     timing: ContactTiming,
-    view: ViewEpoch,
+    view: ViewNumber,
     voters: Vec<Address>,
     controllers: BTreeMap<Address, Contact>,
-    next_exchange: Moment,
+    next_exchange: MonotonicInstant,
     has_answer: bool,
 }
 
-impl Contacts {
+impl PeerDiscovery {
     /// At the start of a process; `own_admin` is where operators reach it, if it has a disk.
-    pub fn new(own: Address, own_admin: Option<Address>, seeds: Vec<Address>, now: Moment) -> Self {
-        Contacts {
+    pub fn new(
+        own: Address,
+        own_admin: Option<Address>,
+        seeds: Vec<Address>,
+        now: MonotonicInstant,
+    ) -> Self {
+        PeerDiscovery {
             own,
             own_admin,
             seeds,
             timing: ContactTiming::default(),
-            view: ViewEpoch(0),
+            view: ViewNumber(0),
             voters: vec![],
             controllers: BTreeMap::new(),
             next_exchange: now,
@@ -79,7 +84,7 @@
     }
 
     /// The settings name these seeds now.
-    pub fn set_seeds(&mut self, now: Moment, seeds: Vec<Address>) {
+    pub fn set_seeds(&mut self, now: MonotonicInstant, seeds: Vec<Address>) {
         if seeds != self.seeds {
             self.seeds = seeds;
             self.next_exchange = now;
@@ -88,7 +93,7 @@
     }
 
     /// Takes up a view, if it is newer than the one known.
-    pub fn learn(&mut self, view: ViewEpoch, voters: impl IntoIterator<Item = Address>) {
+    pub fn learn(&mut self, view: ViewNumber, voters: impl IntoIterator<Item = Address>) {
         if view > self.view {
             self.view = view;
             self.voters = voters.into_iter().collect();
@@ -96,12 +101,12 @@
     }
 
     /// The newest view known, and its voters.
-    pub fn core(&self) -> (ViewEpoch, &[Address]) {
+    pub fn core(&self) -> (ViewNumber, &[Address]) {
         (self.view, &self.voters)
     }
 
     /// What is due now.
-    pub fn on_clock(&mut self, now: Moment) -> Vec<(Address, Letter)> {
+    pub fn on_clock(&mut self, now: MonotonicInstant) -> Vec<(Address, Message)> {
         if now < self.next_exchange {
             return vec![];
         }
@@ -111,30 +116,30 @@
             (true, None) => self.timing.relay_exchange,
         };
         self.next_exchange = now + pause;
-        let life = self.timing.life;
+        let incarnation = self.timing.incarnation;
         self.controllers
-            .retain(|_, contact| now.since(contact.heard) < life);
+            .retain(|_, contact| now.since(contact.heard) < incarnation);
         let others = self.seeds.iter().filter(|seed| **seed != self.own);
-        let letter = Letter::CoreLocation {
+        let message = Message::CoreLocation {
             location: Box::new(self.question(now)),
             is_answer: false,
         };
-        others.map(|seed| (*seed, letter.clone())).collect()
+        others.map(|seed| (*seed, message.clone())).collect()
     }
 
     /// When something is due next.
-    pub fn next_timer(&self) -> Moment {
+    pub fn next_timer(&self) -> MonotonicInstant {
         self.next_exchange
     }
 
     /// Takes a letter from another controller; gives the answer, if it wants one.
     pub fn on_location(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         from: Address,
         location: &CoreLocation,
         is_answer: bool,
-    ) -> Option<Letter> {
+    ) -> Option<Message> {
         self.has_answer |= is_answer;
         self.learn(location.view, location.voters.iter().copied());
         let own = self.own;
@@ -143,14 +148,14 @@
             .iter()
             .filter(|contact| contact.inner != own);
         others.for_each(|contact| self.take_contact(now, contact));
-        let answer = || Letter::CoreLocation {
+        let answer = || Message::CoreLocation {
             location: Box::new(self.answer(now, from, location)),
             is_answer: true,
         };
         (!is_answer).then(answer)
     }
 
-    fn take_contact(&mut self, now: Moment, contact: &ControllerContact) {
+    fn take_contact(&mut self, now: MonotonicInstant, contact: &ControllerContact) {
         let heard = now - contact.age;
         let known = self.controllers.entry(contact.inner).or_insert(Contact {
             admin: contact.admin,
@@ -165,9 +170,9 @@
     }
 
     /// The answer to a node that polls here, if the core is known.
-    pub fn elsewhere(&self) -> Option<PollResponse> {
+    pub fn elsewhere(&self) -> Option<LeaseResponse> {
         let (view, voters) = (self.view, self.voters.clone());
-        (view > ViewEpoch(0)).then_some(PollResponse::Elsewhere {
+        (view > ViewNumber(0)).then_some(LeaseResponse::Elsewhere {
             view,
             tail: None,
             voters,
@@ -175,7 +180,7 @@
     }
 
     /// Where operators reach controllers with a disk: those that were heard lately, or, if none was, all that are known.
-    pub fn admin_addresses(&self, now: Moment) -> Vec<Address> {
+    pub fn admin_addresses(&self, now: MonotonicInstant) -> Vec<Address> {
         let known = self.latest(now);
         let recent = known
             .iter()
@@ -186,7 +191,7 @@
     }
 
     /// What it tells its seeds. One with a disk tells of itself alone, as each other such one does.
-    fn question(&self, now: Moment) -> CoreLocation {
+    fn question(&self, now: MonotonicInstant) -> CoreLocation {
         let controllers = self
             .own_contact()
             .map_or_else(|| self.told(now), |own| vec![own]);
@@ -198,7 +203,7 @@
     }
 
     /// What the asker lacks: the voters if its view is older, and whom operators may be sent to if it has no disk.
-    fn answer(&self, now: Moment, asker: Address, asked: &CoreLocation) -> CoreLocation {
+    fn answer(&self, now: MonotonicInstant, asker: Address, asked: &CoreLocation) -> CoreLocation {
         let has_disk = asked
             .controllers
             .iter()
@@ -220,11 +225,11 @@
         self.own_admin.map(|admin| ControllerContact {
             inner: self.own,
             admin,
-            age: Span(0),
+            age: Milliseconds(0),
         })
     }
 
-    fn told(&self, now: Moment) -> Vec<ControllerContact> {
+    fn told(&self, now: MonotonicInstant) -> Vec<ControllerContact> {
         self.own_contact()
             .into_iter()
             .chain(self.latest(now))
@@ -232,7 +237,7 @@
             .collect()
     }
 
-    fn latest(&self, now: Moment) -> Vec<ControllerContact> {
+    fn latest(&self, now: MonotonicInstant) -> Vec<ControllerContact> {
         let contact = |(inner, contact): (&Address, &Contact)| {
             let (admin, age) = (contact.admin, now.since(contact.heard));
             ControllerContact {
@@ -242,7 +247,7 @@
             }
         };
         let mut found: Vec<ControllerContact> = self.controllers.iter().map(contact).collect();
-        found.retain(|contact| contact.age < self.timing.life);
+        found.retain(|contact| contact.age < self.timing.incarnation);
         found.sort_by_key(|contact| (contact.age, contact.inner));
         found
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,11 +1,11 @@
-use crate::contacts::Contacts;
-use config::{Command, Ledger, Proposal};
-use quota::{Authority, QuotaBounds};
+use crate::contacts::PeerDiscovery;
+use config::{Command, ConfigStateMachine, Proposal};
+use quota::{QuotaAuthority, QuotaBounds};
 use replication::{Input, LeaseTable, Note, Output, Record, Replica, Ticket, Timing, View};
 use schematic::ConfigEnum;
 use std::collections::{BTreeMap, VecDeque};
-use types::{Address, Epoch, Moment, Span, TokenKey, ViewEpoch};
-use wire::{CoreLocation, Letter, Poll, Reading, SPLICE_MOST};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TokenKey, ViewNumber};
+use wire::{CoreLocation, LeaseRequest, Message, Query, SPLICE_MOST};
 
 mod members;
 mod operators;
@@ -18,18 +18,18 @@
     /// The replica's.
     pub replica: Timing,
     /// A member's lease.
-    pub lease: Span,
+    pub lease: Milliseconds,
     /// Between changes of the membership by which newcomers are let in.
-    pub join: Span,
+    pub join: Milliseconds,
     /// A proposal that the core can't take is tried again for this long.
-    pub patience: Span,
+    pub patience: Milliseconds,
     /// A reading that the tail doesn't answer is given up after this, before its operator turns elsewhere (after a
     /// second of silence on the users' platform).
-    pub read_patience: Span,
+    pub read_patience: Milliseconds,
     /// Without an answer by then, a proposal's fate is unknown.
-    pub fate_deadline: Span,
+    pub fate_deadline: Milliseconds,
     /// A member without a lease for this long is a member no more.
-    pub retire_after: Span,
+    pub retire_after: Milliseconds,
     /// Who must know a change.
     pub quorum: Quorum,
     /// By how much tenants' quotas may be exceeded.
@@ -40,12 +40,12 @@
     fn default() -> Self {
         ControllerTiming {
             replica: Timing::default(),
-            lease: Span(2000),
-            join: Span(1000),
-            patience: Span(4000),
-            read_patience: Span(700),
-            fate_deadline: Span(8000),
-            retire_after: Span::seconds(60),
+            lease: Milliseconds(2000),
+            join: Milliseconds(1000),
+            patience: Milliseconds(4000),
+            read_patience: Milliseconds(700),
+            fate_deadline: Milliseconds(8000),
+            retire_after: Milliseconds::seconds(60),
             quorum: Quorum::Majority,
             quota: QuotaBounds::default(),
         }
@@ -78,9 +78,9 @@
 
 /// What an operator wants.
 #[derive(Debug, Clone)]
-pub enum OperatorAsk {
+pub enum OperatorRequest {
     /// Something read at the tail.
-    Read(Reading),
+    Read(Query),
     /// Something changed.
     Propose(Proposal),
 }
@@ -89,18 +89,18 @@
 #[derive(Debug, Clone)]
 pub enum ControllerInput {
     /// A letter came.
-    Letter {
+    Message {
         /// From there.
         from: Address,
         /// It.
-        letter: Letter,
+        message: Message,
     },
     /// An operator asks, under this number.
     Operator {
         /// The number.
         number: u64,
         /// What.
-        ask: OperatorAsk,
+        ask: OperatorRequest,
     },
     /// Whoever asked under this number has gone, or waits no longer: nothing more is done for it.
     Abandoned {
@@ -133,7 +133,7 @@
         /// On the bulk line.
         is_bulk: bool,
         /// It.
-        letter: Letter,
+        message: Message,
     },
     /// Write records.
     Write {
@@ -163,33 +163,33 @@
 /// Invariants: news and answers leave only while the replica may answer. "Accepted" is said only once
 /// as many members as the quorum asks for are known to have the news.
 pub struct Controller {
-    replica: Replica<Ledger>,
+    replica: Replica<ConfigStateMachine>,
     /// Where the core is, for those who ask here and for this one, should it have been away.
-    contacts: Contacts,
+    contacts: PeerDiscovery,
     timing: ControllerTiming,
     /// Proposed as the fleet's, should there be none.
     key: TokenKey,
-    key_deadline: Moment,
-    now: Moment,
+    key_deadline: MonotonicInstant,
+    now: MonotonicInstant,
     leases: LeaseTable,
     /// Since when it keeps them: older ones are not in the table.
-    leases_since: Moment,
-    seen: BTreeMap<Address, Moment>,
+    leases_since: MonotonicInstant,
+    seen: BTreeMap<Address, MonotonicInstant>,
     /// When any member last said that it hears this one.
-    told_of: BTreeMap<Address, Moment>,
+    told_of: BTreeMap<Address, MonotonicInstant>,
     /// Since when it has replied for the core without a break.
-    responses_since: Option<Moment>,
+    responses_since: Option<MonotonicInstant>,
     /// Members that polled lately: they are told news at once.
     subscribers: BTreeMap<Address, Subscriber>,
     /// Polls of those that are not members yet.
-    joining: BTreeMap<Address, Poll>,
+    joining: BTreeMap<Address, LeaseRequest>,
     /// Grants credit of tenants' quotas while this is the tail; with the view in which it has been so.
-    quotas: Option<(ViewEpoch, Authority)>,
-    join_deadline: Moment,
-    settle_deadline: Moment,
-    retire_deadline: Moment,
+    quotas: Option<(ViewNumber, QuotaAuthority)>,
+    join_deadline: MonotonicInstant,
+    settle_deadline: MonotonicInstant,
+    retire_deadline: MonotonicInstant,
     /// When members without a lease are called next, and who was called last.
-    next_call: Moment,
+    next_call: MonotonicInstant,
     last_called: Option<Address>,
     settled: VecDeque<Settled>,
     waiting: BTreeMap<u64, Waiting>,
@@ -202,24 +202,24 @@
 
 struct Subscriber {
     /// The newest epoch that it has or was told of.
-    told: Epoch,
-    deadline: Moment,
+    told: ConfigEpoch,
+    deadline: MonotonicInstant,
 }
 
 struct Settled {
-    epoch: Epoch,
+    epoch: ConfigEpoch,
     ticket: Ticket,
     body: Vec<u8>,
-    deadline: Moment,
+    deadline: MonotonicInstant,
 }
 
 struct Waiting {
-    ask: OperatorAsk,
-    next_try: Option<Moment>,
-    patience_deadline: Moment,
-    deadline: Moment,
+    ask: OperatorRequest,
+    next_try: Option<MonotonicInstant>,
+    patience_deadline: MonotonicInstant,
+    deadline: MonotonicInstant,
     /// By then the tail must have said what is to be known before it's proposed.
-    clear_deadline: Moment,
+    clear_deadline: MonotonicInstant,
     /// Whether that is known: that nobody hears those whom it would forget, or what was the newest epoch when
     /// a zone's change came in.
     is_cleared: bool,
@@ -239,12 +239,12 @@
     /// none takes the first that is proposed. `incarnation` is drawn at random too: what this life asks
     /// is numbered from there on, so that no late answer to an earlier life is taken for one to this.
     pub fn new(
-        replica: Replica<Ledger>,
-        contacts: Contacts,
+        replica: Replica<ConfigStateMachine>,
+        contacts: PeerDiscovery,
         timing: ControllerTiming,
         key: TokenKey,
         incarnation: u64,
-        now: Moment,
+        now: MonotonicInstant,
     ) -> Self {
         let first = incarnation % (INNER / 2);
         Controller {
@@ -277,21 +277,21 @@
     }
 
     /// The replica in it.
-    pub fn replica(&self) -> &Replica<Ledger> {
+    pub fn replica(&self) -> &Replica<ConfigStateMachine> {
         &self.replica
     }
     /// Who holds leases and what they know, if this is the tail.
-    pub fn members(&self, now: Moment) -> Vec<(Address, Epoch)> {
+    pub fn members(&self, now: MonotonicInstant) -> Vec<(Address, ConfigEpoch)> {
         self.leases.live(now)
     }
     /// When the next clock event is due at the latest.
-    pub fn next_timer(&self) -> Moment {
+    pub fn next_timer(&self) -> MonotonicInstant {
         let is_pending =
             !self.waiting.is_empty() || !self.settled.is_empty() || !self.joining.is_empty();
         if is_pending || self.replica.is_busy() {
-            self.now + Span(25)
+            self.now + Milliseconds(25)
         } else {
-            self.replica.next_beat()
+            self.replica.next_heartbeat()
         }
     }
     /// How many polls were taken.
@@ -300,10 +300,10 @@
     }
 
     /// Takes an input in; gives what is to be done.
-    pub fn step(&mut self, now: Moment, input: ControllerInput) -> Vec<ControllerOutput> {
+    pub fn step(&mut self, now: MonotonicInstant, input: ControllerInput) -> Vec<ControllerOutput> {
         self.now = self.now.max(now);
         match input {
-            ControllerInput::Letter { from, letter } => self.on_letter(from, letter),
+            ControllerInput::Message { from, message } => self.on_message(from, message),
             ControllerInput::Operator { number, ask } => self.on_operator(number, ask),
             ControllerInput::Abandoned { number } => {
                 self.waiting.remove(&number);
@@ -383,36 +383,36 @@
         self.outputs.push(ControllerOutput::Send {
             to,
             is_bulk,
-            letter: Letter::Note {
+            message: Message::Note {
                 note: Box::new(note),
             },
         });
     }
 
-    fn send(&mut self, to: Address, letter: Letter) {
-        let is_bulk = matches!(letter, Letter::PlanPiece { .. } | Letter::Told { .. });
+    fn send(&mut self, to: Address, message: Message) {
+        let is_bulk = matches!(message, Message::PlanChunk { .. } | Message::Told { .. });
         self.outputs.push(ControllerOutput::Send {
             to,
             is_bulk,
-            letter,
+            message,
         });
     }
 
-    fn on_letter(&mut self, from: Address, letter: Letter) {
-        match letter {
-            Letter::Note { note } => self.drive(Input::Note { from, note: *note }),
-            Letter::Poll { poll } => self.on_poll(from, *poll),
-            Letter::PlanAsk {
+    fn on_message(&mut self, from: Address, message: Message) {
+        match message {
+            Message::Note { note } => self.drive(Input::Note { from, note: *note }),
+            Message::LeaseRequest { poll } => self.on_poll(from, *poll),
+            Message::PlanRequest {
                 epoch,
                 offset,
                 have,
             } => self.on_plan_ask(from, epoch, offset, have),
-            Letter::Ask { number, reading } => {
+            Message::Ask { number, reading } => {
                 if self.may_respond() {
                     let (status, body) = self.read(&reading);
                     self.send(
                         from,
-                        Letter::Told {
+                        Message::Told {
                             number,
                             status,
                             body,
@@ -420,30 +420,30 @@
                     );
                 }
             }
-            Letter::Told {
+            Message::Told {
                 number,
                 status,
                 body,
             } => self.on_told(from, number, status, body),
-            Letter::CoreLocation {
+            Message::CoreLocation {
                 location,
                 is_answer,
             } => self.on_location(from, &location, is_answer),
-            Letter::CreditAsk { ask } => self.on_credit_ask(from, &ask),
-            Letter::CreditGrant { .. }
-            | Letter::PollResponse { .. }
-            | Letter::PlanPiece { .. }
-            | Letter::PlanSplice { .. }
-            | Letter::News { .. }
-            | Letter::NewsAsk
-            | Letter::PeerCheckRequest { .. }
-            | Letter::PeerCheckResponse { .. }
-            | Letter::Digest { .. }
-            | Letter::DigestAck { .. }
-            | Letter::ListFresh { .. }
-            | Letter::ListChange { .. }
-            | Letter::ListAsk { .. }
-            | Letter::ListPiece { .. } => {}
+            Message::CreditAsk { ask } => self.on_credit_ask(from, &ask),
+            Message::CreditGrant { .. }
+            | Message::LeaseResponse { .. }
+            | Message::PlanChunk { .. }
+            | Message::PlanDelta { .. }
+            | Message::ConfigUpdate { .. }
+            | Message::ConfigUpdateRequest
+            | Message::PeerCheckRequest { .. }
+            | Message::PeerCheckResponse { .. }
+            | Message::Digest { .. }
+            | Message::DigestAck { .. }
+            | Message::ListFresh { .. }
+            | Message::ListChange { .. }
+            | Message::ServerListRequest { .. }
+            | Message::ServerListChunk { .. } => {}
         }
     }
 
@@ -458,7 +458,7 @@
         self.replica.meet(view, voters);
         answer
             .into_iter()
-            .for_each(|letter| self.send(from, letter));
+            .for_each(|message| self.send(from, message));
     }
 
     /// Tells the seeds where the core is, once in a while.
@@ -468,10 +468,10 @@
         }
         self.contacts
             .learn(self.replica.view().epoch, self.voters());
-        let letters = self.contacts.on_clock(self.now);
-        letters
+        let messages = self.contacts.on_clock(self.now);
+        messages
             .into_iter()
-            .for_each(|(seed, letter)| self.send(seed, letter));
+            .for_each(|(seed, message)| self.send(seed, message));
     }
 
     fn voters(&self) -> Vec<Address> {
@@ -497,7 +497,7 @@
     }
 
     /// Whether as many know this epoch as must.
-    fn is_known(&self, epoch: Epoch) -> bool {
+    fn is_known(&self, epoch: ConfigEpoch) -> bool {
         let membership = &self.replica.state_machine().membership;
         match self.timing.quorum {
             Quorum::Majority => self.leases.is_known_to_most(membership, epoch),
@@ -512,7 +512,7 @@
 
     /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
     /// members must know it, its answer alone waits for them: they may be gone since.
-    fn is_firm(&self, epoch: Epoch) -> bool {
+    fn is_firm(&self, epoch: ConfigEpoch) -> bool {
         self.replica.has_copies()
             && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
     }
@@ -535,7 +535,7 @@
         if self.may_respond() {
             self.begin_quotas();
             if self.replica.state_machine().key.is_none() && self.now >= self.key_deadline {
-                self.key_deadline = self.now + Span(400);
+                self.key_deadline = self.now + Milliseconds(400);
                 self.propose_inner(Command::Key { key: self.key });
             }
             self.admit();
@@ -566,7 +566,7 @@
         let proposal = Proposal {
             id: String::new(),
             builds_on: None,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command,
         };
         self.drive(Input::Propose {
@@ -575,25 +575,20 @@
         });
     }
 
-    fn on_plan_ask(&mut self, from: Address, epoch: Epoch, offset: u64, have: Epoch) {
-        let ledger = self.replica.state_machine();
-        if let Some((base, splice)) = &ledger.newest
-            && (epoch, have, offset) == (ledger.plan_epoch, *base, 0)
-            && splice.inserted.len() <= SPLICE_MOST
+    fn on_plan_ask(&mut self, from: Address, epoch: ConfigEpoch, offset: u64, have: ConfigEpoch) {
+        let config_state = self.replica.state_machine();
+        if let Some((base, delta)) = &config_state.newest
+            && (epoch, have, offset) == (config_state.plan_epoch, *base, 0)
+            && delta.inserted.len() <= SPLICE_MOST
         {
-            let (base, splice) = (*base, splice.clone());
-            return self.send(
-                from,
-                Letter::PlanSplice {
-                    epoch,
-                    base,
-                    splice,
-                },
-            );
+            let (base, delta) = (*base, delta.clone());
+            return self.send(from, Message::PlanDelta { epoch, base, delta });
         }
-        let piece =
-            Letter::plan_piece(epoch, &ledger.plan, offset).filter(|_| ledger.plan_epoch == epoch);
-        piece.into_iter().for_each(|letter| self.send(from, letter));
+        let piece = Message::plan_chunk(epoch, &config_state.plan, offset)
+            .filter(|_| config_state.plan_epoch == epoch);
+        piece
+            .into_iter()
+            .for_each(|message| self.send(from, message));
     }
 }
 
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/controller/members.rs
@@ -4,28 +4,28 @@
 use crate::controller::{Controller, Quorum};
 use config::Command;
 use std::collections::BTreeSet;
-use types::{Address, Epoch, Span, ZoneName};
-use wire::{CoreLocation, Letter, Member, News, Poll, PollResponse};
+use types::{Address, ConfigEpoch, Milliseconds, ZoneName};
+use wire::{ConfigUpdate, CoreLocation, LeaseRequest, LeaseResponse, Member, Message};
 
 /// Between calls of members without a lease,
-const CALL_PERIOD: Span = Span(1000);
+const CALL_PERIOD: Milliseconds = Milliseconds(1000);
 /// and how many are called at once: 5 KB a second at most.
 const CALLED_AT_ONCE: usize = 16;
 
 impl Controller {
-    pub(super) fn on_poll(&mut self, from: Address, poll: Poll) {
+    pub(super) fn on_poll(&mut self, from: Address, poll: LeaseRequest) {
         self.poll_count += 1;
         if !self.may_respond() {
             let voters = self.voters();
             let tail = self.replica.view().tail().map(|tail| tail.address);
-            let response = PollResponse::Elsewhere {
+            let response = LeaseResponse::Elsewhere {
                 view: self.replica.view().epoch,
                 tail,
                 voters,
             };
             return self.send(
                 from,
-                Letter::PollResponse {
+                Message::LeaseResponse {
                     round: poll.round,
                     response: Box::new(response),
                 },
@@ -33,7 +33,7 @@
         }
         self.seen.insert(from, self.now);
         self.told_of
-            .extend(poll.hears.iter().map(|heard| (*heard, self.now)));
+            .extend(poll.reachable_peers.iter().map(|heard| (*heard, self.now)));
         let is_member = self
             .replica
             .state_machine()
@@ -48,7 +48,7 @@
     }
 
     /// Answers a member's poll with a lease, which it keeps, and with what it lacks.
-    pub(super) fn give_lease(&mut self, to: Address, poll: &Poll) {
+    pub(super) fn give_lease(&mut self, to: Address, poll: &LeaseRequest) {
         let newest = self.replica.state_machine().epoch;
         let deadline = self.now + self.timing.lease;
         self.leases.renew(to, poll.epoch.min(newest), deadline);
@@ -59,23 +59,23 @@
                 deadline,
             },
         );
-        let ledger = self.replica.state_machine();
+        let config_state = self.replica.state_machine();
         let view = self.replica.view().epoch;
-        let response = PollResponse::Lease {
+        let response = LeaseResponse::Lease {
             span: self.timing.lease,
-            epoch: ledger.epoch,
-            news: (poll.epoch < ledger.epoch).then(|| self.news(poll.epoch)),
+            epoch: config_state.epoch,
+            update: (poll.epoch < config_state.epoch).then(|| self.update(poll.epoch)),
             view,
             voters: if poll.view == view {
                 vec![]
             } else {
                 self.voters()
             },
-            key: ledger.key.filter(|_| !poll.has_key),
+            key: config_state.key.filter(|_| !poll.has_key),
         };
         self.send(
             to,
-            Letter::PollResponse {
+            Message::LeaseResponse {
                 round: poll.round,
                 response: Box::new(response),
             },
@@ -83,19 +83,19 @@
     }
 
     /// For one that has this epoch.
-    pub(super) fn news(&self, has: Epoch) -> News {
-        let ledger = self.replica.state_machine();
-        let members_since = ledger.membership.since;
+    pub(super) fn update(&self, has: ConfigEpoch) -> ConfigUpdate {
+        let config_state = self.replica.state_machine();
+        let members_since = config_state.membership.since;
         let member = |(address, zone): &(Address, ZoneName)| Member {
             address: *address,
             zone: zone.clone(),
         };
-        News {
-            epoch: ledger.epoch,
-            plan_epoch: ledger.plan_epoch,
-            withdrawn: ledger.withdrawn.clone(),
+        ConfigUpdate {
+            epoch: config_state.epoch,
+            plan_epoch: config_state.plan_epoch,
+            withdrawn: config_state.withdrawn.clone(),
             members: (has < members_since)
-                .then(|| ledger.member_zones.iter().map(member).collect()),
+                .then(|| config_state.member_zones.iter().map(member).collect()),
             members_since,
         }
     }
@@ -106,7 +106,7 @@
         let is_behind =
             |subscriber: &Subscriber| subscriber.told < epoch && now < subscriber.deadline;
         if self.subscribers.values().any(is_behind) && self.may_respond() {
-            let (whole, brief) = (self.news(Epoch(0)), self.news(epoch));
+            let (whole, brief) = (self.update(ConfigEpoch(0)), self.update(epoch));
             let since = whole.members_since;
             let behind: Vec<(Address, bool)> = self
                 .subscribers
@@ -115,14 +115,14 @@
                 .map(|(member, subscriber)| (*member, subscriber.told < since))
                 .collect();
             for (member, wants_membership) in behind {
-                let news = if wants_membership { &whole } else { &brief };
+                let update = if wants_membership { &whole } else { &brief };
                 self.subscribers
                     .entry(member)
                     .and_modify(|subscriber| subscriber.told = epoch);
                 self.send(
                     member,
-                    Letter::News {
-                        news: Box::new(news.clone()),
+                    Message::ConfigUpdate {
+                        update: Box::new(update.clone()),
                     },
                 );
             }
@@ -190,7 +190,7 @@
             let location = Box::new(location.clone());
             self.send(
                 member,
-                Letter::CoreLocation {
+                Message::CoreLocation {
                     location,
                     is_answer: true,
                 },
@@ -236,7 +236,7 @@
             return;
         }
         let since = membership.since;
-        self.settle_deadline = self.now + Span(400);
+        self.settle_deadline = self.now + Milliseconds(400);
         self.propose_inner(Command::Settle { since });
     }
 
@@ -245,7 +245,7 @@
         if self.now < self.retire_deadline || !self.is_membership_settled() {
             return;
         }
-        self.retire_deadline = self.now + Span::seconds(1);
+        self.retire_deadline = self.now + Milliseconds::seconds(1);
         let is_gone = |member: &&Address| {
             self.seen
                 .get(*member)
--- a/crates/controller/src/controller/operators.rs
+++ b/crates/controller/src/controller/operators.rs
@@ -1,20 +1,20 @@
 //! What operators wait for: readings at the tail and proposals to the head, tried again until their time is up.
 
 use super::*;
-use crate::controller::{Controller, ControllerOutput, OperatorAsk};
+use crate::controller::{Controller, ControllerOutput, OperatorRequest};
 use config::{Command, Proposal};
 use replication::Input;
-use types::{Address, Epoch, ResultCode, Span};
-use wire::{Letter, Reading};
+use types::{Address, ConfigEpoch, Milliseconds, ResultCode};
+use wire::{Message, Query};
 
 /// What the newest epoch was when a zone's change came in must be known within this, or it is not proposed: an
 /// answer from later may be younger than what its operator did since. Under the second after which an operator
 /// turns to another controller.
-const SEEN_WITHIN: Span = Span(700);
+const SEEN_WITHIN: Milliseconds = Milliseconds(700);
 
 impl Controller {
-    pub(super) fn on_operator(&mut self, number: u64, ask: OperatorAsk) {
-        let is_read = matches!(ask, OperatorAsk::Read(_));
+    pub(super) fn on_operator(&mut self, number: u64, ask: OperatorRequest) {
+        let is_read = matches!(ask, OperatorRequest::Read(_));
         let deadline = self.now
             + if is_read {
                 self.timing.read_patience
@@ -25,7 +25,7 @@
         self.last_asked += 1;
         let (next_try, asked) = (Some(self.now), self.last_asked);
         let clear_deadline = match &ask {
-            OperatorAsk::Propose(proposal) if proposal.command.is_of_a_zone() => {
+            OperatorRequest::Propose(proposal) if proposal.command.is_of_a_zone() => {
                 self.now + SEEN_WITHIN
             }
             _ => deadline,
@@ -56,8 +56,8 @@
         let retry_at = self.now + self.timing.replica.retry;
         if self.now >= waiting.deadline {
             let code = match waiting.ask {
-                OperatorAsk::Read(_) => ResultCode::CoreNotReady,
-                OperatorAsk::Propose(_) => ResultCode::FateUnknown,
+                OperatorRequest::Read(_) => ResultCode::CoreNotReady,
+                OperatorRequest::Propose(_) => ResultCode::FateUnknown,
             };
             return self.give_up(number, code);
         }
@@ -66,14 +66,14 @@
             return self.give_up(number, ResultCode::CoreNotReady);
         }
         match &waiting.ask {
-            OperatorAsk::Read(reading) => {
+            OperatorRequest::Read(reading) => {
                 waiting.next_try = Some(retry_at);
                 let reading = reading.clone();
                 // A change's base may be read here: the head judges whether it's the newest.
-                let is_base = matches!(reading, Reading::Base { at_least } if self.replica.state_machine().epoch >= at_least);
+                let is_base = matches!(reading, Query::Base { at_least } if self.replica.state_machine().epoch >= at_least);
                 let is_known_here = || {
                     let state = self.replica.state();
-                    state.is_sound && state.view.seats(&state.me)
+                    state.is_healthy && state.view.seats(&state.me)
                 };
                 if self.may_respond() || (is_base && is_known_here()) {
                     self.waiting.remove(&number);
@@ -87,7 +87,7 @@
                     self.ask_tail(number, reading);
                 }
             }
-            OperatorAsk::Propose(proposal)
+            OperatorRequest::Propose(proposal)
                 if !waiting.is_cleared
                     && let Some(reading) = read_before(proposal) =>
             {
@@ -99,7 +99,7 @@
                     self.ask_tail(number, reading);
                 }
             }
-            OperatorAsk::Propose(proposal) => {
+            OperatorRequest::Propose(proposal) => {
                 // Each try has a number of its own: a late word on one says nothing of the next.
                 self.last_asked += 1;
                 (waiting.asked, waiting.asked_of) = (self.last_asked, None);
@@ -110,7 +110,7 @@
         }
     }
 
-    pub(super) fn ask_tail(&mut self, number: u64, reading: Reading) {
+    pub(super) fn ask_tail(&mut self, number: u64, reading: Query) {
         let Some(tail) = self.replica.view().tail() else {
             return;
         };
@@ -121,7 +121,7 @@
         let number = waiting.asked;
         self.send(
             tail.address,
-            Letter::Ask {
+            Message::Ask {
                 number,
                 reading: Box::new(reading),
             },
@@ -136,7 +136,7 @@
         else {
             return;
         };
-        if matches!(waiting.ask, OperatorAsk::Propose(_)) {
+        if matches!(waiting.ask, OperatorRequest::Propose(_)) {
             return self.clear(number, status, body);
         }
         self.waiting.remove(&number);
@@ -162,11 +162,11 @@
         }
         match status {
             200 => {
-                if let OperatorAsk::Propose(proposal) = &mut waiting.ask
+                if let OperatorRequest::Propose(proposal) = &mut waiting.ask
                     && proposal.command.is_of_a_zone()
                 {
                     let Ok(newest) = body.try_into() else { return };
-                    proposal.seen = Epoch(u64::from_be_bytes(newest));
+                    proposal.seen = ConfigEpoch(u64::from_be_bytes(newest));
                 }
                 waiting.is_cleared = true;
                 self.try_again(number);
@@ -219,13 +219,13 @@
 }
 
 /// What the tail must be asked before this is proposed.
-fn read_before(proposal: &Proposal) -> Option<Reading> {
+fn read_before(proposal: &Proposal) -> Option<Query> {
     match &proposal.command {
-        Command::Forget { members } => Some(Reading::Heard {
+        Command::Forget { members } => Some(Query::Heard {
             id: proposal.id.clone(),
             members: members.clone(),
         }),
-        command => command.is_of_a_zone().then_some(Reading::Newest),
+        command => command.is_of_a_zone().then_some(Query::Newest),
     }
 }
 
--- a/crates/controller/src/controller/quotas.rs
+++ b/crates/controller/src/controller/quotas.rs
@@ -1,16 +1,16 @@
 //! Tenants' quotas: the tail grants credit of them.
 
 use crate::controller::Controller;
-use quota::{Authority, CreditAsk};
+use quota::{CreditAsk, QuotaAuthority};
 use replication::View;
 use types::Address;
-use wire::Letter;
+use wire::Message;
 
 impl Controller {
     /// This is the tail, and may answer for the core.
     pub(super) fn begin_quotas(&mut self) {
         if self.quotas.is_none() {
-            let authority = Authority::new(self.timing.quota, self.now);
+            let authority = QuotaAuthority::new(self.timing.quota, self.now);
             self.quotas = Some((self.replica.view().epoch, authority));
         }
     }
@@ -39,7 +39,7 @@
         grant.into_iter().for_each(|grant| {
             self.send(
                 from,
-                Letter::CreditGrant {
+                Message::CreditGrant {
                     grant: Box::new(grant),
                 },
             )
--- a/crates/controller/src/controller/reading.rs
+++ b/crates/controller/src/controller/reading.rs
@@ -2,17 +2,17 @@
 
 use crate::controller::Controller;
 use config::{AsSent, Fate, NotKept};
-use types::{Address, Epoch, Moment, ResultCode, Span};
-use wire::Reading;
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, ResultCode};
+use wire::Query;
 
 /// Who was not heard for this long, by the core or by any member that polls, may be lost. Longer than a
 /// lease, than a peer check counts, and than a view takes to change.
-const FORGET_AFTER: Span = Span(5000);
+const FORGET_AFTER: Milliseconds = Milliseconds(5000);
 
 impl Controller {
     /// What the ledger says, as status and body.
-    pub(super) fn read(&self, reading: &Reading) -> (u16, Vec<u8>) {
-        let ledger = self.replica.state_machine();
+    pub(super) fn read(&self, reading: &Query) -> (u16, Vec<u8>) {
+        let config_state = self.replica.state_machine();
         let missing = |code: ResultCode, why: String| {
             let value =
                 serde_json::json!({"code": code.number(), "result": code.word(), "why": why});
@@ -28,25 +28,25 @@
             )
         };
         match reading {
-            Reading::Latest => good(serde_json::json!({
-                "epoch": ledger.epoch,
-                "plan_epoch": ledger.plan_epoch,
-                "withdrawn": ledger.withdrawn,
-                "zones": ledger.zones(),
-                "members": ledger.member_zones.iter()
+            Query::Latest => good(serde_json::json!({
+                "epoch": config_state.epoch,
+                "plan_epoch": config_state.plan_epoch,
+                "withdrawn": config_state.withdrawn,
+                "zones": config_state.zones(),
+                "members": config_state.member_zones.iter()
                     .map(|(address, zone)| serde_json::json!({"address": address, "zone": zone})).collect::<Vec<_>>(),
             })),
-            Reading::Tenants => good(self.tenants()),
-            Reading::Newest => (200, ledger.epoch.0.to_be_bytes().to_vec()),
-            Reading::Epoch { epoch: Epoch(0) } if ledger.plan_epoch > Epoch(0) => {
-                (200, ledger.plan.clone())
-            }
-            Reading::Base { .. } => {
-                let mut body = ledger.plan_epoch.0.to_be_bytes().to_vec();
-                body.extend_from_slice(&ledger.plan);
+            Query::Tenants => good(self.tenants()),
+            Query::Newest => (200, config_state.epoch.0.to_be_bytes().to_vec()),
+            Query::ConfigEpoch {
+                epoch: ConfigEpoch(0),
+            } if config_state.plan_epoch > ConfigEpoch(0) => (200, config_state.plan.clone()),
+            Query::Base { .. } => {
+                let mut body = config_state.plan_epoch.0.to_be_bytes().to_vec();
+                body.extend_from_slice(&config_state.plan);
                 (200, body)
             }
-            Reading::Epoch { epoch } => match ledger.as_sent(*epoch) {
+            Query::ConfigEpoch { epoch } => match config_state.as_sent(*epoch) {
                 Ok(AsSent::Body(bytes)) => (200, bytes),
                 Ok(AsSent::Withdraw(zone)) => good(serde_json::json!({"withdraw": zone})),
                 Ok(AsSent::Forget(members)) => good(serde_json::json!({"forget": members})),
@@ -60,12 +60,13 @@
                     format!("what was sent as epoch {epoch} is no longer kept"),
                 ),
             },
-            Reading::Heard { id, .. } if ledger.entry_by_id(id).is_some() => {
+            Query::Heard { id, .. } if config_state.entry_by_id(id).is_some() => {
                 good(serde_json::json!({"heard": []}))
             }
-            Reading::Heard { members, .. } => {
-                let is_recent =
-                    |at: Option<&Moment>| at.is_some_and(|at| self.now.since(*at) < FORGET_AFTER);
+            Query::Heard { members, .. } => {
+                let is_recent = |at: Option<&MonotonicInstant>| {
+                    at.is_some_and(|at| self.now.since(*at) < FORGET_AFTER)
+                };
                 let is_heard = |member: &&Address| {
                     is_recent(self.seen.get(*member)) || is_recent(self.told_of.get(*member))
                 };
@@ -89,15 +90,15 @@
                 }
                 good(serde_json::json!({"heard": heard}))
             }
-            Reading::Fate { id }
-                if ledger
+            Query::Fate { id }
+                if config_state
                     .entry_by_id(id)
                     .is_some_and(|entry| !self.is_firm(entry.epoch)) =>
             {
                 let why = "it is in the chain, and not yet accepted: too few disks hold it, or nodes know it";
                 missing(ResultCode::CoreNotReady, why.to_owned())
             }
-            Reading::Fate { id } => match ledger.history.fate(id) {
+            Query::Fate { id } => match config_state.history.fate(id) {
                 Fate::Accepted(epoch) => good(serde_json::json!({
                     "code": ResultCode::Accepted.number(), "result": ResultCode::Accepted.word(),
                     "id": id, "epoch": epoch,
@@ -107,7 +108,7 @@
                     format!("no change with id `{id}` is accepted so far"),
                 ),
                 Fate::TooOldToKnow => {
-                    let oldest = ledger.history.forgotten.epoch.next();
+                    let oldest = config_state.history.forgotten.epoch.next();
                     let why = format!(
                         "no change from epoch {oldest} on has the id `{id}`; older ones are not remembered"
                     );
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::contacts::Contacts;
+use crate::contacts::PeerDiscovery;
 use crate::controller::{
-    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
-use config::{Command, Ledger, Proposal};
-use replication::{Kept, Note, Record, Replica, Seat, View, Voter};
-use types::{Address, DiskId, Epoch, Moment, ResultCode, TokenKey, ViewEpoch};
-use wire::{Letter, Member, Poll, Reading};
+use config::{Command, ConfigStateMachine, Proposal};
+use replication::{ChainPosition, Note, Record, RecoveredRecords, Replica, View, Voter};
+use types::{Address, ConfigEpoch, DiskId, MonotonicInstant, ResultCode, TokenKey, ViewNumber};
+use wire::{LeaseRequest, Member, Message, Query};
 
 /// Controller 2 in a chain of 1, 2, 3: it proposes to 1 and asks 3.
 struct Played {
@@ -29,17 +29,17 @@
             disk: DiskId(u128::from(n)),
         };
         let chain = (1..=3)
-            .map(|n| Seat {
+            .map(|n| ChainPosition {
                 voter: voter(n),
-                is_level: true,
+                is_caught_up: true,
             })
             .collect();
         let view = View {
-            epoch: ViewEpoch(1),
+            epoch: ViewNumber(1),
             chain,
             voters: (1..=3).map(voter).collect(),
         };
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: vec![Record::View { view }],
         };
         let founders = (1..=3).map(Address::loopback).collect();
@@ -49,11 +49,11 @@
             founders,
             timing.replica,
             kept,
-            Ledger::default(),
-            Moment(at),
+            ConfigStateMachine::default(),
+            MonotonicInstant(at),
         )
         .unwrap();
-        let contacts = Contacts::new(Address::loopback(2), None, vec![], Moment(at));
+        let contacts = PeerDiscovery::new(Address::loopback(2), None, vec![], MonotonicInstant(at));
         Played {
             controller: Controller::new(
                 replica,
@@ -61,7 +61,7 @@
                 timing,
                 TokenKey([3; 32]),
                 incarnation,
-                Moment(at),
+                MonotonicInstant(at),
             ),
             at,
         }
@@ -71,7 +71,7 @@
         let left = |output| match output {
             ControllerOutput::Send {
                 to,
-                letter: Letter::Note { note },
+                message: Message::Note { note },
                 ..
             } => match *note {
                 Note::Propose { ticket, .. } => Some(Left::Propose(to.0.port(), ticket.number)),
@@ -79,7 +79,7 @@
             },
             ControllerOutput::Send {
                 to,
-                letter: Letter::Ask { number, .. },
+                message: Message::Ask { number, .. },
                 ..
             } => Some(Left::Ask(to.0.port(), number)),
             ControllerOutput::Response { number, status, .. } => {
@@ -88,7 +88,7 @@
             _ => None,
         };
         self.controller
-            .step(Moment(self.at), input)
+            .step(MonotonicInstant(self.at), input)
             .into_iter()
             .filter_map(left)
             .collect()
@@ -101,7 +101,7 @@
             0,
             ControllerInput::Operator {
                 number,
-                ask: OperatorAsk::Read(Reading::Latest),
+                ask: OperatorRequest::Read(Query::Latest),
             },
         )
     }
@@ -109,28 +109,28 @@
         let proposal = Proposal {
             id: format!("op-{number}"),
             builds_on: None,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command,
         };
         self.step(
             0,
             ControllerInput::Operator {
                 number,
-                ask: OperatorAsk::Propose(proposal),
+                ask: OperatorRequest::Propose(proposal),
             },
         )
     }
     fn told(&mut self, from: u16, number: u64) -> Vec<Left> {
-        let letter = Letter::Told {
+        let message = Message::Told {
             number,
             status: 200,
             body: br#"{"heard":[]}"#.to_vec(),
         };
         self.step(
             5,
-            ControllerInput::Letter {
+            ControllerInput::Message {
                 from: Address::loopback(from),
-                letter,
+                message,
             },
         )
     }
@@ -141,7 +141,7 @@
         } else {
             vec![]
         };
-        let letter = Letter::Note {
+        let message = Message::Note {
             note: Box::new(Note::Response {
                 number,
                 is_replied,
@@ -150,9 +150,9 @@
         };
         self.step(
             5,
-            ControllerInput::Letter {
+            ControllerInput::Message {
                 from: Address::loopback(from),
-                letter,
+                message,
             },
         )
     }
@@ -204,14 +204,14 @@
 #[test]
 fn a_zone_s_change_goes_out_only_with_what_the_tail_said_soon_after_it_came() {
     let newest = |number: u64| {
-        let letter = Letter::Told {
+        let message = Message::Told {
             number,
             status: 200,
             body: 9u64.to_be_bytes().to_vec(),
         };
-        ControllerInput::Letter {
+        ControllerInput::Message {
             from: Address::loopback(3),
-            letter,
+            message,
         }
     };
     let mut played = Played::new(1000);
@@ -323,10 +323,10 @@
             disk: DiskId(1),
         };
         let view = View {
-            epoch: ViewEpoch(1),
-            chain: vec![Seat {
+            epoch: ViewNumber(1),
+            chain: vec![ChainPosition {
                 voter,
-                is_level: true,
+                is_caught_up: true,
             }],
             voters: vec![voter],
         };
@@ -335,7 +335,7 @@
             ..ControllerTiming::default()
         };
         timing.replica.copies = 1;
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: vec![Record::View { view }],
         };
         let replica = Replica::new(
@@ -343,18 +343,19 @@
             vec![],
             timing.replica,
             kept,
-            Ledger::default(),
-            Moment(10_000),
+            ConfigStateMachine::default(),
+            MonotonicInstant(10_000),
         )
         .unwrap();
-        let contacts = Contacts::new(Address::loopback(2), None, vec![], Moment(10_000));
+        let contacts =
+            PeerDiscovery::new(Address::loopback(2), None, vec![], MonotonicInstant(10_000));
         let controller = Controller::new(
             replica,
             contacts,
             timing,
             TokenKey([3; 32]),
             0,
-            Moment(10_000),
+            MonotonicInstant(10_000),
         );
         Alone {
             controller,
@@ -367,7 +368,7 @@
         self.at += after;
         let (mut inputs, mut told) = (VecDeque::from([input]), vec![]);
         while let Some(input) = inputs.pop_front() {
-            for output in self.controller.step(Moment(self.at), input) {
+            for output in self.controller.step(MonotonicInstant(self.at), input) {
                 match output {
                     ControllerOutput::Write { id, .. } => {
                         inputs.push_back(ControllerInput::Written { id })
@@ -378,7 +379,7 @@
                     }
                     ControllerOutput::Send {
                         to,
-                        letter: Letter::CoreLocation { location, .. },
+                        message: Message::CoreLocation { location, .. },
                         ..
                     } => {
                         assert_eq!(location.voters, [Address::loopback(1)]);
@@ -400,22 +401,22 @@
             address: Address::loopback(from),
             zone: "east".into(),
         };
-        let poll = Poll {
+        let poll = LeaseRequest {
             member,
             round: 1,
-            epoch: Epoch(epoch),
-            view: ViewEpoch(1),
+            epoch: ConfigEpoch(epoch),
+            view: ViewNumber(1),
             has_key: true,
-            hears: vec![],
+            reachable_peers: vec![],
         };
-        let letter = Letter::Poll {
+        let message = Message::LeaseRequest {
             poll: Box::new(poll),
         };
         self.step(
             5,
-            ControllerInput::Letter {
+            ControllerInput::Message {
                 from: Address::loopback(from),
-                letter,
+                message,
             },
         )
     }
@@ -423,14 +424,14 @@
         let proposal = Proposal {
             id: format!("op-{number}"),
             builds_on: None,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command: withdraw(),
         };
         self.step(
             5,
             ControllerInput::Operator {
                 number,
-                ask: OperatorAsk::Propose(proposal),
+                ask: OperatorRequest::Propose(proposal),
             },
         )
     }
@@ -446,7 +447,12 @@
     played.ticks(3000);
     played.poll(9, 0);
     played.ticks(100);
-    let is_held = |played: &Alone| !played.controller.members(Moment(played.at)).is_empty();
+    let is_held = |played: &Alone| {
+        !played
+            .controller
+            .members(MonotonicInstant(played.at))
+            .is_empty()
+    };
     assert!(is_held(&played), "it was let in and given a lease");
     assert_eq!(played.withdraw(1), []);
     assert_eq!(
@@ -494,7 +500,7 @@
     }
 }
 
-fn credit_ask(number: u64) -> Letter {
+fn credit_ask(number: u64) -> Message {
     use quota::{Amount, CreditAsk, CreditRequest, QuotaLimit};
     let limit = QuotaLimit {
         rate: Amount::units(10),
@@ -509,20 +515,20 @@
         want: need,
     };
     let ask = CreditAsk {
-        life: 7,
+        incarnation: 7,
         number,
-        plan_epoch: Epoch(1),
+        plan_epoch: ConfigEpoch(1),
         fresh_for: None,
         is_whole: true,
         entries: vec![entry],
     };
-    Letter::CreditAsk { ask: Box::new(ask) }
+    Message::CreditAsk { ask: Box::new(ask) }
 }
 
 fn granted(outputs: Vec<ControllerOutput>) -> Vec<u64> {
     let grants = outputs.into_iter().filter_map(|output| match output {
         ControllerOutput::Send {
-            letter: Letter::CreditGrant { grant },
+            message: Message::CreditGrant { grant },
             ..
         } => Some(grant),
         _ => None,
@@ -539,11 +545,11 @@
     played.poll(9, 0);
     played.ticks(100);
     let ask = |played: &mut Alone, number: u64| {
-        let input = ControllerInput::Letter {
+        let input = ControllerInput::Message {
             from: Address::loopback(9),
-            letter: credit_ask(number),
+            message: credit_ask(number),
         };
-        granted(played.controller.step(Moment(played.at), input))
+        granted(played.controller.step(MonotonicInstant(played.at), input))
     };
     // It has just begun to grant: what was spent before isn't known.
     assert_eq!(ask(&mut played, 1), [0]);
@@ -558,12 +564,12 @@
 #[test]
 fn a_controller_that_is_not_the_tail_grants_nothing() {
     let mut played = Played::new(0);
-    let input = ControllerInput::Letter {
+    let input = ControllerInput::Message {
         from: Address::loopback(9),
-        letter: credit_ask(1),
+        message: credit_ask(1),
     };
     assert_eq!(
-        granted(played.controller.step(Moment(played.at), input)),
+        granted(played.controller.step(MonotonicInstant(played.at), input)),
         [] as [u64; 0]
     );
 }
@@ -575,10 +581,10 @@
     played.ticks(3000);
     let me = played.controller.replica().me();
     let view = |epoch: u64, tail: Voter| View {
-        epoch: ViewEpoch(epoch),
-        chain: vec![Seat {
+        epoch: ViewNumber(epoch),
+        chain: vec![ChainPosition {
             voter: tail,
-            is_level: true,
+            is_caught_up: true,
         }],
         voters: vec![tail],
     };
--- a/crates/controller/src/core_line.rs
+++ b/crates/controller/src/core_line.rs
@@ -1,27 +1,27 @@
-use crate::controller::{ControllerInput, OperatorAsk};
+use crate::controller::{ControllerInput, OperatorRequest};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use transport::{Client, Response};
-use types::{Clock, Moment, ResultCode, Span};
+use types::{Clock, Milliseconds, MonotonicInstant, ResultCode};
 
 /// Bounds the operators' requests that wait in this process.
 const OPERATORS: usize = 64;
 
 /// An operator of the product's own interface waits at least this long.
-pub(crate) const OPERATOR_PATIENCE: Span = Span::seconds(12);
+pub(crate) const OPERATOR_PATIENCE: Milliseconds = Milliseconds::seconds(12);
 /// How often it's looked whether an operator that waits is still there.
-const LOOK_EVERY: Span = Span(100);
+const LOOK_EVERY: Milliseconds = Milliseconds(100);
 
 /// One call of an operator: until when it is worth an answer, and to whom.
 pub struct Attempt {
-    deadline: Moment,
+    deadline: MonotonicInstant,
     client: Option<Client>,
 }
 
 impl Attempt {
     /// One that has just come in on this connection, if it's on one, and lasts so long.
-    pub fn new(patience: Span, client: Option<Client>) -> Self {
+    pub fn new(patience: Milliseconds, client: Option<Client>) -> Self {
         Attempt {
             deadline: Clock::now() + patience,
             client,
@@ -56,25 +56,25 @@
 }
 
 /// From a connection's thread to the control thread and back.
-pub struct CoreLine {
+pub struct ReplicationTransport {
     responses: Responses,
     counter: AtomicU64,
     tell: Box<dyn Fn(ControllerInput) + Send + Sync>,
 }
 
-impl CoreLine {
+impl ReplicationTransport {
     pub(crate) fn new(
         responses: Responses,
         tell: impl Fn(ControllerInput) + Send + Sync + 'static,
     ) -> Self {
-        CoreLine {
+        ReplicationTransport {
             responses,
             counter: AtomicU64::new(1),
             tell: Box::new(tell),
         }
     }
     /// Asks, and waits for status and body while the attempt lasts. What it leaves unfinished is given up.
-    pub fn ask(&self, ask: OperatorAsk, attempt: &Attempt) -> Result<Told, Box<Response>> {
+    pub fn ask(&self, ask: OperatorRequest, attempt: &Attempt) -> Result<Told, Box<Response>> {
         if attempt.is_over() {
             return Err(Box::new(Response::result(
                 ResultCode::CoreNotReady,
--- a/crates/controller/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -1,29 +1,32 @@
-use crate::contacts::Contacts;
+use crate::contacts::PeerDiscovery;
 use crate::control_event::ControlEvent;
 use crate::controller::{Controller, ControllerInput, ControllerOutput, ControllerTiming};
 use crate::core_line::Responses;
-use crate::core_line::{Attempt, CoreLine};
+use crate::core_line::{Attempt, ReplicationTransport};
 use crate::disk_thread::{DiskEvent, DiskThread};
+use crate::metrics::Metrics;
 use crate::own_interface::OwnInterface;
 use crate::process::Dialects;
 use crate::process::{SETTINGS_PERIOD, operators_gate, stop_flag};
 use crate::relay_daemon::run_relay;
 use crate::settings::Settings;
-use crate::tallies::Tallies;
-use config::{Ledger, parse_addresses};
-use replication::{Kept, Replica, Seat, Voter};
+use config::{ConfigStateMachine, parse_addresses};
+use replication::{ChainPosition, RecoveredRecords, Replica, Voter};
 use std::net::TcpListener;
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use transport::{Post, PostClass, Request, Response};
-use types::{Address, Clock, DiskId, Moment, ResultCode, Span, TokenKey, ZoneName, random_bytes};
+use transport::{MessageTransport, PostClass, Request, Response};
+use types::{
+    Address, Clock, DiskId, Milliseconds, MonotonicInstant, ResultCode, TokenKey, ZoneName,
+    random_bytes,
+};
 
 /// Between clock events, at least and at most.
-const SHORTEST_TICK: Span = Span(20);
-const LONGEST_TICK: Span = Span(100);
+const SHORTEST_TICK: Milliseconds = Milliseconds(20);
+const LONGEST_TICK: Milliseconds = Milliseconds(100);
 /// A controller that is told to stop waits for so long at most until others have taken over what it holds.
-const LONGEST_HAND_OVER: Span = Span(4000);
+const LONGEST_HAND_OVER: Milliseconds = Milliseconds(4000);
 /// What may wait for the control thread; whoever brings more waits.
 const QUEUE: usize = 8192;
 
@@ -50,19 +53,19 @@
     let seeds = parse_addresses(&settings.seeds);
     let listener =
         TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
-    let gate = operators_gate(listen)?;
+    let http_server = operators_gate(listen)?;
     let (sender, events) = flume::bounded::<ControlEvent>(QUEUE);
 
     let tell_control = sender.clone();
-    let disk_thread = DiskThread::open(Path::new(&settings.folder), move |life, event| {
-        let _ = tell_control.send(ControlEvent::Disk(life, event));
+    let disk_thread = DiskThread::open(Path::new(&settings.folder), move |incarnation, event| {
+        let _ = tell_control.send(ControlEvent::Disk(incarnation, event));
     })
     .map_err(|fault| format!("folder = {}: {fault}", settings.folder))?;
-    let take_letter = sender.clone();
-    let post = Post::open(listener, move |from, letter| {
-        let _ = take_letter.send(ControlEvent::Input(ControllerInput::Letter {
+    let take_message = sender.clone();
+    let post = MessageTransport::open(listener, move |from, message| {
+        let _ = take_message.send(ControlEvent::Input(ControllerInput::Message {
             from,
-            letter,
+            message,
         }));
     })
     .map_err(|fault| format!("inner = {inner}: {fault}"))?;
@@ -70,7 +73,7 @@
     let stop = stop_flag()?;
     let responses = Responses::default();
     let is_ready = Arc::new(AtomicBool::new(false));
-    let tallies = Arc::new(Tallies::default());
+    let metrics = Arc::new(Metrics::default());
     let gate_sender = sender.clone();
     let zones = settings
         .zones
@@ -81,7 +84,7 @@
         let _ = gate_sender.send(ControlEvent::Input(input));
     };
     let read_seeds = dialects.seeds.clone();
-    let core = CoreLine::new(responses.clone(), tell);
+    let core = ReplicationTransport::new(responses.clone(), tell);
     let believes_sender = sender.clone();
     let door = Door {
         core,
@@ -89,18 +92,18 @@
         zones,
         sender: believes_sender,
         is_ready: is_ready.clone(),
-        tallies: tallies.clone(),
+        metrics: metrics.clone(),
     };
     let door = Arc::new(door);
-    let gate_thread = move || {
-        gate.serve(move |request| {
-            door.tallies.requests.fetch_add(1, Ordering::Relaxed);
+    let http_server_thread = move || {
+        http_server.serve(move |request| {
+            door.metrics.requests.fetch_add(1, Ordering::Relaxed);
             door.respond(&request)
         });
     };
     std::thread::Builder::new()
         .name("gate".into())
-        .spawn(gate_thread)
+        .spawn(http_server_thread)
         .map_err(|fault| fault.to_string())?;
     tracing::info!(
         "controller: listens at {listen}, inner {inner}, zone {}.",
@@ -121,17 +124,17 @@
         post,
         responses,
         is_ready,
-        tallies,
+        metrics,
         controller: None,
-        life: 0,
+        incarnation: 0,
         fault: None,
     };
     let mut next_tick = Clock::now();
     let mut next_reading = next_tick;
-    let mut leaving_since = None;
+    let mut draining_since = None;
     loop {
         let now = Clock::now();
-        if stop.load(Ordering::Relaxed) && control.may_stop(now, *leaving_since.get_or_insert(now))
+        if stop.load(Ordering::Relaxed) && control.may_stop(now, *draining_since.get_or_insert(now))
         {
             break;
         }
@@ -172,18 +175,18 @@
     seeds: Vec<Address>,
     timing: ControllerTiming,
     disk_thread: DiskThread,
-    post: Post,
+    post: MessageTransport,
     responses: Responses,
     is_ready: Arc<AtomicBool>,
-    tallies: Arc<Tallies>,
+    metrics: Arc<Metrics>,
     controller: Option<Controller>,
-    life: u64,
+    incarnation: u64,
     fault: Option<String>,
 }
 
 impl Control {
     /// Told to stop: asks the others to take over, and says when they have or when the time is up.
-    fn may_stop(&mut self, now: Moment, since: Moment) -> bool {
+    fn may_stop(&mut self, now: MonotonicInstant, since: MonotonicInstant) -> bool {
         self.step(now, ControllerInput::Leave);
         let has_handed_over = self
             .controller
@@ -196,13 +199,15 @@
         let now = Clock::now();
         match event {
             ControlEvent::Input(input) => self.step(now, input),
-            ControlEvent::Disk(life, DiskEvent::Ready { disk, kept }) => {
-                self.begin(life, disk, kept)
+            ControlEvent::Disk(incarnation, DiskEvent::Ready { disk, kept }) => {
+                self.begin(incarnation, disk, kept)
             }
-            ControlEvent::Disk(life, DiskEvent::Written { id }) if life == self.life => {
+            ControlEvent::Disk(incarnation, DiskEvent::Written { id })
+                if incarnation == self.incarnation =>
+            {
                 self.step(now, ControllerInput::Written { id });
             }
-            ControlEvent::Disk(life, DiskEvent::Fault { why }) => {
+            ControlEvent::Disk(incarnation, DiskEvent::Fault { why }) => {
                 if self.fault.as_ref() != Some(&why) {
                     tracing::error!(
                         "disk: {} {why}; this controller steps out.",
@@ -210,8 +215,8 @@
                     );
                     self.fault = Some(why);
                 }
-                self.tallies.faults.fetch_add(1, Ordering::Relaxed);
-                if life == self.life {
+                self.metrics.faults.fetch_add(1, Ordering::Relaxed);
+                if incarnation == self.incarnation {
                     self.step(now, ControllerInput::DiskFault);
                 }
             }
@@ -232,7 +237,7 @@
         self.take(ControlEvent::Input(ControllerInput::Seeds(seeds)));
     }
 
-    fn begin(&mut self, life: u64, disk: DiskId, kept: Kept) {
+    fn begin(&mut self, incarnation: u64, disk: DiskId, kept: RecoveredRecords) {
         let now = Clock::now();
         let me = Voter {
             address: self.inner,
@@ -245,19 +250,26 @@
             self.founders.clone()
         };
         let timing = self.timing;
-        match Replica::new(me, known, timing.replica, kept, Ledger::default(), now) {
+        match Replica::new(
+            me,
+            known,
+            timing.replica,
+            kept,
+            ConfigStateMachine::default(),
+            now,
+        ) {
             Ok(replica) => {
                 tracing::info!(
                     "controller: disk {disk} holds epoch {}.",
                     replica.state_machine().epoch
                 );
-                self.life = life;
-                self.disk_thread.begin(life);
+                self.incarnation = incarnation;
+                self.disk_thread.begin(incarnation);
                 self.fault = None;
                 let (key, incarnation) =
                     (TokenKey(random_bytes()), u64::from_ne_bytes(random_bytes()));
                 let contacts =
-                    Contacts::new(self.inner, Some(self.listen), self.seeds.clone(), now);
+                    PeerDiscovery::new(self.inner, Some(self.listen), self.seeds.clone(), now);
                 self.controller = Some(Controller::new(
                     replica,
                     contacts,
@@ -278,7 +290,7 @@
         }
     }
 
-    fn step(&mut self, now: Moment, input: ControllerInput) {
+    fn step(&mut self, now: MonotonicInstant, input: ControllerInput) {
         let Some(controller) = &mut self.controller else {
             return;
         };
@@ -287,17 +299,17 @@
                 ControllerOutput::Send {
                     to,
                     is_bulk,
-                    letter,
+                    message,
                 } => {
-                    let class = PostClass::of(&letter, is_bulk);
-                    self.post.send(to, class, letter);
+                    let class = PostClass::of(&message, is_bulk);
+                    self.post.send(to, class, message);
                 }
                 ControllerOutput::Write {
                     id,
                     records,
                     is_whole,
                 } => {
-                    self.tallies.writes.fetch_add(1, Ordering::Relaxed);
+                    self.metrics.writes.fetch_add(1, Ordering::Relaxed);
                     self.disk_thread.write(id, records, is_whole);
                 }
                 ControllerOutput::Response {
@@ -308,11 +320,11 @@
                     self.responses.give(number, status, body);
                 }
                 ControllerOutput::ViewChanged(view) => {
-                    let seat = |seat: &Seat| match seat.is_level {
-                        true => seat.voter.address.to_string(),
-                        false => format!("{} (not level yet)", seat.voter.address),
+                    let position = |position: &ChainPosition| match position.is_caught_up {
+                        true => position.voter.address.to_string(),
+                        false => format!("{} (not level yet)", position.voter.address),
                     };
-                    let chain: Vec<String> = view.chain.iter().map(seat).collect();
+                    let chain: Vec<String> = view.chain.iter().map(position).collect();
                     tracing::info!(
                         "replication: view {}, chain {}.",
                         view.epoch,
@@ -321,45 +333,48 @@
                 }
             }
         }
-        let ledger = controller.replica().state_machine();
-        self.tallies.epoch.store(ledger.epoch.0, Ordering::Relaxed);
-        self.tallies
-            .members
-            .store(ledger.membership.members.len() as u64, Ordering::Relaxed);
+        let config_state = controller.replica().state_machine();
+        self.metrics
+            .epoch
+            .store(config_state.epoch.0, Ordering::Relaxed);
+        self.metrics.members.store(
+            config_state.membership.members.len() as u64,
+            Ordering::Relaxed,
+        );
         let view = controller.replica().view();
-        self.tallies.view.store(view.epoch.0, Ordering::Relaxed);
-        self.tallies
+        self.metrics.view.store(view.epoch.0, Ordering::Relaxed);
+        self.metrics
             .chain
             .store(view.chain.len() as u64, Ordering::Relaxed);
-        self.tallies
+        self.metrics
             .polls
             .store(controller.poll_count(), Ordering::Relaxed);
     }
 
-    fn believes(&self, now: Moment) -> serde_json::Value {
+    fn believes(&self, now: MonotonicInstant) -> serde_json::Value {
         let Some(controller) = &self.controller else {
             return serde_json::json!({"inner": self.inner, "fault": self.fault});
         };
         let state = controller.replica().state();
-        let ledger = controller.replica().state_machine();
+        let config_state = controller.replica().state_machine();
         serde_json::json!({
             "inner": self.inner,
             "disk": state.me.disk.to_string(),
             "fault": self.fault,
             "view": state.view.epoch,
             "chain": state.view.chain.iter().map(|s| serde_json::json!({
-                "address": s.voter.address, "disk": s.voter.disk.to_string(), "is_level": s.is_level,
+                "address": s.voter.address, "disk": s.voter.disk.to_string(), "is_level": s.is_caught_up,
             })).collect::<Vec<_>>(),
             "voters": state.view.voters.iter().map(|v| v.address).collect::<Vec<_>>(),
             "last": state.last,
             "replied": state.replied,
             "may_respond": state.may_respond,
-            "is_sound": state.is_sound,
+            "is_sound": state.is_healthy,
             "heard_ms_ago": state.heard.iter().map(|(a, s)| (a.to_string(), s.0)).collect::<std::collections::BTreeMap<_, _>>(),
-            "epoch": ledger.epoch,
-            "plan_epoch": ledger.plan_epoch,
-            "withdrawn": ledger.withdrawn,
-            "members": ledger.membership.members,
+            "epoch": config_state.epoch,
+            "plan_epoch": config_state.plan_epoch,
+            "withdrawn": config_state.withdrawn,
+            "members": config_state.membership.members,
             "leases": controller.members(now).iter().map(|(a, e)| (a.to_string(), e.0)).collect::<std::collections::BTreeMap<_, _>>(),
         })
     }
@@ -367,12 +382,12 @@
 
 /// What the connections' threads share.
 struct Door {
-    core: CoreLine,
+    core: ReplicationTransport,
     dialects: Dialects,
     zones: Vec<ZoneName>,
     sender: flume::Sender<ControlEvent>,
     is_ready: Arc<AtomicBool>,
-    tallies: Arc<Tallies>,
+    metrics: Arc<Metrics>,
 }
 
 impl Door {
@@ -409,7 +424,7 @@
             &self.core,
             &self.sender,
             &self.is_ready,
-            &self.tallies,
+            &self.metrics,
         )
         .respond()
     }
--- a/crates/controller/src/disk_thread.rs
+++ b/crates/controller/src/disk_thread.rs
@@ -1,7 +1,7 @@
-use replication::{Kept, Record};
+use replication::{Record, RecoveredRecords};
 use std::path::Path;
 use std::time::Duration;
-use storage::{Opened, Storage, StorageFault};
+use storage::{RecoveredStorage, Storage, StorageError};
 use types::{DiskId, random_bytes};
 
 /// What the disk's own thread tells the control thread.
@@ -22,13 +22,13 @@
         /// Which disk it is now.
         disk: DiskId,
         /// Its records.
-        kept: Kept,
+        kept: RecoveredRecords,
     },
 }
 
 /// A write on its way to the disk.
 pub(crate) struct DiskWrite {
-    pub life: u64,
+    pub incarnation: u64,
     pub id: u64,
     pub records: Vec<Record>,
     pub is_whole: bool,
@@ -40,7 +40,7 @@
 /// an earlier one are passed over.
 pub struct DiskThread {
     writes: flume::Sender<DiskWrite>,
-    life: u64,
+    incarnation: u64,
 }
 
 impl DiskThread {
@@ -49,16 +49,16 @@
     pub fn open(
         folder: &Path,
         tell: impl Fn(u64, DiskEvent) + Send + 'static,
-    ) -> Result<DiskThread, StorageFault> {
+    ) -> Result<DiskThread, StorageError> {
         let folder = folder.to_owned();
         DiskThread::open_by(move || open_folder(&folder), PAUSE, tell)
     }
 
     fn open_by(
-        open: impl Fn() -> Result<Opened, StorageFault> + Send + 'static,
+        open: impl Fn() -> Result<RecoveredStorage, StorageError> + Send + 'static,
         pause: Duration,
         tell: impl Fn(u64, DiskEvent) + Send + 'static,
-    ) -> Result<DiskThread, StorageFault> {
+    ) -> Result<DiskThread, StorageError> {
         let (writes, inbox) = flume::unbounded();
         let (say_first, first) = flume::bounded(1);
         let work = move || {
@@ -76,26 +76,29 @@
         std::thread::Builder::new()
             .name("disk".into())
             .spawn(work)
-            .map_err(StorageFault::Io)?;
+            .map_err(StorageError::Io)?;
         match first.recv_timeout(FIRST_DEADLINE) {
             Ok(Err(fault)) => Err(fault),
             // A slow disk holds nothing up: what comes of it is told when it's known.
-            Ok(Ok(())) | Err(_) => Ok(DiskThread { writes, life: 1 }),
+            Ok(Ok(())) | Err(_) => Ok(DiskThread {
+                writes,
+                incarnation: 1,
+            }),
         }
     }
 
     /// Hands a write over.
     pub fn write(&self, id: u64, records: Vec<Record>, is_whole: bool) {
         let _ = self.writes.send(DiskWrite {
-            life: self.life,
+            incarnation: self.incarnation,
             id,
             records,
             is_whole,
         });
     }
     /// The control thread has taken up this life.
-    pub fn begin(&mut self, life: u64) {
-        self.life = life;
+    pub fn begin(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
     }
 }
 
@@ -105,12 +108,12 @@
 const FIRST_DEADLINE: Duration = Duration::from_secs(2);
 
 /// Whether it's the disk's trouble, which may pass, and not the folder's.
-fn may_pass(fault: &StorageFault) -> bool {
+fn may_pass(fault: &StorageError) -> bool {
     use std::io::ErrorKind::*;
     /// Linux's number of an I/O error, which has no kind of its own.
     const EIO: i32 = 5;
     match fault {
-        StorageFault::Io(fault) => {
+        StorageError::Io(fault) => {
             let kinds = [
                 StorageFull,
                 QuotaExceeded,
@@ -122,30 +125,30 @@
             ];
             fault.raw_os_error() == Some(EIO) || kinds.contains(&fault.kind())
         }
-        StorageFault::Gone => true,
-        StorageFault::Damaged(_) => false,
+        StorageError::Gone => true,
+        StorageError::Damaged(_) => false,
     }
 }
 
-fn open_folder(folder: &Path) -> Result<Opened, StorageFault> {
+fn open_folder(folder: &Path) -> Result<RecoveredStorage, StorageError> {
     Storage::open(folder, DiskId(u128::from_be_bytes(random_bytes())))
 }
 
 /// Turns a folder's records into the replica's; damage is a fault, never passed over.
-fn read_records(raw: &[Vec<u8>]) -> Result<Kept, StorageFault> {
+fn read_records(raw: &[Vec<u8>]) -> Result<RecoveredRecords, StorageError> {
     let read = |bytes: &Vec<u8>| {
         let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
         aligned.extend_from_slice(bytes);
         let record = rkyv::from_bytes::<Record, rkyv::rancor::Error>(&aligned);
-        record.map_err(|fault| StorageFault::Damaged(format!("a record can't be read: {fault}")))
+        record.map_err(|fault| StorageError::Damaged(format!("a record can't be read: {fault}")))
     };
-    Ok(Kept {
+    Ok(RecoveredRecords {
         records: raw.iter().map(read).collect::<Result<_, _>>()?,
     })
 }
 
 /// Has writes made in order; those between two whole ones are one entry.
-fn apply_writes(storage: &mut Storage, writes: &[DiskWrite]) -> Result<(), StorageFault> {
+fn apply_writes(storage: &mut Storage, writes: &[DiskWrite]) -> Result<(), StorageError> {
     let raw = |records: &[Record]| -> Vec<Vec<u8>> {
         let archive = |record| {
             rkyv::to_bytes::<rkyv::rancor::Error>(record)
@@ -172,13 +175,13 @@
 }
 
 fn keep(
-    open: &impl Fn() -> Result<Opened, StorageFault>,
-    first: Result<Opened, StorageFault>,
+    open: &impl Fn() -> Result<RecoveredStorage, StorageError>,
+    first: Result<RecoveredStorage, StorageError>,
     pause: Duration,
     inbox: &flume::Receiver<DiskWrite>,
     tell: &impl Fn(u64, DiskEvent),
 ) {
-    let mut life = 1;
+    let mut incarnation = 1;
     let mut opened = first;
     loop {
         let ready =
@@ -187,7 +190,7 @@
             Ok(ready) => ready,
             Err(fault) => {
                 tell(
-                    life,
+                    incarnation,
                     DiskEvent::Fault {
                         why: fault.to_string(),
                     },
@@ -197,31 +200,31 @@
                 continue;
             }
         };
-        tell(life, DiskEvent::Ready { disk, kept });
+        tell(incarnation, DiskEvent::Ready { disk, kept });
         let fault = loop {
             let Ok(write) = inbox.recv() else { return };
             // What came while the disk was at work goes to it together, with one sync.
             let mut writes = vec![write];
             writes.extend(inbox.drain());
-            writes.retain(|write| write.life == life);
+            writes.retain(|write| write.incarnation == incarnation);
             let Some(last) = writes.last().map(|write| write.id) else {
                 continue;
             };
             let outcome = apply_writes(&mut storage, &writes);
             match outcome {
-                Ok(()) => tell(life, DiskEvent::Written { id: last }),
+                Ok(()) => tell(incarnation, DiskEvent::Written { id: last }),
                 Err(fault) => break fault,
             }
         };
         tell(
-            life,
+            incarnation,
             DiskEvent::Fault {
                 why: fault.to_string(),
             },
         );
         drop(storage);
         std::thread::sleep(pause);
-        life += 1;
+        incarnation += 1;
         opened = open();
     }
 }
--- a/crates/controller/src/disk_thread/tests.rs
+++ b/crates/controller/src/disk_thread/tests.rs
@@ -1,11 +1,13 @@
 use super::*;
 use crate::disk_thread::{DiskEvent, DiskThread};
-use config::Ledger;
-use replication::{Change, Record, Replica, Seat, StateMachine, Ticket, Timing, View, Voter};
+use config::ConfigStateMachine;
+use replication::{
+    ChainPosition, Change, Record, Replica, StateMachine, Ticket, Timing, View, Voter,
+};
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use storage::StorageFault;
-use types::{Address, DiskId, Moment, Seq};
+use storage::StorageError;
+use types::{Address, DiskId, MonotonicInstant, SequenceNumber};
 use yare::parameterized;
 
 #[parameterized(
@@ -16,12 +18,12 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (path, tries) = (folder.path().join("data"), AtomicUsize::new(0));
     let open = move || match tries.fetch_add(1, Ordering::Relaxed) {
-        0 | 1 => Err(StorageFault::Io(refuse())),
+        0 | 1 => Err(StorageError::Io(refuse())),
         _ => open_folder(&path),
     };
     let (tell, told) = flume::unbounded();
-    let disk_thread = DiskThread::open_by(open, Duration::ZERO, move |life, event| {
-        tell.send((life, event)).unwrap()
+    let disk_thread = DiskThread::open_by(open, Duration::ZERO, move |incarnation, event| {
+        tell.send((incarnation, event)).unwrap()
     });
     let _disk_thread = disk_thread.expect("it starts");
     let next = || {
@@ -52,9 +54,9 @@
         disk: DiskId(1),
     };
     let view = View {
-        chain: vec![Seat {
+        chain: vec![ChainPosition {
             voter: me,
-            is_level: true,
+            is_caught_up: true,
         }],
         voters: vec![me],
         ..View::none()
@@ -64,16 +66,16 @@
         number: 1,
     };
     let change = Change {
-        seq: Seq(6),
+        seq: SequenceNumber(6),
         stamp: view.epoch,
         ticket,
         body: vec![1, 2, 3],
     };
-    let body = Ledger::default().snapshot();
+    let body = ConfigStateMachine::default().snapshot();
     let records = [
         Record::View { view: view.clone() },
         Record::Snapshot {
-            last: Seq(5),
+            last: SequenceNumber(5),
             stamp: view.epoch,
             body,
         },
@@ -107,8 +109,8 @@
                 vec![],
                 Timing::default(),
                 kept,
-                Ledger::default(),
-                Moment(1),
+                ConfigStateMachine::default(),
+                MonotonicInstant(1),
             );
         }
         Ok(())
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -9,25 +9,25 @@
 mod core_line;
 mod daemon;
 mod disk_thread;
+mod metrics;
 mod own_interface;
 mod process;
 mod redirect;
 mod relay;
 mod relay_daemon;
 mod settings;
-mod tallies;
 
 pub use admin::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
-pub use contacts::{ContactTiming, Contacts};
+pub use contacts::{ContactTiming, PeerDiscovery};
 pub use controller::{
-    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
-pub use core_line::{Attempt, CoreLine, Told};
+pub use core_line::{Attempt, ReplicationTransport, Told};
 pub use daemon::run;
 pub use disk_thread::{DiskEvent, DiskThread};
 pub use process::{Dialects, ReadSeeds};
 pub use redirect::ReadAddresses;
-pub use relay::{Relay, RelayInput};
+pub use relay::{DisklessController, RelayInput};
 pub use settings::Settings;
 
 pub use admin_command::{AdminCommand, AdminSubcommand};
--- a/crates/controller/src/tallies.rs
+++ b/crates/controller/src/metrics.rs
@@ -4,7 +4,7 @@
 
 /// What is counted for the metrics.
 #[derive(Default)]
-pub(crate) struct Tallies {
+pub(crate) struct Metrics {
     pub requests: AtomicU64,
     pub writes: AtomicU64,
     pub faults: AtomicU64,
--- a/crates/controller/src/own_interface.rs
+++ b/crates/controller/src/own_interface.rs
@@ -1,16 +1,16 @@
 //! The product's own interface for operators, over HTTP.
 
 use crate::control_event::ControlEvent;
-use crate::controller::OperatorAsk;
+use crate::controller::OperatorRequest;
 use crate::core_line::OPERATOR_PATIENCE;
-use crate::core_line::{Attempt, CoreLine};
-use crate::tallies::Tallies;
+use crate::core_line::{Attempt, ReplicationTransport};
+use crate::metrics::Metrics;
 use config::{Command, Fault, Proposal};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use transport::{Request, Response};
-use types::{Address, Epoch, ResultCode, ServiceName, Span};
-use wire::Reading;
+use types::{Address, ConfigEpoch, Milliseconds, ResultCode, ServiceName};
+use wire::Query;
 
 /// The control thread tells what it believes within this.
 const BELIEVES_PATIENCE: Duration = Duration::from_secs(5);
@@ -25,10 +25,10 @@
 /// Answers one request. Plans are read here, on the connection's own thread, and never on the control thread.
 pub(crate) struct OwnInterface<'a> {
     request: &'a Request,
-    core: &'a CoreLine,
+    core: &'a ReplicationTransport,
     sender: &'a flume::Sender<ControlEvent>,
     is_ready: &'a AtomicBool,
-    tallies: &'a Tallies,
+    metrics: &'a Metrics,
     attempt: Attempt,
 }
 
@@ -36,10 +36,10 @@
     /// For this request.
     pub(crate) fn new(
         request: &'a Request,
-        core: &'a CoreLine,
+        core: &'a ReplicationTransport,
         sender: &'a flume::Sender<ControlEvent>,
         is_ready: &'a AtomicBool,
-        tallies: &'a Tallies,
+        metrics: &'a Metrics,
     ) -> Self {
         let attempt = Attempt::new(OPERATOR_PATIENCE, Some(request.client.clone()));
         OwnInterface {
@@ -47,7 +47,7 @@
             core,
             sender,
             is_ready,
-            tallies,
+            metrics,
             attempt,
         }
     }
@@ -60,21 +60,23 @@
             self.request.parts().as_slice(),
         ) {
             ("GET", ["ready"]) => self.readiness(),
-            ("GET", ["metrics"]) => metrics(self.tallies),
+            ("GET", ["metrics"]) => metrics(self.metrics),
             ("GET", ["v1", "believes"]) => self.believes(),
-            ("GET", ["v1", "latest"]) => self.read(Reading::Latest),
-            ("GET", ["v1", "tenants"]) => self.read(Reading::Tenants),
-            ("GET", ["v1", "plan"]) => self.read(Reading::Epoch { epoch: Epoch(0) }),
+            ("GET", ["v1", "latest"]) => self.read(Query::Latest),
+            ("GET", ["v1", "tenants"]) => self.read(Query::Tenants),
+            ("GET", ["v1", "plan"]) => self.read(Query::ConfigEpoch {
+                epoch: ConfigEpoch(0),
+            }),
             ("GET", ["v1", "plans", epoch]) => match epoch.parse() {
-                Ok(epoch) if epoch > 0 => self.read(Reading::Epoch {
-                    epoch: Epoch(epoch),
+                Ok(epoch) if epoch > 0 => self.read(Query::ConfigEpoch {
+                    epoch: ConfigEpoch(epoch),
                 }),
                 _ => Response::result(
                     ResultCode::UnknownEpoch,
                     format!("`{epoch}` is not an epoch"),
                 ),
             },
-            ("GET", ["v1", "fates", id]) => self.read(Reading::Fate {
+            ("GET", ["v1", "fates", id]) => self.read(Query::Fate {
                 id: (*id).to_owned(),
             }),
             ("PUT", ["v1", "plan"]) => match Command::plan(body()) {
@@ -127,11 +129,11 @@
         }
     }
 
-    fn read(&self, reading: Reading) -> Response {
-        self.ask(OperatorAsk::Read(reading))
+    fn read(&self, reading: Query) -> Response {
+        self.ask(OperatorRequest::Read(reading))
     }
 
-    fn ask(&self, what: OperatorAsk) -> Response {
+    fn ask(&self, what: OperatorRequest) -> Response {
         match self.core.ask(what, &self.attempt) {
             Ok((status, body)) => told(status, body),
             Err(response) => *response,
@@ -145,10 +147,10 @@
 
     /// A document that has faults now may have been taken when it was first sent.
     fn refuse(&self, faults: Vec<Fault>) -> Response {
-        let reading = Reading::Fate {
+        let reading = Query::Fate {
             id: self.change_id(),
         };
-        match self.core.ask(OperatorAsk::Read(reading), &self.attempt) {
+        match self.core.ask(OperatorRequest::Read(reading), &self.attempt) {
             Ok((status, _)) if status == ResultCode::UnknownChange.http_status() => faulty(&faults),
             Ok((status, body)) => told(status, body),
             Err(response) => *response,
@@ -161,13 +163,15 @@
             .request
             .query_word("builds_on")
             .and_then(|epoch| epoch.parse().ok());
-        let reading = Reading::Base {
-            at_least: Epoch(builds_on.unwrap_or(0)),
+        let reading = Query::Base {
+            at_least: ConfigEpoch(builds_on.unwrap_or(0)),
         };
-        let (status, body) = self.core.ask(OperatorAsk::Read(reading), &self.attempt)?;
+        let (status, body) = self
+            .core
+            .ask(OperatorRequest::Read(reading), &self.attempt)?;
         match body.split_at_checked(8) {
             Some((base, plan)) if status == 200 => {
-                let base = Epoch(u64::from_be_bytes(base.try_into().unwrap_or_default()));
+                let base = ConfigEpoch(u64::from_be_bytes(base.try_into().unwrap_or_default()));
                 Command::change(bytes, base, plan).map_err(|faults| Box::new(self.refuse(faults)))
             }
             _ => Err(Box::new(told(status, body))),
@@ -176,12 +180,12 @@
 
     fn propose(&self, command: Command, needs_base: bool) -> Response {
         let id = self.change_id();
-        if !ServiceName::from(id.as_str()).is_sound() {
+        if !ServiceName::from(id.as_str()).is_healthy() {
             let why = "the query must have an id of 1 to 64 letters, digits or any of -_.:";
             return Response::result(ResultCode::BadPlan, why);
         }
         let builds_on = match self.request.query_word("builds_on").map(str::parse) {
-            Some(Ok(epoch)) => Some(Epoch(epoch)),
+            Some(Ok(epoch)) => Some(ConfigEpoch(epoch)),
             Some(Err(_)) => {
                 return Response::result(ResultCode::BadPlan, "builds_on is not a number");
             }
@@ -193,10 +197,10 @@
             }
             None => None,
         };
-        self.ask(OperatorAsk::Propose(Proposal {
+        self.ask(OperatorRequest::Propose(Proposal {
             id,
             builds_on,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command,
         }))
     }
@@ -225,7 +229,7 @@
         .find(|code| code.http_status() == status && code.comes_back().is_some());
     let response = Response::whole(status, "application/json", body);
     code.into_iter().fold(response, |response, code| {
-        response.to_come_back(*code, Span(0))
+        response.to_come_back(*code, Milliseconds(0))
     })
 }
 
@@ -235,20 +239,20 @@
     Response::json(code.http_status(), &value)
 }
 
-fn metrics(tallies: &Tallies) -> Response {
+fn metrics(metrics: &Metrics) -> Response {
     let rows: [(&str, &str, &AtomicU64); 8] = [
         (
             "controller_http_requests_total",
             "counter",
-            &tallies.requests,
+            &metrics.requests,
         ),
-        ("controller_disk_writes_total", "counter", &tallies.writes),
-        ("controller_disk_faults_total", "counter", &tallies.faults),
-        ("controller_polls_total", "counter", &tallies.polls),
-        ("controller_view_epoch", "gauge", &tallies.view),
-        ("controller_config_epoch", "gauge", &tallies.epoch),
-        ("controller_chain_length", "gauge", &tallies.chain),
-        ("controller_members", "gauge", &tallies.members),
+        ("controller_disk_writes_total", "counter", &metrics.writes),
+        ("controller_disk_faults_total", "counter", &metrics.faults),
+        ("controller_polls_total", "counter", &metrics.polls),
+        ("controller_view_epoch", "gauge", &metrics.view),
+        ("controller_config_epoch", "gauge", &metrics.epoch),
+        ("controller_chain_length", "gauge", &metrics.chain),
+        ("controller_members", "gauge", &metrics.members),
     ];
     let lines = rows.iter().map(|(name, kind, value)| {
         format!(
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -5,11 +5,11 @@
 use config::{OwnPlans, PlanDialect};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
-use transport::{Gate, GateBounds};
-use types::{Address, Span};
+use transport::{HttpServer, HttpServerBounds};
+use types::{Address, Milliseconds};
 
 /// Between readings of the settings' seeds.
-pub(crate) const SETTINGS_PERIOD: Span = Span(1000);
+pub(crate) const SETTINGS_PERIOD: Milliseconds = Milliseconds(1000);
 
 /// How operators speak to a controller.
 #[derive(Clone)]
@@ -54,12 +54,12 @@
 }
 
 /// The gate at which operators are served.
-pub(crate) fn operators_gate(listen: Address) -> Result<Gate, String> {
-    let bounds = GateBounds {
+pub(crate) fn operators_gate(listen: Address) -> Result<HttpServer, String> {
+    let bounds = HttpServerBounds {
         connections: 128,
         body_bytes: 48 << 20,
-        read_span: Span::seconds(20),
-        ..GateBounds::default()
+        read_span: Milliseconds::seconds(20),
+        ..HttpServerBounds::default()
     };
-    Gate::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))
+    HttpServer::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))
 }
--- a/crates/controller/src/redirect.rs
+++ b/crates/controller/src/redirect.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use transport::{Request, Response, ask_get};
-use types::{Address, ResultCode, Span};
+use transport::{Request, Response, http_get};
+use types::{Address, Milliseconds, ResultCode};
 
 /// How long another node may take to say whether it serves.
-const PROBE_PATIENCE: Span = Span(150);
+const PROBE_PATIENCE: Milliseconds = Milliseconds(150);
 
 /// What another node says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 
 /// Asks another node whether it serves.
 fn probe(other: Address) -> Readiness {
-    match ask_get(
+    match http_get(
         &format!("http://{other}/ready"),
         PROBE_PATIENCE,
         PROBE_PATIENCE,
--- a/crates/controller/src/relay.rs
+++ b/crates/controller/src/relay.rs
@@ -1,19 +1,19 @@
 //! A controller without a disk: it keeps nothing and votes on nothing, but may be all that a process is told of. It
 //! tells nodes that ask it where the core is, and knows where operators are served.
 
-use crate::contacts::Contacts;
-use types::{Address, Moment};
-use wire::Letter;
+use crate::contacts::PeerDiscovery;
+use types::{Address, MonotonicInstant};
+use wire::Message;
 
 /// What a relay is told.
 #[derive(Debug, Clone)]
 pub enum RelayInput {
     /// A letter came.
-    Letter {
+    Message {
         /// From there.
         from: Address,
         /// It.
-        letter: Letter,
+        message: Message,
     },
     /// The settings name these seeds now.
     Seeds(Vec<Address>),
@@ -23,23 +23,23 @@
 
 /// The state of a controller without a disk.
 #[derive(Debug, Clone)]
-pub struct Relay {
-    contacts: Contacts,
+pub struct DisklessController {
+    contacts: PeerDiscovery,
 }
 
-impl Relay {
+impl DisklessController {
     /// At the start of a process that is reached at `own`.
-    pub fn new(own: Address, seeds: Vec<Address>, now: Moment) -> Self {
-        Relay {
-            contacts: Contacts::new(own, None, seeds, now),
+    pub fn new(own: Address, seeds: Vec<Address>, now: MonotonicInstant) -> Self {
+        DisklessController {
+            contacts: PeerDiscovery::new(own, None, seeds, now),
         }
     }
 
     /// Takes an input in; gives the letters that are to be sent.
-    pub fn step(&mut self, now: Moment, input: RelayInput) -> Vec<(Address, Letter)> {
+    pub fn step(&mut self, now: MonotonicInstant, input: RelayInput) -> Vec<(Address, Message)> {
         match input {
-            RelayInput::Letter { from, letter } => {
-                self.on_letter(now, from, letter).into_iter().collect()
+            RelayInput::Message { from, message } => {
+                self.on_message(now, from, message).into_iter().collect()
             }
             RelayInput::Seeds(seeds) => {
                 self.contacts.set_seeds(now, seeds);
@@ -49,36 +49,36 @@
         }
     }
 
-    fn on_letter(
+    fn on_message(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         from: Address,
-        letter: Letter,
-    ) -> Option<(Address, Letter)> {
-        let answer = match letter {
-            Letter::CoreLocation {
+        message: Message,
+    ) -> Option<(Address, Message)> {
+        let answer = match message {
+            Message::CoreLocation {
                 location,
                 is_answer,
             } => self.contacts.on_location(now, from, &location, is_answer),
-            Letter::Poll { poll } => {
+            Message::LeaseRequest { poll } => {
                 let response = self.contacts.elsewhere();
-                response.map(|it| Letter::PollResponse {
+                response.map(|it| Message::LeaseResponse {
                     round: poll.round,
                     response: Box::new(it),
                 })
             }
             _ => None,
         };
-        answer.map(|letter| (from, letter))
+        answer.map(|message| (from, message))
     }
 
     /// Where operators reach controllers with a disk, as far as known.
-    pub fn admin_addresses(&self, now: Moment) -> Vec<Address> {
+    pub fn admin_addresses(&self, now: MonotonicInstant) -> Vec<Address> {
         self.contacts.admin_addresses(now)
     }
 
     /// When the next clock event is due.
-    pub fn next_timer(&self) -> Moment {
+    pub fn next_timer(&self) -> MonotonicInstant {
         self.contacts.next_timer()
     }
 }
--- a/crates/controller/src/relay_daemon.rs
+++ b/crates/controller/src/relay_daemon.rs
@@ -3,19 +3,19 @@
 use crate::process::Dialects;
 use crate::process::{SETTINGS_PERIOD, operators_gate, stop_flag};
 use crate::redirect::Redirector;
-use crate::relay::{Relay, RelayInput};
+use crate::relay::{DisklessController, RelayInput};
 use crate::settings::Settings;
 use config::parse_addresses;
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError, RwLock};
-use transport::{Post, PostClass};
-use types::{Address, Clock, Moment, Span};
+use transport::{MessageTransport, PostClass};
+use types::{Address, Clock, Milliseconds, MonotonicInstant};
 
 /// Letters that may wait for the control thread.
 const QUEUE: usize = 1024;
 /// Whether the process is to stop is asked at least this often.
-const LONGEST_WAIT: Span = Span(200);
+const LONGEST_WAIT: Milliseconds = Milliseconds(200);
 
 /// Runs a relay until it's told to stop.
 pub(crate) fn run_relay(settings: &Settings, dialects: &Dialects) -> Result<(), String> {
@@ -23,9 +23,9 @@
     let inner: Address = settings.inner.parse()?;
     let listener =
         TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
-    let (sender, letters) = flume::bounded(QUEUE);
-    let post = Post::open(listener, move |from, letter| {
-        drop(sender.try_send(RelayInput::Letter { from, letter }))
+    let (sender, messages) = flume::bounded(QUEUE);
+    let post = MessageTransport::open(listener, move |from, message| {
+        drop(sender.try_send(RelayInput::Message { from, message }))
     });
     let post = post.map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let stop = stop_flag()?;
@@ -35,7 +35,7 @@
         "controller: listens at {listen}, inner {inner}, has no disk and sends operators on."
     );
     let now = Clock::now();
-    let relay = Relay::new(inner, parse_addresses(&settings.seeds), now);
+    let relay = DisklessController::new(inner, parse_addresses(&settings.seeds), now);
     let mut daemon = RelayDaemon {
         relay,
         post,
@@ -58,8 +58,8 @@
             .until(daemon.relay.next_timer())
             .min(now.until(next_reading))
             .min(LONGEST_WAIT);
-        match letters.recv_timeout(wait.duration()) {
-            Ok(letter) => daemon.take(Clock::now(), letter),
+        match messages.recv_timeout(wait.duration()) {
+            Ok(message) => daemon.take(Clock::now(), message),
             Err(flume::RecvTimeoutError::Timeout) => {}
             Err(flume::RecvTimeoutError::Disconnected) => break,
         }
@@ -95,26 +95,26 @@
             .filter(|other| *other != listen)
             .collect()
     };
-    let gate = operators_gate(listen)?;
+    let http_server = operators_gate(listen)?;
     let redirector = Arc::new(Redirector::new(Arc::new(read_others)));
-    let gate_thread = move || gate.serve(move |request| redirector.respond(&request));
+    let http_server_thread = move || http_server.serve(move |request| redirector.respond(&request));
     let spawned = std::thread::Builder::new()
         .name("gate".into())
-        .spawn(gate_thread);
+        .spawn(http_server_thread);
     spawned.map(drop).map_err(|fault| fault.to_string())
 }
 
 struct RelayDaemon {
-    relay: Relay,
-    post: Post,
+    relay: DisklessController,
+    post: MessageTransport,
     /// What the gate's threads read.
     served: Arc<RwLock<Vec<Address>>>,
 }
 
 impl RelayDaemon {
-    fn take(&mut self, now: Moment, input: RelayInput) {
-        for (to, letter) in self.relay.step(now, input) {
-            self.post.send(to, PostClass::of(&letter, false), letter);
+    fn take(&mut self, now: MonotonicInstant, input: RelayInput) {
+        for (to, message) in self.relay.step(now, input) {
+            self.post.send(to, PostClass::of(&message, false), message);
         }
         *self.served.write().unwrap_or_else(PoisonError::into_inner) =
             self.relay.admin_addresses(now);
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -2,7 +2,7 @@
 use config::{a_name, addresses, an_address, within};
 use quota::QuotaBounds;
 use schematic::Config;
-use types::Span;
+use types::Milliseconds;
 
 /// A controller's settings file.
 #[derive(Debug, Clone, Config)]
@@ -57,7 +57,7 @@
     /// By how much quotas may be exceeded.
     pub fn quota_bounds(&self) -> QuotaBounds {
         QuotaBounds {
-            window: Span(self.quota_window_ms),
+            window: Milliseconds(self.quota_window_ms),
             excess_percent: self.quota_excess_percent,
             tolerance: self.quota_tolerance,
         }
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -6,10 +6,12 @@
 
 use config::{Fault, OwnPlans, Plan, PlanDialect};
 use control::{Carriage, Core, Mutant};
-use controller::{AdminAnswer, AdminCall, AdminTask, ControllerInput, OperatorAsk, SchedulerStep};
+use controller::{
+    AdminAnswer, AdminCall, AdminTask, ControllerInput, OperatorRequest, SchedulerStep,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{ResultCode, ZoneName};
-use wire::Reading;
+use wire::Query;
 
 /// An operator turns to another machine after this silence.
 const SILENCE: u64 = 1000;
@@ -198,7 +200,7 @@
         };
         match step {
             SchedulerStep::Ask(ask) => {
-                door.is_about_fate = matches!(ask, OperatorAsk::Read(Reading::Fate { .. }));
+                door.is_about_fate = matches!(ask, OperatorRequest::Read(Query::Fate { .. }));
                 let machine = door.machine;
                 self.core
                     .tell(machine, ControllerInput::Operator { number, ask });
@@ -417,16 +419,16 @@
     }
 
     fn check(&mut self) {
-        let Some(ledger) = self.core.accepted() else {
+        let Some(config_state) = self.core.accepted() else {
             return;
         };
-        self.accepted = self.accepted.max(ledger.revision);
+        self.accepted = self.accepted.max(config_state.revision);
         let mut wrong = vec![];
         for operator in &mut self.operators {
             let Job::Evacuates(zone) = &operator.job else {
                 continue;
             };
-            let is_evacuated = ledger.withdrawn.contains(zone);
+            let is_evacuated = config_state.withdrawn.contains(zone);
             if operator.told.is_some_and(|told| told != is_evacuated) {
                 wrong.push(format!(
                     "{}: zone {zone} is evacuated: {is_evacuated}, the last word differs",
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -3,12 +3,14 @@
 
 #![allow(dead_code)] // Each test file uses its part.
 
-use config::Ledger;
-use controller::{Contacts, Controller, ControllerInput, ControllerOutput, ControllerTiming};
-use replication::{Kept, Note, Preview, Record, Replica, Seat, StateMachine, View, Voter};
+use config::ConfigStateMachine;
+use controller::{Controller, ControllerInput, ControllerOutput, ControllerTiming, PeerDiscovery};
+use replication::{
+    ChainPosition, Note, Preview, Record, RecoveredRecords, Replica, StateMachine, View, Voter,
+};
 use std::collections::{BTreeMap, VecDeque};
-use types::{Address, DiskId, Moment, TokenKey, ViewEpoch};
-use wire::Letter;
+use types::{Address, DiskId, MonotonicInstant, TokenKey, ViewNumber};
+use wire::Message;
 
 /// Between two clock events.
 const TICK: u64 = 25;
@@ -42,7 +44,7 @@
     durable: Vec<Record>,
     unsynced: VecDeque<(u64, Vec<Record>, bool)>,
     controller: Option<Controller>,
-    lives: u64,
+    incarnations: u64,
 }
 
 /// The control machines and what is between them.
@@ -52,7 +54,7 @@
     /// Answers that operators' questions got, by their numbers.
     pub answers: BTreeMap<u64, (u16, Vec<u8>)>,
     machines: Vec<Machine>,
-    lines: BTreeMap<(usize, usize), (Carriage, VecDeque<Letter>)>,
+    lines: BTreeMap<(usize, usize), (Carriage, VecDeque<Message>)>,
     /// Of a hundred answers of the tail to other machines' questions, so many are lost.
     pub lost_answers: u64,
     mutant: Option<Mutant>,
@@ -77,13 +79,13 @@
             disk: DiskId(n as u128 + 1),
         };
         let chain = (0..3)
-            .map(|n| Seat {
+            .map(|n| ChainPosition {
                 voter: voter(n),
-                is_level: true,
+                is_caught_up: true,
             })
             .collect();
         let view = View {
-            epoch: ViewEpoch(1),
+            epoch: ViewNumber(1),
             chain,
             voters: (0..3).map(voter).collect(),
         };
@@ -92,7 +94,7 @@
             durable: vec![Record::View { view: view.clone() }],
             unsynced: VecDeque::new(),
             controller: None,
-            lives: 0,
+            incarnations: 0,
         };
         let mut core = Core {
             now: 10_000,
@@ -129,7 +131,7 @@
     /// The machine that may answer for the core now.
     pub fn tail(&self) -> Option<usize> {
         let may_respond =
-            |controller: &Controller| controller.replica().may_respond(Moment(self.now));
+            |controller: &Controller| controller.replica().may_respond(MonotonicInstant(self.now));
         (0..3).find(|n| {
             self.machines[*n]
                 .controller
@@ -147,38 +149,45 @@
             .map(|head| usize::from(head.address.0.port()) - 1)
     }
     /// What a machine's disk came to.
-    pub fn ledger(&self, machine: usize) -> Option<&Ledger> {
+    pub fn config_state(&self, machine: usize) -> Option<&ConfigStateMachine> {
         self.machines[machine]
             .controller
             .as_ref()
             .map(|controller| controller.replica().state_machine())
     }
     /// What was accepted, as the tail has it.
-    pub fn accepted(&self) -> Option<&Ledger> {
-        self.ledger(self.tail()?)
+    pub fn accepted(&self) -> Option<&ConfigStateMachine> {
+        self.config_state(self.tail()?)
     }
 
     /// Starts a machine from what its disk holds.
     pub fn start(&mut self, machine: usize) {
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         let timing = ControllerTiming::default();
         let founders = (0..3).map(address).collect();
         let m = &mut self.machines[machine];
         if m.controller.is_some() {
             return;
         }
-        m.lives += 1;
-        let incarnation = mix((machine as u64) << 32 | m.lives) | 1;
+        m.incarnations += 1;
+        let incarnation = mix((machine as u64) << 32 | m.incarnations) | 1;
         let me = Voter {
             address: address(machine),
             disk: m.disk,
         };
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: m.durable.clone(),
         };
-        let replica = Replica::new(me, founders, timing.replica, kept, Ledger::default(), now)
-            .expect("a sound disk");
-        let contacts = Contacts::new(me.address, None, vec![], now);
+        let replica = Replica::new(
+            me,
+            founders,
+            timing.replica,
+            kept,
+            ConfigStateMachine::default(),
+            now,
+        )
+        .expect("a sound disk");
+        let contacts = PeerDiscovery::new(me.address, None, vec![], now);
         m.controller = Some(Controller::new(
             replica,
             contacts,
@@ -196,7 +205,7 @@
         self.lines
             .iter_mut()
             .filter(|((_, to), _)| *to == machine)
-            .for_each(|(_, (_, letters))| letters.clear());
+            .for_each(|(_, (_, messages))| messages.clear());
     }
     /// Ends it and gives it an empty disk.
     pub fn wipe(&mut self, machine: usize) {
@@ -226,14 +235,14 @@
 
     /// Tells a machine something; what follows from it happens in [`Core::advance`] and [`Core::run`].
     pub fn tell(&mut self, machine: usize, input: ControllerInput) {
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         let Some(controller) = &mut self.machines[machine].controller else {
             return;
         };
         for output in controller.step(now, input) {
             match output {
-                ControllerOutput::Send { to, letter, .. } => {
-                    self.send(machine, usize::from(to.0.port()) - 1, letter)
+                ControllerOutput::Send { to, message, .. } => {
+                    self.send(machine, usize::from(to.0.port()) - 1, message)
                 }
                 ControllerOutput::Write {
                     id,
@@ -256,39 +265,41 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, letter: Letter) {
-        if matches!(letter, Letter::Told { .. }) && self.chance(self.lost_answers) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        if matches!(message, Message::Told { .. }) && self.chance(self.lost_answers) {
             return;
         }
-        let (to, letter) = self.tamper(from, to, letter);
-        let (carriage, letters) = self
+        let (to, message) = self.tamper(from, to, message);
+        let (carriage, messages) = self
             .lines
             .entry((from, to))
             .or_insert((Carriage::Open, VecDeque::new()));
         if *carriage != Carriage::Cut {
-            letters.push_back(letter);
+            messages.push_back(message);
         }
     }
 
     /// What a mutant makes of a letter.
-    fn tamper(&self, from: usize, to: usize, letter: Letter) -> (usize, Letter) {
-        match letter {
+    fn tamper(&self, from: usize, to: usize, message: Message) -> (usize, Message) {
+        match message {
             // The newest epoch, in answer to a zone's change: it looks younger than anything.
-            Letter::Told {
+            Message::Told {
                 number,
                 status: 200,
                 body,
             } if self.mutant == Some(Mutant::BlindEvacuations) && body.len() == 8 => (
                 to,
-                Letter::Told {
+                Message::Told {
                     number,
                     status: 200,
                     body: u64::MAX.to_be_bytes().to_vec(),
                 },
             ),
-            Letter::Note { note } if self.mutant == Some(Mutant::HeadRefuses) => match *note {
+            Message::Note { note } if self.mutant == Some(Mutant::HeadRefuses) => match *note {
                 Note::Judge { ticket, body, .. } => {
-                    let judged = self.ledger(from).map(|ledger| ledger.preview(&body));
+                    let judged = self
+                        .config_state(from)
+                        .map(|config_state| config_state.preview(&body));
                     let Some(Preview::TurnAway(body)) = judged else {
                         unreachable!("the head would not take it")
                     };
@@ -299,26 +310,26 @@
                     };
                     (
                         usize::from(ticket.origin.0.port()) - 1,
-                        Letter::Note {
+                        Message::Note {
                             note: Box::new(note),
                         },
                     )
                 }
                 note => (
                     to,
-                    Letter::Note {
+                    Message::Note {
                         note: Box::new(note),
                     },
                 ),
             },
-            letter => (to, letter),
+            message => (to, message),
         }
     }
 
     /// Does one thing that can happen now, drawn at random: a letter arrives or a disk syncs.
     pub fn advance(&mut self) -> bool {
         let is_moving =
-            |line: &(Carriage, VecDeque<Letter>)| line.0 == Carriage::Open && !line.1.is_empty();
+            |line: &(Carriage, VecDeque<Message>)| line.0 == Carriage::Open && !line.1.is_empty();
         let lines = self
             .lines
             .iter()
@@ -335,16 +346,16 @@
         let choice = self.below(choices as u64) as usize;
         match lines.get(choice) {
             Some((from, to)) => {
-                let letter = self
+                let message = self
                     .lines
                     .get_mut(&(*from, *to))
                     .and_then(|line| line.1.pop_front());
-                let letter = letter.expect("it was not empty");
+                let message = message.expect("it was not empty");
                 self.tell(
                     *to,
-                    ControllerInput::Letter {
+                    ControllerInput::Message {
                         from: address(*from),
-                        letter,
+                        message,
                     },
                 );
             }
--- a/crates/controller/tests/delayed_and_refused.rs
+++ b/crates/controller/tests/delayed_and_refused.rs
@@ -4,30 +4,30 @@
 
 use config::{Command, OwnPlans, Proposal};
 use control::{Carriage, Core};
-use controller::{ControllerInput, OperatorAsk};
-use types::Epoch;
+use controller::{ControllerInput, OperatorRequest};
+use types::ConfigEpoch;
 
 const HEAD: usize = 0;
 const MIDDLE: usize = 1;
 const TAIL: usize = 2;
 
-fn proposal(id: &str, command: Command) -> OperatorAsk {
-    OperatorAsk::Propose(Proposal {
+fn proposal(id: &str, command: Command) -> OperatorRequest {
+    OperatorRequest::Propose(Proposal {
         id: id.into(),
         builds_on: None,
-        seen: Epoch(0),
+        seen: ConfigEpoch(0),
         command,
     })
 }
 
-fn plan(id: &str, base: u64, revision: u64) -> OperatorAsk {
+fn plan(id: &str, base: u64, revision: u64) -> OperatorRequest {
     let bytes =
         format!(r#"{{"revision":{revision},"services":{{"a":{{"slots":4}}}}}}"#).into_bytes();
     let command = Command::plan_in(&OwnPlans, bytes, Some(base)).expect("a good plan");
     proposal(id, command.with_zones(&["east".into()]))
 }
 
-fn withdraw(id: &str) -> OperatorAsk {
+fn withdraw(id: &str) -> OperatorRequest {
     proposal(
         id,
         Command::Withdraw {
@@ -36,7 +36,7 @@
     )
 }
 
-fn restore(id: &str) -> OperatorAsk {
+fn restore(id: &str) -> OperatorRequest {
     proposal(
         id,
         Command::Restore {
@@ -45,17 +45,20 @@
     )
 }
 
-fn ask(core: &mut Core, machine: usize, number: u64, ask: OperatorAsk) {
+fn ask(core: &mut Core, machine: usize, number: u64, ask: OperatorRequest) {
     core.tell(machine, ControllerInput::Operator { number, ask });
 }
 
-fn status(core: &mut Core, machine: usize, number: u64, what: OperatorAsk) -> Option<u16> {
+fn status(core: &mut Core, machine: usize, number: u64, what: OperatorRequest) -> Option<u16> {
     ask(core, machine, number, what);
     core.await_answer(number, 4000).map(|(status, _)| status)
 }
 
 /// A machine is just cut off as it takes a call; the operator turns elsewhere and then changes its mind.
-fn after_a_delayed_call(first: fn(&str) -> OperatorAsk, second: fn(&str) -> OperatorAsk) -> Core {
+fn after_a_delayed_call(
+    first: fn(&str) -> OperatorRequest,
+    second: fn(&str) -> OperatorRequest,
+) -> Core {
     let mut core = Core::new(1, None);
     assert_eq!(status(&mut core, HEAD, 1, plan("p", 0, 5)), Some(200));
     assert_eq!(status(&mut core, HEAD, 2, second("before")), Some(200));
@@ -96,7 +99,11 @@
     core.set_line(HEAD, MIDDLE, Carriage::Held);
     ask(&mut core, HEAD, 2, plan("on-one-disk", 5, 7));
     core.run(100);
-    assert_eq!(core.ledger(HEAD).map(|ledger| ledger.revision), Some(7));
+    assert_eq!(
+        core.config_state(HEAD)
+            .map(|config_state| config_state.revision),
+        Some(7)
+    );
     ask(&mut core, TAIL, 3, plan("other", 5, 9));
     core.run(300);
     assert_eq!(
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -9,14 +9,15 @@
 mod golden_file;
 
 use config::read_settings;
-use config::{AsSent, Command, Ledger, Proposal, TenantTable, parse_plan};
+use config::{AsSent, Command, ConfigStateMachine, Proposal, TenantTable, parse_plan};
 use controller::{
-    ContactTiming, Contacts, Controller, ControllerInput, ControllerOutput, ControllerTiming,
-    DiskEvent, DiskThread, OperatorAsk, Quorum, Settings,
+    ContactTiming, Controller, ControllerInput, ControllerOutput, ControllerTiming, DiskEvent,
+    DiskThread, OperatorRequest, PeerDiscovery, Quorum, Settings,
 };
 use quota::{Amount, TenantUse};
 use replication::{
-    Ballot, Change, Kept, Record, Replica, Round, Seat, StateMachine, Ticket, View, Voter,
+    Ballot, ChainPosition, Change, Record, RecoveredRecords, Replica, Round, StateMachine, Ticket,
+    View, Voter,
 };
 use schematic::Config;
 use std::collections::BTreeMap;
@@ -24,9 +25,11 @@
 use std::path::Path;
 use std::time::Duration;
 use storage::Storage;
-use types::Epoch;
-use types::{Address, DiskId, Moment, Seq, TenantName, TokenKey, ViewEpoch, ZoneName};
-use wire::Reading;
+use types::ConfigEpoch;
+use types::{
+    Address, DiskId, MonotonicInstant, SequenceNumber, TenantName, TokenKey, ViewNumber, ZoneName,
+};
+use wire::Query;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_controller");
 /// Longer than any disk takes here; a fault of the disk ends the test at once.
@@ -44,13 +47,13 @@
 }
 
 fn view() -> View {
-    let seat = Seat {
+    let position = ChainPosition {
         voter: me(),
-        is_level: true,
+        is_caught_up: true,
     };
     View {
-        epoch: ViewEpoch(1),
-        chain: vec![seat],
+        epoch: ViewNumber(1),
+        chain: vec![position],
         voters: vec![me()],
     }
 }
@@ -66,8 +69,8 @@
 fn changes(proposals: &[Vec<u8>], first: u64) -> Vec<Record> {
     let change = |(place, body): (usize, &Vec<u8>)| Record::Change {
         change: Change {
-            seq: Seq(first + place as u64),
-            stamp: ViewEpoch(1),
+            seq: SequenceNumber(first + place as u64),
+            stamp: ViewNumber(1),
             ticket: Ticket {
                 origin: Address::loopback(7104),
                 number: 100 + place as u64,
@@ -84,13 +87,13 @@
         proposer: DISK.0,
     };
     let next = View {
-        epoch: ViewEpoch(2),
+        epoch: ViewNumber(2),
         ..view()
     };
     let ballot = Ballot { round, view: next };
     vec![
         Record::Promised {
-            instance: ViewEpoch(2),
+            instance: ViewNumber(2),
             round,
         },
         Record::Accepted { ballot },
@@ -114,14 +117,14 @@
 fn writes_of_snapshot() -> Writes {
     let proposals = proposals();
     let (before, after) = proposals.split_at(CHANGES_IN_SNAPSHOT);
-    let mut ledger = Ledger::default();
+    let mut config_state = ConfigStateMachine::default();
     for body in before {
-        ledger.apply(body);
+        config_state.apply(body);
     }
     let snapshot = Record::Snapshot {
-        last: Seq(CHANGES_IN_SNAPSHOT as u64),
-        stamp: ViewEpoch(1),
-        body: ledger.snapshot(),
+        last: SequenceNumber(CHANGES_IN_SNAPSHOT as u64),
+        stamp: ViewNumber(1),
+        body: config_state.snapshot(),
     };
     let whole = vec![snapshot, Record::View { view: view() }];
     vec![
@@ -146,7 +149,13 @@
 }
 
 /// Opens a folder as a controller does; gives the disk's thread and what it found.
-fn open(folder: &Path) -> (DiskThread, std::sync::mpsc::Receiver<DiskEvent>, Kept) {
+fn open(
+    folder: &Path,
+) -> (
+    DiskThread,
+    std::sync::mpsc::Receiver<DiskEvent>,
+    RecoveredRecords,
+) {
     let (sender, events) = std::sync::mpsc::channel();
     let tell = move |_, event| drop(sender.send(event));
     let thread = DiskThread::open(folder, tell).expect("the folder can be opened");
@@ -242,36 +251,46 @@
 }
 
 /// What a copy of a golden folder gives back.
-fn recovered(name: &str) -> Kept {
+fn recovered(name: &str) -> RecoveredRecords {
     let copy = tempfile::tempdir().expect("a folder");
     copy_golden(name, copy.path());
     let (_thread, _events, kept) = open(copy.path());
     kept
 }
 
-fn controller(kept: Kept) -> Controller {
+fn controller(kept: RecoveredRecords) -> Controller {
     let mut timing = ControllerTiming {
         quorum: Quorum::Holders,
         ..ControllerTiming::default()
     };
     (timing.replica.copies, timing.replica.voters) = (1, 1);
-    let now = Moment(10_000);
+    let now = MonotonicInstant(10_000);
     let founders = vec![me().address];
-    let replica = Replica::new(me(), founders, timing.replica, kept, Ledger::default(), now)
-        .expect("a sound disk");
-    let contacts = Contacts::new(me().address, None, vec![], now);
+    let replica = Replica::new(
+        me(),
+        founders,
+        timing.replica,
+        kept,
+        ConfigStateMachine::default(),
+        now,
+    )
+    .expect("a sound disk");
+    let contacts = PeerDiscovery::new(me().address, None, vec![], now);
     Controller::new(replica, contacts, timing, TokenKey([3; 32]), 1, now)
 }
 
-fn check_ledger(ledger: &Ledger) {
-    assert_eq!((ledger.epoch, ledger.plan_epoch), (Epoch(11), Epoch(4)));
-    assert_eq!(ledger.revision, 2);
+fn check_ledger(config_state: &ConfigStateMachine) {
+    assert_eq!(
+        (config_state.epoch, config_state.plan_epoch),
+        (ConfigEpoch(11), ConfigEpoch(4))
+    );
+    assert_eq!(config_state.revision, 2);
     let withdrawn: Vec<ZoneName> = vec!["north".into(), "south".into()];
-    assert_eq!(ledger.withdrawn, withdrawn);
-    assert_eq!(ledger.key, Some(TokenKey([0x5a; 32])));
+    assert_eq!(config_state.withdrawn, withdrawn);
+    assert_eq!(config_state.key, Some(TokenKey([0x5a; 32])));
     let members = vec![Address::loopback(7201), Address::loopback(7202)];
-    assert_eq!(ledger.membership.members, members);
-    let plan = parse_plan(&ledger.plan).expect("a plan");
+    assert_eq!(config_state.membership.members, members);
+    let plan = parse_plan(&config_state.plan).expect("a plan");
     assert_eq!(plan.services["drafts"].slots, 5);
     assert_eq!(plan.tenants[0].name, "acme");
     let hasher = config::KeyHasher::draw();
@@ -279,9 +298,9 @@
     let digest = tenants.digest(&types::ApiKey::from("k-1"));
     let owner = tenants.tenant(&digest).map(|tenant| tenant.name.as_str());
     assert_eq!(owner, Some("acme"));
-    assert_eq!(ledger.history.entries.len(), 7);
+    assert_eq!(config_state.history.entries.len(), 7);
     let restored = AsSent::Restore("north".into());
-    assert_eq!(ledger.as_sent(Epoch(7)), Ok(restored));
+    assert_eq!(config_state.as_sent(ConfigEpoch(7)), Ok(restored));
 }
 
 #[test]
@@ -322,7 +341,12 @@
         for _ in 0..400 {
             played.tick();
         }
-        assert!(played.controller.replica().may_respond(Moment(played.now)));
+        assert!(
+            played
+                .controller
+                .replica()
+                .may_respond(MonotonicInstant(played.now))
+        );
         played
     }
     fn tick(&mut self) -> Option<(u16, Vec<u8>)> {
@@ -332,7 +356,7 @@
     fn step(&mut self, input: ControllerInput) -> Option<(u16, Vec<u8>)> {
         let (mut inputs, mut response) = (vec![input], None);
         while let Some(input) = inputs.pop() {
-            for output in self.controller.step(Moment(self.now), input) {
+            for output in self.controller.step(MonotonicInstant(self.now), input) {
                 match output {
                     ControllerOutput::Write { id, .. } => {
                         inputs.push(ControllerInput::Written { id });
@@ -340,8 +364,8 @@
                     ControllerOutput::Response { status, body, .. } => {
                         response = Some((status, body));
                     }
-                    ControllerOutput::Send { to, letter, .. } if to == me().address => {
-                        inputs.push(ControllerInput::Letter { from: to, letter });
+                    ControllerOutput::Send { to, message, .. } if to == me().address => {
+                        inputs.push(ControllerInput::Message { from: to, message });
                     }
                     ControllerOutput::Send { .. } | ControllerOutput::ViewChanged(_) => {}
                 }
@@ -350,7 +374,7 @@
         response
     }
     /// The status and body that an operator gets.
-    fn ask(&mut self, ask: OperatorAsk) -> String {
+    fn ask(&mut self, ask: OperatorRequest) -> String {
         self.asked += 1;
         let number = self.asked;
         let mut response = self.step(ControllerInput::Operator { number, ask });
@@ -369,20 +393,20 @@
 #[test]
 fn operators_get_their_golden_answers_to_what_they_read() {
     let lost = vec![Address::loopback(7202)];
-    let heard = |id: &str| Reading::Heard {
+    let heard = |id: &str| Query::Heard {
         id: id.into(),
         members: lost.clone(),
     };
-    let fate = |id: &str| Reading::Fate { id: id.into() };
-    let epoch = |number: u64| Reading::Epoch {
-        epoch: Epoch(number),
+    let fate = |id: &str| Query::Fate { id: id.into() };
+    let epoch = |number: u64| Query::ConfigEpoch {
+        epoch: ConfigEpoch(number),
     };
     let readings = [
-        Reading::Latest,
-        Reading::Tenants,
-        Reading::Newest,
-        Reading::Base {
-            at_least: Epoch(11),
+        Query::Latest,
+        Query::Tenants,
+        Query::Newest,
+        Query::Base {
+            at_least: ConfigEpoch(11),
         },
         heard("f-1"),
         heard("f-new"),
@@ -391,7 +415,7 @@
         fate("never"),
     ];
     let mut played = Played::new();
-    let mut answer = |reading: Reading| played.ask(OperatorAsk::Read(reading));
+    let mut answer = |reading: Query| played.ask(OperatorRequest::Read(reading));
     let mut lines: Vec<String> = readings.into_iter().map(&mut answer).collect();
     lines.extend((0..=12).map(|number| answer(epoch(number))));
     golden_file::compare_json_lines("answers.txt", &lines);
@@ -402,7 +426,7 @@
     let proposal = |id: &str, command: Command| Proposal {
         id: id.into(),
         builds_on: None,
-        seen: Epoch(0),
+        seen: ConfigEpoch(0),
         command,
     };
     let zone = |name: &str| ZoneName::from(name);
@@ -430,7 +454,7 @@
     let mut played = Played::new();
     let lines: Vec<String> = proposals
         .into_iter()
-        .map(|proposal| played.ask(OperatorAsk::Propose(proposal)))
+        .map(|proposal| played.ask(OperatorRequest::Propose(proposal)))
         .collect();
     golden_file::compare_json_lines("outcomes.txt", &lines);
 }
--- a/crates/loadgen/src/asker.rs
+++ b/crates/loadgen/src/asker.rs
@@ -2,8 +2,8 @@
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::time::Instant;
-use transport::{AskError, Heard, ask_get, ask_post, read_all};
-use types::{Address, Span};
+use transport::{Heard, HttpClientError, http_get, http_post, read_all};
+use types::{Address, Milliseconds};
 
 /// What became of a request, as its client saw it.
 #[derive(Debug, Clone, PartialEq)]
@@ -46,8 +46,8 @@
     })
 }
 
-const CONNECT: Span = Span(1000);
-const READ: Span = Span(15_000);
+const CONNECT: Milliseconds = Milliseconds(1000);
+const READ: Milliseconds = Milliseconds(15_000);
 
 /// Asks as a client would, and reads the answer to its end, through other routers if it must.
 pub fn ask(planned: &PlannedRequest, routers: &[Address], first: usize) -> Asked {
@@ -70,7 +70,7 @@
     let body = serde_json::json!({
         "id": planned.id, "service": planned.service, "prompt": planned.prompt, "max_pieces": planned.pieces,
     });
-    let outcome = ask_post(
+    let outcome = http_post(
         &format!("http://{router}/v1/requests"),
         body.to_string().into_bytes(),
         CONNECT,
@@ -97,7 +97,7 @@
         let body = serde_json::json!({"token": token, "from": reader.next})
             .to_string()
             .into_bytes();
-        match ask_post(&format!("http://{router}/v1/resume"), body, CONNECT, READ) {
+        match http_post(&format!("http://{router}/v1/resume"), body, CONNECT, READ) {
             Ok(response) if response.status() == 200 => {
                 is_whole = reader.read(response, &mut asked, began)
             }
@@ -117,7 +117,7 @@
 }
 
 /// The answer's head: a stream to read, or the last word.
-fn opened(outcome: Result<Heard, AskError>, asked: &mut Asked) -> Option<Heard> {
+fn opened(outcome: Result<Heard, HttpClientError>, asked: &mut Asked) -> Option<Heard> {
     match outcome {
         Ok(response) if response.status() == 200 => Some(response),
         Ok(response) => {
@@ -143,15 +143,15 @@
             };
             None
         }
-        Err(AskError::Withheld) => {
+        Err(HttpClientError::Withheld) => {
             (asked.fate, asked.why) = (Fate::Refused(0), "withheld".into());
             None
         }
-        Err(AskError::Unsent(why)) => {
+        Err(HttpClientError::Unsent(why)) => {
             (asked.fate, asked.why) = (Fate::Refused(0), why);
             None
         }
-        Err(AskError::Unknown(why)) => {
+        Err(HttpClientError::Unknown(why)) => {
             (asked.fate, asked.why) = (Fate::Unknown(0), why);
             None
         }
@@ -163,7 +163,7 @@
         "http://{router}/v1/pages/{}/board/{}",
         planned.service, planned.id
     );
-    let Some(response) = opened(ask_get(&url, CONNECT, READ), asked) else {
+    let Some(response) = opened(http_get(&url, CONNECT, READ), asked) else {
         return;
     };
     match read_all(response, 1 << 20) {
--- a/crates/loadgen/src/campaign.rs
+++ b/crates/loadgen/src/campaign.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
-use types::{Address, Span};
+use types::{Address, Milliseconds};
 
 /// How a campaign goes.
 #[derive(Debug, Clone)]
@@ -11,7 +11,7 @@
     /// Where the routers listen.
     pub routers: Vec<Address>,
     /// For this long.
-    pub span: Span,
+    pub span: Milliseconds,
     /// Times today's rates.
     pub scale: f64,
     /// Requests in hand at most; those beyond are counted as late.
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -1,7 +1,7 @@
 use clap::Parser;
 use loadgen::{Campaign, CampaignRules, Mix, MixKind, Report};
 use std::process::ExitCode;
-use types::{Address, Span};
+use types::{Address, Milliseconds};
 
 /// Plays the clients of a fleet for a while and checks every answer. Exit codes: 0 nothing that must
 /// never be was seen, 1 something was, 2 the call can't be used.
@@ -36,7 +36,7 @@
     }
     let rules = CampaignRules {
         routers: line.at,
-        span: Span::seconds(line.seconds),
+        span: Milliseconds::seconds(line.seconds),
         scale: line.scale,
         in_hand: 1500,
     };
--- a/crates/placement/examples/placing_speed.rs
+++ b/crates/placement/examples/placing_speed.rs
@@ -1,21 +1,21 @@
 //! How long one choice takes with 90 servers and 90 peers: `cargo run --release --example placing_speed`.
 
 use placement::{
-    BtbRules, Dated, Demand, Event, Holding, Hot, InFlight, PrefixHash, Rules, Scheduler,
-    SchedulerRules, ServerEntry, ServiceRules, Sketch, mix,
+    BtbRules, CachedPrefix, Event, HotPrefix, InFlight, PrefixHash, RequestCost, Rules, Scheduler,
+    SchedulerRules, ServerEntry, ServiceRules, Sketch, Timestamped, mix,
 };
-use types::{Address, Epoch, Moment, RequestId, Span};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId};
 
 fn main() {
     let rules = ServiceRules {
         pool: "model".into(),
         zones: vec![],
         servers: vec![],
-        first_token: Span(800),
+        first_token: Milliseconds(800),
         slots: 128,
         btb: BtbRules::default(),
         cold_per_second: 20,
-        cold_span: Span(3000),
+        cold_span: Milliseconds(3000),
         memory_tokens: 650_000,
     };
     let mut scheduler = Scheduler::new(
@@ -28,13 +28,13 @@
         },
     );
     let mut take = |at: u64, event| {
-        scheduler.take(Dated {
-            at: Moment(1_000_000 + at),
+        scheduler.take(Timestamped {
+            at: MonotonicInstant(1_000_000 + at),
             event,
         })
     };
     let rules = Rules {
-        epoch: Epoch(1),
+        epoch: ConfigEpoch(1),
         services: [("drafts".into(), rules)].into(),
         withdrawn: vec![],
     };
@@ -42,7 +42,7 @@
     let entry = |n: u64| ServerEntry {
         server: format!("i-{n:08x}").as_str().into(),
         slots: Some(128),
-        cold_left: Some(Span(0)),
+        cold_left: Some(Milliseconds(0)),
         zone: "north".into(),
         pool: "model".into(),
         ..ServerEntry::default()
@@ -57,7 +57,7 @@
         0,
         Event::Members {
             members: (1..=90).map(Address::loopback).collect(),
-            since: Epoch(1),
+            since: ConfigEpoch(1),
         },
     );
     let in_flight = |n: u64| InFlight {
@@ -72,13 +72,13 @@
         incarnation: 1,
         number: 1,
         hot: (0..60)
-            .map(|n| Hot {
+            .map(|n| HotPrefix {
                 prefix: PrefixHash(mix(n)),
                 count: 1,
             })
             .collect(),
         holdings: (0..180)
-            .map(|n| Holding {
+            .map(|n| CachedPrefix {
                 prefix: PrefixHash(mix(n % 60)),
                 server: entry(n % 90).server,
                 incarnation: 0,
@@ -109,12 +109,12 @@
         ],
         round: 0,
         tried: vec![],
-        demand: Demand {
+        demand: RequestCost {
             hash_tokens: vec![512, 4870, 6610],
             prompt_tokens: 11_992,
             output_tokens: 400,
-            deadline: Span(15_000),
-            ..Demand::default()
+            deadline: Milliseconds(15_000),
+            ..RequestCost::default()
         },
     };
     let (count, begun) = (5000, std::time::Instant::now());
--- a/crates/placement/src/allowance.rs
+++ b/crates/placement/src/allowance.rs
@@ -1,4 +1,4 @@
-use types::{Moment, Span};
+use types::{Milliseconds, MonotonicInstant};
 
 /// What one node may spend on repeats of one service.
 ///
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Allowance {
     saved: u64,
-    dripped: Moment,
+    dripped: MonotonicInstant,
 }
 
 const ONE: u64 = 1000;
@@ -17,7 +17,7 @@
 
 impl Allowance {
     /// At the start of a life.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: MonotonicInstant) -> Self {
         Allowance {
             saved: 0,
             dripped: now,
@@ -28,14 +28,14 @@
         self.add(u64::from(percent) * ONE / 100, part);
     }
     /// Time goes by: `part` is this node's part of the fleet's allowance a minute.
-    pub fn drip(&mut self, part: u32, now: Moment) {
+    pub fn drip(&mut self, part: u32, now: MonotonicInstant) {
         let deadline = now.since(self.dripped).0 * u64::from(part) / EACH;
         if part == 0 || deadline > 0 {
             // What is less than a thousandth waits for the next time.
             self.dripped = if part == 0 {
                 now
             } else {
-                self.dripped + Span(deadline * EACH / u64::from(part))
+                self.dripped + Milliseconds(deadline * EACH / u64::from(part))
             };
             self.add(deadline, part);
         }
