--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/claim.rs
@@ -1,4 +1,4 @@
-use types::{Epoch, Moment, Span};
+use types::{ConfigEpoch, Milliseconds, MonotonicInstant};
 
 /// This node's claim to its part of what fresh and cold servers bear.
 ///
@@ -11,22 +11,27 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Claim {
     /// When this node learned of the membership that it goes by. `None` until it's told of one.
-    membership_from: Option<Moment>,
-    since: Epoch,
+    membership_from: Option<MonotonicInstant>,
+    since: ConfigEpoch,
     /// The newest lease. Where there is no core, and no lease was ever told of, a claim doesn't lapse.
     lease: Option<Lease>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Lease {
-    until: Moment,
-    span: Span,
+    until: MonotonicInstant,
+    span: Milliseconds,
 }
 
 impl Claim {
     /// The members were told of, as they are since this epoch. Says whether the membership is another one than
     /// before, also if its members are the same.
-    pub fn learn_membership(&mut self, since: Epoch, has_other_members: bool, now: Moment) -> bool {
+    pub fn learn_membership(
+        &mut self,
+        since: ConfigEpoch,
+        has_other_members: bool,
+        now: MonotonicInstant,
+    ) -> bool {
         let is_other = self.membership_from.is_none() || has_other_members || since > self.since;
         if is_other {
             self.membership_from = Some(now);
@@ -35,7 +40,7 @@
         is_other
     }
     /// The core gave a lease.
-    pub fn lease(&mut self, until: Moment, span: Span) {
+    pub fn lease(&mut self, until: MonotonicInstant, span: Milliseconds) {
         let former = self.lease.unwrap_or(Lease { until, span });
         self.lease = Some(Lease {
             until: former.until.max(until),
@@ -43,11 +48,11 @@
         });
     }
     /// Whether it holds; else when to look again.
-    pub fn check(&self, now: Moment) -> Result<(), Span> {
+    pub fn check(&self, now: MonotonicInstant) -> Result<(), Milliseconds> {
         let Some(membership_from) = self.membership_from else {
             return Err(LOOK_AGAIN);
         };
-        let others_lapse = self.lease.map_or(Span(0), |lease| lease.span);
+        let others_lapse = self.lease.map_or(Milliseconds(0), |lease| lease.span);
         let holds_from = membership_from + others_lapse + SENT_BY_THEN;
         if now < holds_from {
             return Err(now.until(holds_from));
@@ -60,6 +65,6 @@
 }
 
 /// What was placed under a claim that has lapsed has left by then, and the second in which it counts is over.
-const SENT_BY_THEN: Span = Span(1500);
+const SENT_BY_THEN: Milliseconds = Milliseconds(1500);
 /// A lease may come at any moment.
-const LOOK_AGAIN: Span = Span::seconds(1);
+const LOOK_AGAIN: Milliseconds = Milliseconds::seconds(1);
--- a/crates/placement/src/digest.rs
+++ b/crates/placement/src/digest.rs
@@ -1,5 +1,5 @@
 use crate::share::{key_of, mix};
-use crate::sketch::{Holding, Hot, InFlight, PrefixHash, Sketch};
+use crate::sketch::{CachedPrefix, HotPrefix, InFlight, PrefixHash, Sketch};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Address, ServerName, messages};
 
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DigestKey {
     /// Arrivals of a prefix within the window.
-    Hot(PrefixHash),
+    HotPrefix(PrefixHash),
     /// Requests in hand at a server, by [`server_key`] of its name.
     Load(u32),
     /// Prompt tokens of them that are still to be read, in units of 128.
@@ -85,7 +85,7 @@
 }
 
 /// A server's life as a number, with whether a first token has shown what is believed.
-pub fn life_key(server: &ServerName, incarnation: u64, is_shown: bool) -> u32 {
+pub fn incarnation_key(server: &ServerName, incarnation: u64, is_shown: bool) -> u32 {
     (mix(key_of(server.as_str()) ^ incarnation) >> 32) as u32 & !1 | u32::from(is_shown)
 }
 
@@ -97,7 +97,7 @@
         sketch
             .hot
             .iter()
-            .for_each(|hot| digest.more(DigestKey::Hot(hot.prefix), cut(hot.count)));
+            .for_each(|hot| digest.more(DigestKey::HotPrefix(hot.prefix), cut(hot.count)));
         for busy in &sketch.in_flight {
             let server = server_key(&busy.server);
             let units =
@@ -110,7 +110,7 @@
             digest.more(
                 DigestKey::Held(
                     held.prefix,
-                    life_key(&held.server, held.incarnation, held.is_shown),
+                    incarnation_key(&held.server, held.incarnation, held.is_shown),
                 ),
                 1,
             );
@@ -135,9 +135,14 @@
             .iter()
             .map(|(name, _)| (server_key(name), *name))
             .collect();
-        let lives: BTreeMap<u32, (&ServerName, u64)> = servers
+        let incarnations: BTreeMap<u32, (&ServerName, u64)> = servers
             .iter()
-            .map(|(name, life)| (life_key(name, *life, false), (*name, *life)))
+            .map(|(name, incarnation)| {
+                (
+                    incarnation_key(name, *incarnation, false),
+                    (*name, *incarnation),
+                )
+            })
             .collect();
         let missing = Some(self.missing.iter().copied().collect());
         let mut sketch = Sketch {
@@ -148,7 +153,7 @@
         };
         for (key, count) in &self.counts {
             match key {
-                DigestKey::Hot(prefix) => sketch.hot.push(Hot {
+                DigestKey::HotPrefix(prefix) => sketch.hot.push(HotPrefix {
                     prefix: *prefix,
                     count: u32::from(*count),
                 }),
@@ -165,15 +170,15 @@
                 }
                 // Told with the server's load.
                 DigestKey::Unread(_) | DigestKey::Memory(_) => {}
-                DigestKey::Held(prefix, life) => {
-                    sketch
-                        .holdings
-                        .extend(lives.get(&(life & !1)).map(|(name, incarnation)| Holding {
+                DigestKey::Held(prefix, key) => {
+                    sketch.holdings.extend(incarnations.get(&(key & !1)).map(
+                        |(name, incarnation)| CachedPrefix {
                             prefix: *prefix,
                             server: (*name).clone(),
                             incarnation: *incarnation,
-                            is_shown: life & 1 == 1,
-                        }))
+                            is_shown: key & 1 == 1,
+                        },
+                    ))
                 }
                 DigestKey::Leaving(server) => sketch
                     .leaving
@@ -228,7 +233,7 @@
     fn bound(&mut self, hot: usize, held: usize) {
         type IsKind = fn(&DigestKey) -> bool;
         let kinds: [(usize, IsKind); 6] = [
-            (hot, |key| matches!(key, DigestKey::Hot(_))),
+            (hot, |key| matches!(key, DigestKey::HotPrefix(_))),
             (held, |key| matches!(key, DigestKey::Held(..))),
             (LOADS, |key| matches!(key, DigestKey::Load(_))),
             (LOADS, |key| matches!(key, DigestKey::Unread(_))),
@@ -289,7 +294,7 @@
 impl DigestChange {
     fn put(&mut self, key: DigestKey, count: u16) {
         match key {
-            DigestKey::Hot(prefix) => {
+            DigestKey::HotPrefix(prefix) => {
                 self.hot.push(prefix.0);
                 self.hot_counts.push(count);
             }
@@ -305,9 +310,9 @@
                 self.memory.push(server);
                 self.memory_counts.push(count);
             }
-            DigestKey::Held(prefix, life) => {
+            DigestKey::Held(prefix, incarnation) => {
                 self.held.push(prefix.0);
-                self.held_by.push(life);
+                self.held_by.push(incarnation);
                 self.held_counts.push(count);
             }
             DigestKey::Leaving(server) => {
@@ -322,15 +327,16 @@
             .hot
             .iter()
             .zip(&self.hot_counts)
-            .map(|(prefix, n)| (DigestKey::Hot(PrefixHash(*prefix)), *n));
+            .map(|(prefix, n)| (DigestKey::HotPrefix(PrefixHash(*prefix)), *n));
         let loads = self
             .loads
             .iter()
             .zip(&self.load_counts)
             .map(|(server, n)| (DigestKey::Load(*server), *n));
         let held = self.held.iter().zip(&self.held_by).zip(&self.held_counts);
-        let held =
-            held.map(|((prefix, life), n)| (DigestKey::Held(PrefixHash(*prefix), *life), *n));
+        let held = held.map(|((prefix, incarnation), n)| {
+            (DigestKey::Held(PrefixHash(*prefix), *incarnation), *n)
+        });
         let leaving = self
             .leaving
             .iter()
--- a/crates/placement/src/digest/tests.rs
+++ b/crates/placement/src/digest/tests.rs
@@ -1,14 +1,14 @@
 use crate::digest::{Digest, DigestKey};
-use crate::sketch::{Holding, Hot, InFlight, PrefixHash, Sketch};
+use crate::sketch::{CachedPrefix, HotPrefix, InFlight, PrefixHash, Sketch};
 use types::ServerName;
 
 fn sketch(count: u32) -> Sketch {
     Sketch {
-        hot: vec![Hot {
+        hot: vec![HotPrefix {
             prefix: PrefixHash(7),
             count,
         }],
-        holdings: vec![Holding {
+        holdings: vec![CachedPrefix {
             prefix: PrefixHash(7),
             server: "a".into(),
             incarnation: 3,
@@ -82,13 +82,13 @@
 fn whatever_a_node_saw_what_it_tells_is_bounded() {
     let many = Sketch {
         hot: (0..10_000)
-            .map(|n| Hot {
+            .map(|n| HotPrefix {
                 prefix: PrefixHash(n),
                 count: n as u32,
             })
             .collect(),
         holdings: (0..10_000)
-            .map(|n| Holding {
+            .map(|n| CachedPrefix {
                 prefix: PrefixHash(n),
                 server: "a".into(),
                 incarnation: 1,
@@ -108,7 +108,7 @@
     };
     let digest = Digest::of(&many);
     assert_eq!(
-        digest.count(DigestKey::Hot(PrefixHash(9_999))),
+        digest.count(DigestKey::HotPrefix(PrefixHash(9_999))),
         9_999,
         "the hottest stay"
     );
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,7 +1,10 @@
 use crate::rules::Rules;
 use crate::sketch::{PrefixHash, Sketch};
 use serde::{Deserialize, Serialize};
-use types::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName, messages};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName, ServiceName,
+    ZoneName, messages,
+};
 
 messages! {
     /// One server in the platform's list.
@@ -17,20 +20,20 @@
         pub slots: Option<u32>,
         /// How much longer it is cold, if the list tells.
         #[serde(default)]
-        pub cold_left: Option<Span>,
+        pub cold_left: Option<Milliseconds>,
         /// Its zone.
         pub zone: ZoneName,
         /// Its pool, such as `model` or `app`.
         pub pool: String,
         /// Whether it's leaving.
-        #[serde(default)]
-        pub is_leaving: bool,
+        #[serde(rename = "is_leaving", default)]
+        pub is_draining: bool,
     }
 }
 
 /// What a request asks of a server, as far as its client tells. All zero: nothing is told.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Demand {
+pub struct RequestCost {
     /// Tokens that each hash of the prompt adds to the one before; empty: `SchedulerRules::block_tokens` each.
     #[serde(default)]
     pub hash_tokens: Vec<u32>,
@@ -45,13 +48,13 @@
     pub rank: u8,
     /// In place of the service's: the first piece is wanted within this. Zero: the service's.
     #[serde(default)]
-    pub target: Span,
+    pub target: Milliseconds,
     /// The client waits this long in all. Zero: not told.
     #[serde(default)]
-    pub deadline: Span,
+    pub deadline: Milliseconds,
 }
 
-impl Demand {
+impl RequestCost {
     /// Whether the client told anything of its request; then it's placed by expected time.
     pub fn is_told(&self) -> bool {
         self.deadline.0 > 0 || !self.hash_tokens.is_empty()
@@ -97,14 +100,14 @@
         members: Vec<Address>,
         /// The epoch at which they became these: it rises with each change, also one back to former members.
         #[serde(default)]
-        since: Epoch,
+        since: ConfigEpoch,
     },
     /// The core gave this node a lease: the members that it was told of are those of now.
     Lease {
         /// Until when, on the node's clock.
-        until: Moment,
+        until: MonotonicInstant,
         /// How long each lease runs at most, whoever holds it.
-        span: Span,
+        span: Milliseconds,
     },
     /// The platform's list, whole.
     ServerList {
@@ -118,7 +121,7 @@
         /// Its life.
         incarnation: u64,
         /// How long it has been up, in ms.
-        up: Span,
+        up: Milliseconds,
         /// Requests running and waiting.
         running: u32,
         /// Of them, or besides, waiting.
@@ -147,7 +150,7 @@
         tried: Vec<ServerName>,
         /// What it asks of a server, where the client tells.
         #[serde(default)]
-        demand: Demand,
+        demand: RequestCost,
     },
     /// The first piece came.
     FirstToken {
@@ -185,9 +188,9 @@
 
 /// An event with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Dated {
+pub struct Timestamped {
     /// When, on the node's monotonic clock.
-    pub at: Moment,
+    pub at: MonotonicInstant,
     /// What.
     #[serde(flatten)]
     pub event: Event,
@@ -196,7 +199,7 @@
 /// Why a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PlaceReason {
+pub enum PlacementReason {
     /// The prefix is active, and this is the least-loaded server that holds it.
     Warm,
     /// It holds the longest part of the prompt.
@@ -221,7 +224,7 @@
     /// Leading blocks believed held.
     pub matched: u32,
     /// Expected time to the first piece.
-    pub expected: Span,
+    pub expected: Milliseconds,
     /// Whether it's believed to hold the counted prefix.
     pub is_warm: bool,
 }
@@ -239,7 +242,7 @@
         /// The server.
         server: ServerName,
         /// Why.
-        reason: PlaceReason,
+        reason: PlacementReason,
         /// Which round of it.
         round: u32,
         /// Arrivals of its prefix within the window, over all nodes.
@@ -247,7 +250,7 @@
         /// Who was weighed.
         candidates: Vec<Candidate>,
         /// Under this epoch.
-        epoch: Epoch,
+        epoch: ConfigEpoch,
     },
     /// A request goes nowhere.
     Refused {
@@ -260,11 +263,11 @@
         /// Why.
         why: String,
         /// When to come back.
-        retry_after: Span,
+        retry_after: Milliseconds,
         /// Which round of it.
         round: u32,
         /// Under this epoch.
-        epoch: Epoch,
+        epoch: ConfigEpoch,
     },
     /// A prefix is active and is to be copied.
     Warm {
@@ -277,7 +280,7 @@
         /// Arrivals that were counted.
         count: u32,
         /// Under this epoch.
-        epoch: Epoch,
+        epoch: ConfigEpoch,
     },
     /// A prefix has cooled; its copies may go.
     Cooled {
@@ -298,6 +301,6 @@
         /// The server.
         server: ServerName,
         /// For this long.
-        span: Span,
+        span: Milliseconds,
     },
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -23,13 +23,15 @@
 pub use allowance::Allowance;
 pub use blocks::block_hashes;
 pub use claim::Claim;
-pub use digest::{Digest, DigestChange, DigestKey, life_key, server_key};
-pub use event::{Candidate, Dated, Decision, Demand, Event, Outcome, PlaceReason, ServerEntry};
+pub use digest::{Digest, DigestChange, DigestKey, incarnation_key, server_key};
+pub use event::{
+    Candidate, Decision, Event, Outcome, PlacementReason, RequestCost, ServerEntry, Timestamped,
+};
 pub use repeat_window::RepeatWindow;
 pub use residency::Residency;
 pub use rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
 pub use scheduler::Scheduler;
 pub use server_state::{Load, ServerState};
 pub use share::{key_of, mix, rank, share, share_at};
-pub use sketch::{FLEET, Holding, Hot, InFlight, PrefixHash, Sketch};
+pub use sketch::{CachedPrefix, FLEET, HotPrefix, InFlight, PrefixHash, Sketch};
 pub use window::Window;
--- a/crates/placement/src/repeat_window.rs
+++ b/crates/placement/src/repeat_window.rs
@@ -1,5 +1,5 @@
 use std::collections::VecDeque;
-use types::{Moment, Span};
+use types::{Milliseconds, MonotonicInstant};
 
 /// One node's repeats of one service, bounded in each sliding window.
 ///
@@ -11,15 +11,15 @@
 pub struct RepeatWindow {
     part: u32,
     /// Since when the part is to grow.
-    grows_from: Option<Moment>,
+    grows_from: Option<MonotonicInstant>,
     /// With whether it was a repeat.
-    arrivals: VecDeque<(Moment, bool)>,
+    arrivals: VecDeque<(MonotonicInstant, bool)>,
     repeats: u32,
 }
 
 impl RepeatWindow {
     /// At the start of a life.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: MonotonicInstant) -> Self {
         RepeatWindow {
             part: 0,
             grows_from: Some(now),
@@ -28,7 +28,7 @@
         }
     }
     /// A request went to a server.
-    pub fn place(&mut self, is_repeat: bool, now: Moment, window: Span) {
+    pub fn place(&mut self, is_repeat: bool, now: MonotonicInstant, window: Milliseconds) {
         self.expire(now, window);
         self.arrivals.push_back((now, is_repeat));
         self.repeats += u32::from(is_repeat);
@@ -45,9 +45,9 @@
         &mut self,
         percent: u32,
         part: u32,
-        now: Moment,
-        window: Span,
-    ) -> Result<(), Span> {
+        now: MonotonicInstant,
+        window: Milliseconds,
+    ) -> Result<(), Milliseconds> {
         self.expire(now, window);
         let firsts = self.arrivals.len() as u64 - u64::from(self.repeats);
         let extra = u64::from(self.settle_part(part, now, window));
@@ -61,14 +61,14 @@
     }
 
     /// The part that counts now where the fleet's members make it this.
-    fn settle_part(&mut self, part: u32, now: Moment, window: Span) -> u32 {
+    fn settle_part(&mut self, part: u32, now: MonotonicInstant, window: Milliseconds) -> u32 {
         if part <= self.part || now.since(*self.grows_from.get_or_insert(now)) >= window {
             (self.part, self.grows_from) = (part, None);
         }
         self.part
     }
 
-    fn expire(&mut self, now: Moment, window: Span) {
+    fn expire(&mut self, now: MonotonicInstant, window: Milliseconds) {
         while let Some((at, is_repeat)) = self.arrivals.front().copied()
             && now.since(at) >= window
         {
--- a/crates/placement/src/residency.rs
+++ b/crates/placement/src/residency.rs
@@ -2,7 +2,7 @@
 use crate::sketch::PrefixHash;
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
-use types::{Moment, Span};
+use types::{Milliseconds, MonotonicInstant};
 
 /// What one server is believed to hold, part by part. What was sent there is expected to be held
 /// soon; a first token makes it known. Forgotten when first-token times, a failure or a restart speak
@@ -25,7 +25,7 @@
 /// When a part was last used there.
 #[derive(Debug, Clone, Copy)]
 struct Used {
-    at: Moment,
+    at: MonotonicInstant,
     /// What the server had read by then.
     read: u64,
 }
@@ -49,9 +49,9 @@
 }
 
 const BOUND: usize = 16_384;
-const LIFE: Span = Span::seconds(120);
+const LIFE: Milliseconds = Milliseconds::seconds(120);
 /// What was sent and has shown no first token after this is expected no more.
-const SENT_LIFE: Span = Span::seconds(10);
+const SENT_LIFE: Milliseconds = Milliseconds::seconds(10);
 
 impl Residency {
     /// How many tokens the server's memory holds; zero: not told.
@@ -63,7 +63,7 @@
         self.read += tokens;
     }
     /// A prompt is on its way there.
-    pub fn send(&mut self, hashes: &[PrefixHash], now: Moment) {
+    pub fn send(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
         if self.sent.len() > BOUND {
             self.sent.retain(|_, used| now.since(used.at) < SENT_LIFE);
         }
@@ -80,7 +80,7 @@
         }
     }
     /// The server has worked through this prompt, or was given a copy.
-    pub fn hold(&mut self, hashes: &[PrefixHash], now: Moment) {
+    pub fn hold(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
         for hash in hashes {
             self.parts.insert(
                 *hash,
@@ -92,7 +92,8 @@
             self.sent.remove(hash);
         }
         if self.parts.len() > BOUND {
-            let mut moments: Vec<Moment> = self.parts.values().map(|used| used.at).collect();
+            let mut moments: Vec<MonotonicInstant> =
+                self.parts.values().map(|used| used.at).collect();
             moments.sort_unstable();
             let oldest_kept = moments[BOUND / 4];
             self.parts.retain(|_, used| used.at > oldest_kept);
@@ -106,13 +107,13 @@
         }
     }
     /// Whether it's believed to hold this very prefix.
-    pub fn holds(&self, prefix: PrefixHash, now: Moment) -> bool {
+    pub fn holds(&self, prefix: PrefixHash, now: MonotonicInstant) -> bool {
         self.parts
             .get(&prefix)
             .is_some_and(|used| now.since(used.at) < LIFE && self.has_room_for(used))
     }
     /// Whether it's believed to hold it, or to do so soon.
-    pub fn expects(&self, prefix: PrefixHash, now: Moment) -> bool {
+    pub fn expects(&self, prefix: PrefixHash, now: MonotonicInstant) -> bool {
         self.holds(prefix, now)
             || self
                 .sent
@@ -120,7 +121,7 @@
                 .is_some_and(|used| now.since(used.at) < SENT_LIFE)
     }
     /// How many leading parts it's believed to hold, or to hold soon.
-    pub fn matched(&self, hashes: &[PrefixHash], now: Moment) -> u32 {
+    pub fn matched(&self, hashes: &[PrefixHash], now: MonotonicInstant) -> u32 {
         hashes
             .iter()
             .take_while(|hash| self.expects(**hash, now))
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use types::{Epoch, ServerName, ServiceName, Span, ZoneName};
+use types::{ConfigEpoch, Milliseconds, ServerName, ServiceName, ZoneName};
 
 /// The settings of BTB for one service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
     /// X: arrivals that make it active.
     pub arrivals: u32,
     /// Z: within this window.
-    pub window: Span,
+    pub window: Milliseconds,
     /// M: servers that are to hold it, the first holder among them.
     pub copies: u32,
     /// While all of those are full, one more at a time up to this.
@@ -25,7 +25,7 @@
             is_on: true,
             blocks: 64,
             arrivals: 4,
-            window: Span::seconds(5),
+            window: Milliseconds::seconds(5),
             copies: 3,
             most_copies: 6,
         }
@@ -42,7 +42,7 @@
     /// The servers that may; empty: all of the pool.
     pub servers: Vec<ServerName>,
     /// The first piece must be expected within this.
-    pub first_token: Span,
+    pub first_token: Milliseconds,
     /// Requests that one server may have in hand from the whole fleet.
     pub slots: u32,
     /// BTB.
@@ -52,7 +52,7 @@
     pub cold_per_second: u32,
     /// How long a server is cold after its start, unless the list tells.
     #[serde(default)]
-    pub cold_span: Span,
+    pub cold_span: Milliseconds,
     /// Tokens that a server's memory holds; zero: not told.
     #[serde(default)]
     pub memory_tokens: u64,
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
     /// Its epoch.
-    pub epoch: Epoch,
+    pub epoch: ConfigEpoch,
     /// Allowed services.
     pub services: BTreeMap<ServiceName, ServiceRules>,
     /// Zones that get no new work.
@@ -78,25 +78,25 @@
     /// Whether requests are refused by expected first-token time.
     pub does_admit: bool,
     /// A fresh server reaches its full cap after this.
-    pub ramp: Span,
+    pub ramp: Milliseconds,
     /// What a fresh server may have in hand at first, fleet-wide.
     pub ramp_start: u32,
     /// A sketch older than this counts no more.
-    pub sketch_life: Span,
+    pub sketch_life: Milliseconds,
     /// A copy is taken for resident this long after it was ordered.
-    pub copy_span: Span,
+    pub copy_span: Milliseconds,
     /// An active prefix cools when nothing came for this long.
-    pub cool_after: Span,
+    pub cool_after: Milliseconds,
     /// Copies that one server may be ordered to take at a time.
     pub copies_per_server: u32,
     /// How much busier than the least busy one a cache match may be.
     pub imbalance: u32,
     /// Where first-token times start from, without prefill.
-    pub base_first_token: Span,
+    pub base_first_token: Milliseconds,
     /// Prefill of a block, in microseconds, until it has been seen.
     pub block_micros: u64,
     /// How long a request holds a slot, until it has been seen.
-    pub hold: Span,
+    pub hold: Milliseconds,
     /// Repeats that a service's traffic earns, in percent of it.
     pub repeat_percent: u32,
     /// Repeats that a service may have besides, a minute, over the whole fleet.
@@ -108,20 +108,20 @@
     pub does_order_copies: bool,
     /// Where real requests warm further servers, they do so only once the holders' first pieces are expected
     /// later than this: until then a copy, which has to be read anew, gains nothing.
-    pub warm_from: Span,
+    pub warm_from: Milliseconds,
     /// Repeats are bounded in each sliding window of this length; zero: by the minute.
-    pub repeat_window: Span,
+    pub repeat_window: Milliseconds,
     /// Repeats that a service may have in such a window besides the percentage, over the whole fleet.
     pub repeats_in_window: u32,
     /// What a server in another zone than the node's own is held to cost, as time.
-    pub zone_bias: Span,
+    pub zone_bias: Milliseconds,
     /// What a full server is held to cost beyond an empty one, as time.
-    pub load_bias: Span,
+    pub load_bias: Milliseconds,
     /// What reading a token costs the others that wait there, in percent of the time that it takes.
     pub prefill_percent: u32,
     /// Servers whose costs differ by no more than this are equal: the one that holds more, or the one that
     /// the prefix's own order of servers prefers, is taken.
-    pub hysteresis: Span,
+    pub hysteresis: Milliseconds,
     /// A step of a server that runs one request, in microseconds.
     pub step_micros: u64,
     /// What each further running request adds to a step, in microseconds.
@@ -131,11 +131,11 @@
     /// The fleet is taken to have at least so many members where cold servers are shared out.
     pub members_least: u32,
     /// A server's own report of its requests counts for this long.
-    pub report_life: Span,
+    pub report_life: Milliseconds,
     /// A first piece that came may have come this much later than expected, besides what is usual.
-    pub lag_slack: Span,
+    pub lag_slack: Milliseconds,
     /// A first piece is overdue this long after it was expected, besides what is usual.
-    pub overdue_slack: Span,
+    pub overdue_slack: Milliseconds,
 }
 
 impl Default for SchedulerRules {
@@ -143,34 +143,34 @@
         SchedulerRules {
             does_merge: true,
             does_admit: true,
-            ramp: Span::seconds(8),
+            ramp: Milliseconds::seconds(8),
             ramp_start: 2,
-            sketch_life: Span(3000),
-            copy_span: Span(400),
-            cool_after: Span::seconds(15),
+            sketch_life: Milliseconds(3000),
+            copy_span: Milliseconds(400),
+            cool_after: Milliseconds::seconds(15),
             copies_per_server: 8,
             imbalance: 3,
-            base_first_token: Span(30),
+            base_first_token: Milliseconds(30),
             block_micros: 2500,
-            hold: Span(400),
+            hold: Milliseconds(400),
             repeat_percent: 20,
             repeats_a_minute: 10,
             block_tokens: 16,
             does_order_copies: true,
-            warm_from: Span(0),
-            repeat_window: Span(0),
+            warm_from: Milliseconds(0),
+            repeat_window: Milliseconds(0),
             repeats_in_window: 0,
-            zone_bias: Span(0),
-            load_bias: Span(60),
+            zone_bias: Milliseconds(0),
+            load_bias: Milliseconds(60),
             prefill_percent: 100,
-            hysteresis: Span(20),
+            hysteresis: Milliseconds(20),
             step_micros: 3400,
             step_micros_each: 97,
             queue_percent: 50,
             members_least: 1,
-            report_life: Span(2000),
-            lag_slack: Span(400),
-            overdue_slack: Span(1000),
+            report_life: Milliseconds(2000),
+            lag_slack: Milliseconds(400),
+            overdue_slack: Milliseconds(1000),
         }
     }
 }
--- a/crates/placement/src/scheduler.rs
+++ b/crates/placement/src/scheduler.rs
@@ -1,16 +1,19 @@
 use crate::allowance::Allowance;
 use crate::claim::Claim;
-use crate::event::{Dated, Decision, Event, Outcome, ServerEntry};
+use crate::event::{Decision, Event, Outcome, ServerEntry, Timestamped};
 use crate::repeat_window::RepeatWindow;
 use crate::rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
 use crate::server_state::ServerState;
 use crate::share::{key_of, rank, share, share_at};
-use crate::sketch::{Holding, InFlight, PrefixHash, Sketch};
+use crate::sketch::{CachedPrefix, InFlight, PrefixHash, Sketch};
 use crate::window::Window;
 use peer_totals::PeerTotals;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use types::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName, ServiceName,
+    ZoneName,
+};
 
 mod peer_totals;
 mod placing;
@@ -35,7 +38,7 @@
     /// The zone of this node, if it was told.
     zone: Option<ZoneName>,
     /// When this life took its first event.
-    begun: Option<Moment>,
+    begun: Option<MonotonicInstant>,
     /// To what fresh and cold servers bear.
     claim: Claim,
     members: Vec<Address>,
@@ -45,7 +48,7 @@
     /// The sum of the peers' sketches that count.
     told: PeerTotals,
     /// When the next of them counts no more.
-    told_until: Option<Moment>,
+    told_until: Option<MonotonicInstant>,
     /// Whether every other member's sketch counts.
     knows_all: bool,
     /// How many peers' sketches count.
@@ -60,7 +63,7 @@
 
 #[derive(Debug, Clone)]
 struct Peer {
-    heard: Moment,
+    heard: MonotonicInstant,
     sketch: Sketch,
     /// Whether it is in the sum.
     is_counted: bool,
@@ -71,7 +74,7 @@
 /// A prefix in a burst.
 #[derive(Debug, Clone)]
 struct Active {
-    last: Moment,
+    last: MonotonicInstant,
     hashes: Vec<PrefixHash>,
     service: ServiceName,
     copies: BTreeMap<ServerName, Copy>,
@@ -80,7 +83,7 @@
 /// A copy that this node has ordered.
 #[derive(Debug, Clone)]
 struct Copy {
-    ordered: Moment,
+    ordered: MonotonicInstant,
     state: CopyState,
 }
 
@@ -96,16 +99,16 @@
     service: ServiceName,
     is_repeat: bool,
     /// When the first piece was expected.
-    expected: Span,
+    expected: Milliseconds,
     /// Whether its lag was taken into account.
     is_noted: bool,
     server: ServerName,
     incarnation: Option<u64>,
     hashes: Vec<PrefixHash>,
-    placed: Moment,
+    placed: MonotonicInstant,
     was_idle: bool,
     matched: u32,
-    first: Option<Moment>,
+    first: Option<MonotonicInstant>,
     /// What its client told of it.
     footprint: Footprint,
 }
@@ -165,7 +168,7 @@
     }
 
     /// Takes an event in; gives the decisions that follow.
-    pub fn take(&mut self, dated: Dated) -> Vec<Decision> {
+    pub fn take(&mut self, dated: Timestamped) -> Vec<Decision> {
         let now = dated.at;
         let begun = *self.begun.get_or_insert(now);
         self.expire_peers(now);
@@ -230,7 +233,7 @@
     }
 
     /// What this node tells the others now.
-    pub fn sketch(&mut self, now: Moment) -> Sketch {
+    pub fn sketch(&mut self, now: MonotonicInstant) -> Sketch {
         self.sketch_number += 1;
         let span = self.widest_window();
         let hot = self.window.hottest(now, span, 64);
@@ -245,7 +248,7 @@
         for found in hot.iter().map(|hot| hot.prefix).chain(active).take(most) {
             for (name, server) in &self.servers {
                 if server.residency.expects(found, now) {
-                    holdings.push(Holding {
+                    holdings.push(CachedPrefix {
                         prefix: found,
                         server: name.clone(),
                         incarnation: server.incarnation.unwrap_or(0),
@@ -262,7 +265,7 @@
         let leaving = self
             .servers
             .iter()
-            .filter(|(_, server)| server.is_listed && server.is_leaving);
+            .filter(|(_, server)| server.is_listed && server.is_draining);
         let sketch = Sketch {
             incarnation: self.incarnation,
             number: self.sketch_number,
@@ -295,7 +298,7 @@
         &self.servers
     }
     /// Active prefixes and the servers believed to hold each.
-    pub fn active(&self, now: Moment) -> Vec<(PrefixHash, Vec<ServerName>)> {
+    pub fn active(&self, now: MonotonicInstant) -> Vec<(PrefixHash, Vec<ServerName>)> {
         self.active
             .keys()
             .map(|prefix| (*prefix, self.holders(*prefix, now)))
@@ -306,7 +309,7 @@
         self.requests.len()
     }
 
-    fn widest_window(&self) -> Span {
+    fn widest_window(&self) -> Milliseconds {
         let windows = self
             .rules
             .services
@@ -315,7 +318,7 @@
         windows.max().unwrap_or(BtbRules::default().window)
     }
 
-    fn on_server_list(&mut self, entries: Vec<ServerEntry>, now: Moment) {
+    fn on_server_list(&mut self, entries: Vec<ServerEntry>, now: MonotonicInstant) {
         for server in self.servers.values_mut() {
             server.is_listed = false;
         }
@@ -339,7 +342,7 @@
             .retain(|_, server| server.is_listed || server.own > 0);
     }
 
-    fn on_members(&mut self, members: Vec<Address>, since: Epoch, now: Moment) {
+    fn on_members(&mut self, members: Vec<Address>, since: ConfigEpoch, now: MonotonicInstant) {
         let has_others =
             members.iter().collect::<BTreeSet<_>>() != self.members.iter().collect::<BTreeSet<_>>();
         self.claim.learn_membership(since, has_others, now);
@@ -355,11 +358,11 @@
         &mut self,
         name: &ServerName,
         incarnation: u64,
-        up: Span,
+        up: Milliseconds,
         load: u32,
         slots: u32,
         weights: String,
-        now: Moment,
+        now: MonotonicInstant,
     ) {
         let Some(server) = self.servers.get_mut(name) else {
             return;
@@ -388,7 +391,7 @@
         server.reported = Some((load, now));
     }
 
-    fn on_first_token(&mut self, request: RequestId, now: Moment) {
+    fn on_first_token(&mut self, request: RequestId, now: MonotonicInstant) {
         let base = self.scheduler_rules.base_first_token;
         let Some(hand) = self.requests.get_mut(&request) else {
             return;
@@ -462,7 +465,7 @@
     }
 
     /// A first piece came, or is still missing, so much later than expected.
-    fn note_lag(&mut self, name: &ServerName, lag: u64, now: Moment) {
+    fn note_lag(&mut self, name: &ServerName, lag: u64, now: MonotonicInstant) {
         let usual = usual_lag(&self.servers, name).unwrap_or(u64::MAX / 8);
         let may_lose = self.may_lose(name, now);
         let Some(server) = self.servers.get_mut(name) else {
@@ -480,12 +483,12 @@
     }
 
     /// Whether it may be kept from work on mere doubt: no more than half of a pool ever is.
-    fn may_lose(&self, name: &ServerName, now: Moment) -> bool {
+    fn may_lose(&self, name: &ServerName, now: MonotonicInstant) -> bool {
         let Some(own) = self.servers.get(name) else {
             return false;
         };
         let is_kin = |server: &&ServerState| {
-            server.is_listed && !server.is_leaving && server.pool == own.pool
+            server.is_listed && !server.is_draining && server.pool == own.pool
         };
         let (all, lost) = self
             .servers
@@ -498,14 +501,15 @@
     }
 
     /// Pieces that are far overdue tell as much as those that came late, and sooner.
-    pub(super) fn note_overdue(&mut self, now: Moment) {
+    pub(super) fn note_overdue(&mut self, now: MonotonicInstant) {
         let is_overdue = |hand: &InHand| {
             if hand.first.is_some() || hand.is_noted {
                 return false;
             }
             let usual = usual_lag(&self.servers, &hand.server).unwrap_or(u64::MAX / 8);
-            let slack = Span(usual.saturating_mul(4) + self.scheduler_rules.overdue_slack.0);
-            now.since(hand.placed) > Span(hand.expected.0 + slack.0)
+            let slack =
+                Milliseconds(usual.saturating_mul(4) + self.scheduler_rules.overdue_slack.0);
+            now.since(hand.placed) > Milliseconds(hand.expected.0 + slack.0)
         };
         let overdue: Vec<RequestId> = self
             .requests
@@ -526,7 +530,7 @@
         }
     }
 
-    fn on_ended(&mut self, request: &RequestId, outcome: Outcome, now: Moment) {
+    fn on_ended(&mut self, request: &RequestId, outcome: Outcome, now: MonotonicInstant) {
         let Some(hand) = self.requests.remove(request) else {
             return;
         };
@@ -552,7 +556,7 @@
                     .0
                     .saturating_sub(hand.footprint.queue * u64::from(is_plain));
                 let held = held.clamp(5, 60_000);
-                server.hold = Span((server.hold.0 * 7 + held) / 8);
+                server.hold = Milliseconds((server.hold.0 * 7 + held) / 8);
             }
             Outcome::Cancelled | Outcome::Refused => {}
             Outcome::Unsent | Outcome::Failed => {
@@ -594,7 +598,7 @@
     }
 
     /// Whatever comes back there, comes back empty and ramps up.
-    fn on_unreachable(&mut self, name: &ServerName, now: Moment) {
+    fn on_unreachable(&mut self, name: &ServerName, now: MonotonicInstant) {
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
@@ -607,7 +611,7 @@
         }
     }
 
-    fn on_peer_sketch(&mut self, from: Address, sketch: Sketch, now: Moment) {
+    fn on_peer_sketch(&mut self, from: Address, sketch: Sketch, now: MonotonicInstant) {
         if from == self.own || !self.scheduler_rules.does_merge {
             return;
         }
@@ -620,7 +624,7 @@
         for name in &sketch.leaving {
             if let Some(server) = self.servers.get_mut(name) {
                 // The platform's list lags; whoever hears first tells the rest.
-                server.is_leaving = true;
+                server.is_draining = true;
             }
         }
         let mut former = self.peers.remove(&from);
@@ -659,7 +663,12 @@
     }
 
     /// This node's part of what a fresh or cold server bears, if its claim to it holds; else when to look again.
-    fn claimed(&self, whole: u32, server: &ServerState, now: Moment) -> Result<u32, Span> {
+    fn claimed(
+        &self,
+        whole: u32,
+        server: &ServerState,
+        now: MonotonicInstant,
+    ) -> Result<u32, Milliseconds> {
         self.claim.check(now)?;
         let is_member = self.members.contains(&self.own);
         Ok(if is_member {
@@ -677,15 +686,15 @@
     }
 
     /// Sketches that have grown old count no more.
-    fn expire_peers(&mut self, now: Moment) {
+    fn expire_peers(&mut self, now: MonotonicInstant) {
         if self.told_until.is_none_or(|deadline| now < deadline) {
             return;
         }
-        let life = self.scheduler_rules.sketch_life;
+        let incarnation = self.scheduler_rules.sketch_life;
         for peer in self
             .peers
             .values_mut()
-            .filter(|peer| peer.is_counted && now.since(peer.heard) >= life)
+            .filter(|peer| peer.is_counted && now.since(peer.heard) >= incarnation)
         {
             self.told.remove(&peer.sketch);
             sum_loads(&mut self.servers, &self.told, &peer.sketch);
@@ -696,9 +705,9 @@
 
     /// What follows from which sketches count.
     fn count_known(&mut self) {
-        let life = self.scheduler_rules.sketch_life;
+        let incarnation = self.scheduler_rules.sketch_life;
         let counted = self.peers.values().filter(|peer| peer.is_counted);
-        self.told_until = counted.map(|peer| peer.heard + life).min();
+        self.told_until = counted.map(|peer| peer.heard + incarnation).min();
         let heard = self.heard();
         self.counted_peers = heard.len() as u32 - 1;
         self.knows_all = self.members.iter().all(|member| heard.contains(member));
@@ -721,13 +730,13 @@
     }
 
     /// Arrivals of a prefix within the window, over all nodes.
-    fn count(&self, prefix: PrefixHash, now: Moment, span: Span) -> u32 {
+    fn count(&self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) -> u32 {
         let theirs = self.told.count(prefix).unwrap_or(0);
         self.window.count(prefix, now, span) + theirs
     }
 
     /// Requests believed in hand at a server, over all nodes.
-    fn load(&self, server: &ServerState, now: Moment) -> u32 {
+    fn load(&self, server: &ServerState, now: MonotonicInstant) -> u32 {
         let known = server.own + server.theirs.count;
         match server.reported {
             Some((reported, at)) if now.since(at) < self.scheduler_rules.report_life => {
@@ -738,7 +747,7 @@
     }
 
     /// Servers believed to hold a prefix, by own sight or a peer's.
-    fn holders(&self, prefix: PrefixHash, now: Moment) -> Vec<ServerName> {
+    fn holders(&self, prefix: PrefixHash, now: MonotonicInstant) -> Vec<ServerName> {
         let holds =
             |(name, server): &(&ServerName, &ServerState)| self.is_warm(prefix, name, server, now);
         self.servers
@@ -754,7 +763,7 @@
         prefix: PrefixHash,
         name: &ServerName,
         server: &ServerState,
-        now: Moment,
+        now: MonotonicInstant,
     ) -> bool {
         server.residency.holds(prefix, now) || self.is_told(prefix, name, server) == Some(true)
     }
--- a/crates/placement/src/scheduler/placing.rs
+++ b/crates/placement/src/scheduler/placing.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::allowance::Allowance;
-use crate::event::{Candidate, Decision, Demand, PlaceReason};
+use crate::event::{Candidate, Decision, PlacementReason, RequestCost};
 use crate::repeat_window::RepeatWindow;
 use crate::rules::{SchedulerRules, ServiceRules};
 use crate::scheduler::Scheduler;
 use crate::server_state::ServerState;
 use crate::share::{key_of, mix, rank, share_at};
 use crate::sketch::PrefixHash;
-use types::{Moment, RequestId, ResultCode, ServerName, ServiceName, Span};
+use types::{Milliseconds, MonotonicInstant, RequestId, ResultCode, ServerName, ServiceName};
 
 /// A request that wants a server.
 pub(super) struct Ask<'a> {
@@ -19,9 +19,9 @@
     /// The place of the counted prefix's last hash.
     pub(super) counted: Option<usize>,
     pub(super) tried: &'a [ServerName],
-    pub(super) demand: &'a Demand,
+    pub(super) demand: &'a RequestCost,
     pub(super) is_active: bool,
-    pub(super) now: Moment,
+    pub(super) now: MonotonicInstant,
 }
 
 impl Ask<'_> {
@@ -34,7 +34,7 @@
 /// Where it goes.
 pub(super) struct Choice {
     pub(super) chosen: Candidate,
-    pub(super) reason: PlaceReason,
+    pub(super) reason: PlacementReason,
     pub(super) was_idle: bool,
     pub(super) footprint: Footprint,
     pub(super) candidates: Vec<Candidate>,
@@ -44,15 +44,15 @@
 pub(super) struct Refusal {
     pub(super) code: ResultCode,
     pub(super) why: String,
-    pub(super) wait: Span,
+    pub(super) wait: Milliseconds,
 }
 
 /// A fresh server's cap has grown a little by then.
-const FRESH_WAIT: Span = Span(500);
+const FRESH_WAIT: Milliseconds = Milliseconds(500);
 /// Nobody is told to come back sooner.
-pub(super) const WAIT_LEAST: Span = Span(50);
+pub(super) const WAIT_LEAST: Milliseconds = Milliseconds(50);
 
-pub(super) fn late_words(expected: Span, deadline: Span) -> String {
+pub(super) fn late_words(expected: Milliseconds, deadline: Milliseconds) -> String {
     format!(
         "the first piece is expected after {} ms, {} ms are allowed",
         expected.0, deadline.0
@@ -75,9 +75,9 @@
         hashes: Vec<PrefixHash>,
         round: u32,
         tried: &[ServerName],
-        demand: &Demand,
-        begun: Moment,
-        now: Moment,
+        demand: &RequestCost,
+        begun: MonotonicInstant,
+        now: MonotonicInstant,
     ) {
         let Some(rules) = self.services.get(&service).cloned() else {
             let why = "no accepted plan allows this service".to_owned();
@@ -86,7 +86,7 @@
                 service,
                 ResultCode::UnknownService,
                 why,
-                Span(0),
+                Milliseconds(0),
                 round,
             );
         };
@@ -180,9 +180,9 @@
         &mut self,
         service: &ServiceName,
         round: u32,
-        begun: Moment,
-        now: Moment,
-    ) -> Result<(), Span> {
+        begun: MonotonicInstant,
+        now: MonotonicInstant,
+    ) -> Result<(), Milliseconds> {
         let scheduler_rules = &self.scheduler_rules;
         if scheduler_rules.repeat_window.0 > 0 {
             if round == 0 {
@@ -213,13 +213,13 @@
             .or_insert_with(|| Allowance::new(now));
         allowance.drip(part, now);
         if round > 0 && !allowance.has_one() {
-            Err(Span(1000))
+            Err(Milliseconds(1000))
         } else {
             Ok(())
         }
     }
 
-    fn note_placed(&mut self, service: &ServiceName, round: u32, now: Moment) {
+    fn note_placed(&mut self, service: &ServiceName, round: u32, now: MonotonicInstant) {
         let (span, begun) = (
             self.scheduler_rules.repeat_window,
             self.begun.unwrap_or(now),
@@ -262,13 +262,13 @@
             return Err(Refusal {
                 code,
                 why: why.to_owned(),
-                wait: full_until.max_with(Span(1000)),
+                wait: full_until.max_with(Milliseconds(1000)),
             });
         };
         let chosen = weighed[place].candidate.clone();
         if self.scheduler_rules.does_admit && chosen.expected > deadline {
             let why = late_words(chosen.expected, deadline);
-            let wait = Span(chosen.expected.0 - deadline.0).max_with(Span(1000));
+            let wait = Milliseconds(chosen.expected.0 - deadline.0).max_with(Milliseconds(1000));
             return Err(Refusal {
                 code: ResultCode::Crowded,
                 why,
@@ -292,7 +292,7 @@
         service: ServiceName,
         code: ResultCode,
         why: String,
-        retry_after: Span,
+        retry_after: Milliseconds,
         round: u32,
     ) {
         let (code, epoch) = (code.number(), self.rules.epoch);
@@ -313,7 +313,7 @@
         &self,
         rules: &ServiceRules,
         hashes: &[PrefixHash],
-        demand: &Demand,
+        demand: &RequestCost,
     ) -> Option<usize> {
         if !rules.btb.is_on {
             return None;
@@ -340,10 +340,10 @@
         rules: &ServiceRules,
         name: &ServerName,
         server: &ServerState,
-        now: Moment,
+        now: MonotonicInstant,
     ) -> bool {
         server.is_listed
-            && !server.is_leaving
+            && !server.is_draining
             && !server.is_suspect(now)
             && server.pool == rules.pool
             && !self.is_withdrawn(&server.zone)
@@ -358,8 +358,8 @@
         server: &ServerState,
         cap: u32,
         load: u32,
-        now: Moment,
-    ) -> Result<(), Span> {
+        now: MonotonicInstant,
+    ) -> Result<(), Milliseconds> {
         if server.is_fresh(now, &self.scheduler_rules) {
             let part = self.claimed(cap, server, now)?;
             // What a former life of a node left there shows only in what others and the server itself tell.
@@ -380,7 +380,7 @@
     }
 
     /// All servers that may take the request now, and, if some are only full, until when about.
-    fn weigh(&self, ask: &Ask) -> (Vec<Weighed>, Span) {
+    fn weigh(&self, ask: &Ask) -> (Vec<Weighed>, Milliseconds) {
         let Ask {
             request,
             rules,
@@ -391,7 +391,7 @@
         } = *ask;
         let counted = ask.prefix();
         let mut weighed = vec![];
-        let mut full_until = Span(0);
+        let mut full_until = Milliseconds(0);
         let request_key = key_of(request.as_str());
         for (name, server) in &self.servers {
             if !self.may_serve(rules, name, server, now) || tried.contains(name) {
@@ -404,7 +404,7 @@
                 full_until = if full_until.0 == 0 {
                     wait
                 } else {
-                    Span(full_until.0.min(wait.0))
+                    Milliseconds(full_until.0.min(wait.0))
                 };
                 continue;
             }
@@ -423,7 +423,7 @@
             let prefill = (hashes.len() as u64).saturating_sub(u64::from(matched))
                 * server.block_micros
                 / 1000;
-            let expected = Span(self.scheduler_rules.base_first_token.0 + queue + prefill);
+            let expected = Milliseconds(self.scheduler_rules.base_first_token.0 + queue + prefill);
             let candidate = Candidate {
                 server: name.clone(),
                 load,
@@ -442,12 +442,12 @@
 }
 
 pub(super) trait SpanExt {
-    fn max_with(self, other: Span) -> Span;
+    fn max_with(self, other: Milliseconds) -> Milliseconds;
 }
 
-impl SpanExt for Span {
-    fn max_with(self, other: Span) -> Span {
-        Span(self.0.max(other.0))
+impl SpanExt for Milliseconds {
+    fn max_with(self, other: Milliseconds) -> Milliseconds {
+        Milliseconds(self.0.max(other.0))
     }
 }
 
@@ -455,9 +455,9 @@
 fn choose(
     weighed: &[Weighed],
     is_active: bool,
-    deadline: Span,
+    deadline: Milliseconds,
     rules: &SchedulerRules,
-) -> Option<(usize, PlaceReason)> {
+) -> Option<(usize, PlacementReason)> {
     let least = |may: &dyn Fn(&Weighed) -> bool| {
         let those = weighed.iter().enumerate().filter(|(_, w)| may(w));
         those
@@ -465,7 +465,7 @@
             .map(|(place, _)| place)
     };
     let first = if let Some(warm) = least(&|w| is_active && w.candidate.is_warm) {
-        (warm, PlaceReason::Warm)
+        (warm, PlacementReason::Warm)
     } else {
         let idlest = least(&|_| true)?;
         let matching = weighed
@@ -478,10 +478,10 @@
             Some((place, w))
                 if w.candidate.load <= weighed[idlest].candidate.load + rules.imbalance =>
             {
-                (place, PlaceReason::CacheMatch)
+                (place, PlacementReason::CacheMatch)
             }
-            Some(_) => (idlest, PlaceReason::Imbalance),
-            None => (idlest, PlaceReason::LeastLoaded),
+            Some(_) => (idlest, PlacementReason::Imbalance),
+            None => (idlest, PlacementReason::LeastLoaded),
         }
     };
     if rules.does_admit && weighed[first.0].candidate.expected > deadline {
@@ -489,7 +489,7 @@
             .iter()
             .enumerate()
             .min_by_key(|(_, w)| (w.candidate.expected, w.tie));
-        return soonest.map(|(place, _)| (place, PlaceReason::Soonest));
+        return soonest.map(|(place, _)| (place, PlacementReason::Soonest));
     }
     Some(first)
 }
--- a/crates/placement/src/scheduler/tests.rs
+++ b/crates/placement/src/scheduler/tests.rs
@@ -1,9 +1,13 @@
-use crate::event::{Dated, Decision, Demand, Event, Outcome, PlaceReason, ServerEntry};
+use crate::event::{
+    Decision, Event, Outcome, PlacementReason, RequestCost, ServerEntry, Timestamped,
+};
 use crate::rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
 use crate::scheduler::Scheduler;
-use crate::sketch::{Hot, PrefixHash, Sketch};
+use crate::sketch::{HotPrefix, PrefixHash, Sketch};
 use std::collections::BTreeSet;
-use types::{Address, Epoch, Moment, RequestId, ResultCode, ServerName, Span};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, ServerName,
+};
 use yare::parameterized;
 
 fn rules() -> Rules {
@@ -11,18 +15,18 @@
         pool: "model".into(),
         zones: vec![],
         servers: vec![],
-        first_token: Span(2000),
+        first_token: Milliseconds(2000),
         slots: 8,
         btb: BtbRules {
             blocks: 4,
             ..BtbRules::default()
         },
         cold_per_second: 0,
-        cold_span: Span(0),
+        cold_span: Milliseconds(0),
         memory_tokens: 0,
     };
     Rules {
-        epoch: Epoch(1),
+        epoch: ConfigEpoch(1),
         services: [("drafts".into(), service)].into(),
         withdrawn: vec![],
     }
@@ -44,7 +48,7 @@
         hashes,
         round: 0,
         tried: vec![],
-        demand: Demand::default(),
+        demand: RequestCost::default(),
     }
 }
 
@@ -52,7 +56,7 @@
     Event::Load {
         server: server.into(),
         incarnation: 1,
-        up: Span(up),
+        up: Milliseconds(up),
         running: 0,
         waiting: 0,
         slots: 4,
@@ -77,7 +81,7 @@
             server: name.into(),
             zone: zone.into(),
             pool: "model".into(),
-            is_leaving: false,
+            is_draining: false,
             ..ServerEntry::default()
         };
         let servers = vec![
@@ -93,12 +97,17 @@
         played
     }
     fn take(&mut self, at: u64, event: Event) -> Vec<Decision> {
-        self.scheduler.take(Dated {
-            at: Moment(START + at),
+        self.scheduler.take(Timestamped {
+            at: MonotonicInstant(START + at),
             event,
         })
     }
-    fn place(&mut self, at: u64, request: u64, prefix: u64) -> Option<(ServerName, PlaceReason)> {
+    fn place(
+        &mut self,
+        at: u64,
+        request: u64,
+        prefix: u64,
+    ) -> Option<(ServerName, PlacementReason)> {
         self.take(at, prompt(request, prefix))
             .into_iter()
             .find_map(|decision| match decision {
@@ -141,7 +150,7 @@
     let mut used = BTreeSet::new();
     for request in 10..20 {
         let (server, reason) = played.place(900, request, 7).expect("placed");
-        assert_eq!(reason, PlaceReason::Warm);
+        assert_eq!(reason, PlacementReason::Warm);
         used.insert(server);
     }
     assert_eq!(used.len(), 3, "the burst went to {used:?}");
@@ -151,7 +160,7 @@
 fn a_short_or_slow_prefix_stays_with_its_cache() {
     let mut played = Played::new();
     let (holder, reason) = played.place(0, 1, 7).expect("placed");
-    assert_eq!(reason, PlaceReason::LeastLoaded);
+    assert_eq!(reason, PlacementReason::LeastLoaded);
     played.take(
         50,
         Event::FirstToken {
@@ -162,7 +171,7 @@
         let at = request * 4000;
         assert_eq!(
             played.place(at, request, 7),
-            Some((holder.clone(), PlaceReason::CacheMatch))
+            Some((holder.clone(), PlacementReason::CacheMatch))
         );
         assert_eq!(played.take(at, Event::Tick), vec![]);
         played.take(
@@ -188,7 +197,7 @@
     let sketch = |number, incarnation| Sketch {
         incarnation,
         number,
-        hot: vec![Hot {
+        hot: vec![HotPrefix {
             prefix: PrefixHash(703),
             count: 1,
         }],
@@ -199,9 +208,11 @@
         played.take(200, Event::PeerSketch { from, sketch });
     }
     assert_eq!(
-        played
-            .scheduler
-            .count(PrefixHash(703), Moment(START + 200), Span(5000)),
+        played.scheduler.count(
+            PrefixHash(703),
+            MonotonicInstant(START + 200),
+            Milliseconds(5000)
+        ),
         2
     );
     // It has cooled at the peer, and the sketch from before comes late.
@@ -228,9 +239,11 @@
         },
     );
     assert_eq!(
-        played
-            .scheduler
-            .count(PrefixHash(703), Moment(START + 220), Span(5000)),
+        played.scheduler.count(
+            PrefixHash(703),
+            MonotonicInstant(START + 220),
+            Milliseconds(5000)
+        ),
         1
     );
     for port in [3, 4] {
@@ -243,9 +256,11 @@
         );
     }
     assert_eq!(
-        played
-            .scheduler
-            .count(PrefixHash(703), Moment(START + 220), Span(5000)),
+        played.scheduler.count(
+            PrefixHash(703),
+            MonotonicInstant(START + 220),
+            Milliseconds(5000)
+        ),
         3
     );
 }
@@ -253,17 +268,17 @@
 #[parameterized(
     leaving = { |p: &mut Played| {
         let servers = p.scheduler.servers.iter().map(|(name, s)| ServerEntry {
-            server: name.clone(), zone: s.zone.clone(), pool: s.pool.clone(), is_leaving: name.as_str() != "d", ..ServerEntry::default()
+            server: name.clone(), zone: s.zone.clone(), pool: s.pool.clone(), is_draining: name.as_str() != "d", ..ServerEntry::default()
         }).collect();
         p.take(900, Event::ServerList { servers });
     } },
     withdrawn_and_one_gone = { |p: &mut Played| {
         let mut rules = rules();
-        rules.epoch = Epoch(2);
+        rules.epoch = ConfigEpoch(2);
         rules.withdrawn = vec!["north".into()];
         p.take(900, Event::Rules { rules });
         let servers = p.scheduler.servers.iter().filter(|(name, _)| name.as_str() != "c").map(|(name, s)| ServerEntry {
-            server: name.clone(), zone: s.zone.clone(), pool: s.pool.clone(), is_leaving: false, ..ServerEntry::default()
+            server: name.clone(), zone: s.zone.clone(), pool: s.pool.clone(), is_draining: false, ..ServerEntry::default()
         }).collect();
         p.take(900, Event::ServerList { servers });
     } },
@@ -293,14 +308,14 @@
         0,
         Event::Members {
             members,
-            since: Epoch(1),
+            since: ConfigEpoch(1),
         },
     );
     let entry = ServerEntry {
         server: "new".into(),
         zone: "north".into(),
         pool: "model".into(),
-        is_leaving: false,
+        is_draining: false,
         ..ServerEntry::default()
     };
     played.take(
@@ -345,7 +360,7 @@
                 hashes,
                 round: 1,
                 tried: vec![],
-                demand: Demand::default(),
+                demand: RequestCost::default(),
             };
             let decisions = played.take(at + 2, again);
             repeats += decisions
@@ -372,10 +387,10 @@
 fn a_crowd_is_refused_with_a_time_to_come_back() {
     let mut played = Played::new();
     let mut rules = rules();
-    rules.epoch = Epoch(2);
+    rules.epoch = ConfigEpoch(2);
     if let Some(service) = rules.services.get_mut(&"drafts".into()) {
         service.slots = 100;
-        service.first_token = Span(300);
+        service.first_token = Milliseconds(300);
     }
     played.take(10, Event::Rules { rules });
     let mut refused = 0;
--- a/crates/placement/src/scheduler/timing.rs
+++ b/crates/placement/src/scheduler/timing.rs
@@ -4,13 +4,13 @@
 use super::peer_totals::ToldHolding;
 use super::placing::{Ask, Choice, Refusal, SpanExt, WAIT_LEAST, late_words};
 use super::*;
-use crate::event::{Candidate, Demand, PlaceReason};
+use crate::event::{Candidate, PlacementReason, RequestCost};
 use crate::rules::{BtbRules, ServiceRules};
 use crate::scheduler::Scheduler;
 use crate::server_state::ServerState;
 use crate::share::{key_of, mix, share_at};
 use crate::sketch::PrefixHash;
-use types::{Moment, ResultCode, ServerName, Span};
+use types::{Milliseconds, MonotonicInstant, ResultCode, ServerName};
 
 /// How many of the weighed servers a decision shows.
 const SHOWN: usize = 4;
@@ -46,7 +46,7 @@
             server: self.name.clone(),
             load: self.load,
             matched: self.matched,
-            expected: Span(self.expected),
+            expected: Milliseconds(self.expected),
             is_warm: self.is_warm(),
         }
     }
@@ -56,7 +56,7 @@
 #[derive(Default)]
 struct Survey {
     /// When the first of those that can't take it now can, about.
-    wait: Option<Span>,
+    wait: Option<Milliseconds>,
     /// How many hold the counted prefix, or are reading it.
     holders: u32,
     /// Of them, how many are reading it.
@@ -66,7 +66,7 @@
 }
 
 impl Survey {
-    fn note(&mut self, wait: Span) {
+    fn note(&mut self, wait: Milliseconds) {
         self.wait = Some(self.wait.map_or(wait, |least| least.min(wait)));
     }
     fn note_holding(&mut self, holding: Option<bool>, is_free: bool) {
@@ -95,7 +95,7 @@
         }
         // Prompts stay with what holds them; plain fetches have nothing to stay for.
         let hysteresis = if ask.hashes.is_empty() {
-            Span(0)
+            Milliseconds(0)
         } else {
             self.scheduler_rules.hysteresis
         };
@@ -126,21 +126,21 @@
         };
         let (mut chosen, mut reason) = self.choose_among(ask, &scored, best, &survey, deadline);
         // A late answer is worth something still; one after the deadline is worth nothing.
-        let latest = deadline.max_with(Span(ask.demand.deadline.0 * LATE_PERCENT / 100));
+        let latest = deadline.max_with(Milliseconds(ask.demand.deadline.0 * LATE_PERCENT / 100));
         if chosen.expected > deadline.0 {
             let soonest = scored
                 .iter()
                 .min_by_key(|r| (r.expected, r.cost, r.affinity));
             if let Some(soonest) = soonest.filter(|soonest| soonest.expected < chosen.expected) {
-                (chosen, reason) = (soonest, PlaceReason::Soonest);
+                (chosen, reason) = (soonest, PlacementReason::Soonest);
             }
         }
         let has_room = scored.iter().any(|r| r.load * 100 < r.slots * HALF_EMPTY);
         if self.scheduler_rules.does_admit && chosen.expected > latest.0 && !has_room {
-            let wait = Span(chosen.expected - latest.0).max_with(WAIT_LEAST);
+            let wait = Milliseconds(chosen.expected - latest.0).max_with(WAIT_LEAST);
             return Err(Refusal {
                 code: ResultCode::Crowded,
-                why: late_words(Span(chosen.expected), latest),
+                why: late_words(Milliseconds(chosen.expected), latest),
                 wait,
             });
         }
@@ -166,13 +166,13 @@
         scored: &'b [Scored<'a>],
         best: &'b Scored<'a>,
         survey: &Survey,
-        deadline: Span,
-    ) -> (&'b Scored<'a>, PlaceReason) {
+        deadline: Milliseconds,
+    ) -> (&'b Scored<'a>, PlacementReason) {
         let by_cache = || {
             let reason = if best.matched > 0 {
-                PlaceReason::CacheMatch
+                PlacementReason::CacheMatch
             } else {
-                PlaceReason::LeastLoaded
+                PlacementReason::LeastLoaded
             };
             (best, reason)
         };
@@ -196,10 +196,10 @@
             })
             && (target.expected <= deadline.0 || warm.is_none_or(|warm| warm.expected > deadline.0))
         {
-            return (target, PlaceReason::Warming);
+            return (target, PlacementReason::Warming);
         }
         match holder {
-            Some(warm) => (warm, PlaceReason::Warm),
+            Some(warm) => (warm, PlacementReason::Warm),
             None => by_cache(),
         }
     }
@@ -210,7 +210,7 @@
         prefix: PrefixHash,
         name: &ServerName,
         server: &ServerState,
-        now: Moment,
+        now: MonotonicInstant,
     ) -> Option<bool> {
         let told = told
             .iter()
@@ -226,9 +226,9 @@
     }
 
     /// When the first server that is kept from work for its faults may have some again.
-    fn well_again(&self, ask: &Ask) -> Span {
+    fn well_again(&self, ask: &Ask) -> Milliseconds {
         let is_kin = |server: &&ServerState| {
-            server.is_listed && !server.is_leaving && server.pool == ask.rules.pool
+            server.is_listed && !server.is_draining && server.pool == ask.rules.pool
         };
         let waits = self
             .servers
@@ -239,7 +239,7 @@
             .map(|deadline| ask.now.until(deadline))
             .filter(|wait| wait.0 > 0)
             .min()
-            .unwrap_or(Span(1000))
+            .unwrap_or(Milliseconds(1000))
     }
 
     /// All servers that can take the request now, and what is with those that can't.
@@ -342,7 +342,7 @@
         &self,
         scored: &mut [Scored],
         hashes: &[PrefixHash],
-        demand: &Demand,
+        demand: &RequestCost,
         shared: usize,
     ) {
         if hashes.len() < 2 || scored.iter().any(|s| s.matched as usize > shared) {
@@ -374,13 +374,13 @@
         slots: u32,
         load: u32,
         does_trust: bool,
-        now: Moment,
-    ) -> Result<(), Span> {
+        now: MonotonicInstant,
+    ) -> Result<(), Milliseconds> {
         if rules.cold_per_second > 0 && server.is_cold(rules.cold_span, now) {
             let part = self.claimed(rules.cold_per_second, server, now)?;
             server.check_cold(part, now)?;
         }
-        let place_wait = Span(server.hold.0 / u64::from(slots));
+        let place_wait = Milliseconds(server.hold.0 / u64::from(slots));
         // One that was kept from work shows first that it works again.
         if !does_trust && server.suspect_until.is_some() && server.faults > 0 && server.own > 0 {
             return Err(place_wait);
@@ -437,13 +437,13 @@
         tokens * server.block_micros / u64::from(self.scheduler_rules.block_tokens.max(1)) / 1000
     }
 
-    fn prompt_tokens(&self, hashes: &[PrefixHash], demand: &Demand) -> u64 {
+    fn prompt_tokens(&self, hashes: &[PrefixHash], demand: &RequestCost) -> u64 {
         self.tokens_of(hashes, demand)
             .max(u64::from(demand.prompt_tokens))
     }
 
     /// Tokens of the leading parts.
-    fn tokens_of(&self, hashes: &[PrefixHash], demand: &Demand) -> u64 {
+    fn tokens_of(&self, hashes: &[PrefixHash], demand: &RequestCost) -> u64 {
         if demand.hash_tokens.is_empty() {
             return hashes.len() as u64 * u64::from(self.scheduler_rules.block_tokens);
         }
@@ -459,7 +459,7 @@
 /// The cheapest; of those that cost about the same, the one that holds most, then the prefix's own favorite.
 fn best_of<'a, 'b>(
     scored: &'b [Scored<'a>],
-    hysteresis: Span,
+    hysteresis: Milliseconds,
     may: impl Fn(&Scored) -> bool,
 ) -> Option<&'b Scored<'a>> {
     let least = scored.iter().filter(|r| may(r)).map(|r| r.cost).min()?;
--- a/crates/placement/src/scheduler/warming.rs
+++ b/crates/placement/src/scheduler/warming.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::Scheduler;
 use crate::share::{key_of, mix, rank};
 use crate::sketch::PrefixHash;
-use types::{Address, Moment, ServerName, ServiceName, Span};
+use types::{Address, Milliseconds, MonotonicInstant, ServerName, ServiceName};
 
 impl Scheduler {
     /// Makes a prefix active when its count fires, and orders copies that are due.
@@ -17,7 +17,7 @@
         service: &ServiceName,
         hashes: &[PrefixHash],
         count: u32,
-        now: Moment,
+        now: MonotonicInstant,
     ) {
         if let Some(active) = self.active.get_mut(&prefix) {
             active.last = now;
@@ -37,7 +37,7 @@
         }
     }
 
-    pub(super) fn on_tick(&mut self, now: Moment) {
+    pub(super) fn on_tick(&mut self, now: MonotonicInstant) {
         self.note_overdue(now);
         self.assume_copies(now);
         if self.scheduler_rules.does_order_copies {
@@ -45,14 +45,15 @@
         }
         self.note_overdue_most(now);
         self.cool(now);
-        let life = Span(self.scheduler_rules.sketch_life.0 * 4);
-        self.peers.retain(|_, peer| now.since(peer.heard) < life);
+        let incarnation = Milliseconds(self.scheduler_rules.sketch_life.0 * 4);
+        self.peers
+            .retain(|_, peer| now.since(peer.heard) < incarnation);
         self.forget_unlisted();
     }
 
     /// Nobody tells that an import is done: after a while it's assumed, and first-token times may
     /// disprove it.
-    fn assume_copies(&mut self, now: Moment) {
+    fn assume_copies(&mut self, now: MonotonicInstant) {
         let span = self.scheduler_rules.copy_span;
         for active in self.active.values_mut() {
             for (name, copy) in &mut active.copies {
@@ -69,7 +70,7 @@
     /// Requests the copies that an active prefix lacks, if it's this node's duty: the one that comes
     /// first in the prefix's own order of the members that are heard. Should two nodes for a moment
     /// both think so, the servers take the same copy once.
-    fn order_copies(&mut self, now: Moment) {
+    fn order_copies(&mut self, now: MonotonicInstant) {
         let heard: Vec<Address> = self.heard().into_iter().collect();
         let prefixes: Vec<PrefixHash> = self.active.keys().copied().collect();
         for prefix in prefixes {
@@ -104,7 +105,8 @@
             };
             let is_under_way = |copy: &Copy| {
                 copy.state == CopyState::Ordered
-                    || (copy.state == CopyState::Failed && now.since(copy.ordered) < Span(3000))
+                    || (copy.state == CopyState::Failed
+                        && now.since(copy.ordered) < Milliseconds(3000))
             };
             let active = &self.active[&prefix];
             let under_way = active
@@ -205,7 +207,7 @@
     }
 
     /// What is overdue at a server now is to be expected of what goes there next.
-    fn note_overdue_most(&mut self, now: Moment) {
+    fn note_overdue_most(&mut self, now: MonotonicInstant) {
         for server in self.servers.values_mut() {
             server.overdue = 0;
         }
@@ -221,7 +223,7 @@
         }
     }
 
-    fn cool(&mut self, now: Moment) {
+    fn cool(&mut self, now: MonotonicInstant) {
         let span = self.scheduler_rules.cool_after;
         for (prefix, active) in &mut self.active {
             if self.told.count(*prefix).is_some() {
--- a/crates/placement/src/server_state.rs
+++ b/crates/placement/src/server_state.rs
@@ -3,7 +3,7 @@
 use crate::rules::SchedulerRules;
 use crate::share::key_of;
 use std::collections::VecDeque;
-use types::{Moment, Span, ZoneName};
+use types::{Milliseconds, MonotonicInstant, ZoneName};
 
 /// What others have in hand at a server.
 #[derive(Debug, Clone, Copy, Default)]
@@ -29,7 +29,7 @@
     /// Whether the newest server list lists it.
     pub is_listed: bool,
     /// Whether it gets no new work.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Its life, if it told one.
     pub incarnation: Option<u64>,
     /// What it runs, if it told.
@@ -37,11 +37,11 @@
     /// Whether it has refused KV orders as unknown.
     pub knows_kv: bool,
     /// From when its ramp counts.
-    pub ramp_from: Moment,
+    pub ramp_from: MonotonicInstant,
     /// Slots, if it told.
     pub slots: Option<u32>,
     /// Its last report: running and waiting, and when it came.
-    pub reported: Option<(u32, Moment)>,
+    pub reported: Option<(u32, MonotonicInstant)>,
     /// This node's requests there.
     pub own: u32,
     /// The requests of those peers there whose sketches count.
@@ -51,27 +51,27 @@
     /// How much later than expected its first pieces came lately, in ms, smoothed.
     pub lag: u64,
     /// A first piece may come this much later than expected, besides what is usual.
-    pub lag_slack: Span,
+    pub lag_slack: Milliseconds,
     /// First pieces that came far too late, one after another.
     pub late: u32,
     /// No work until then.
-    pub suspect_until: Option<Moment>,
+    pub suspect_until: Option<MonotonicInstant>,
     /// What it holds.
     pub residency: Residency,
     /// Prefill of a block in microseconds.
     pub block_micros: u64,
     /// How long a request holds a slot.
-    pub hold: Span,
+    pub hold: Milliseconds,
     /// A number for its name, the same everywhere.
     pub key: u64,
     /// This node's place in the server's own order of the members.
     pub rank: u32,
     /// When it was first listed, or a new life of it was first heard of, in this node's life.
-    pub listed_from: Moment,
+    pub listed_from: MonotonicInstant,
     /// Until when the list says that it is cold; `None` where the list has never told.
-    pub cold_until: Option<Moment>,
+    pub cold_until: Option<MonotonicInstant>,
     /// What this node sent it lately while it was cold.
-    pub cold_sent: VecDeque<Moment>,
+    pub cold_sent: VecDeque<MonotonicInstant>,
     /// Prompt tokens of this node's requests that it has still to read.
     pub unread: u64,
     /// Tokens that this node's requests take of its memory.
@@ -86,12 +86,12 @@
 
 impl ServerState {
     /// When first seen.
-    pub fn new(entry: &ServerEntry, now: Moment, rules: &SchedulerRules) -> Self {
+    pub fn new(entry: &ServerEntry, now: MonotonicInstant, rules: &SchedulerRules) -> Self {
         ServerState {
             zone: entry.zone.clone(),
             pool: entry.pool.clone(),
             is_listed: true,
-            is_leaving: entry.is_leaving,
+            is_draining: entry.is_draining,
             incarnation: None,
             weights: None,
             knows_kv: true,
@@ -121,9 +121,9 @@
         }
     }
     /// Takes over what the list says of it.
-    pub fn note_entry(&mut self, entry: ServerEntry, now: Moment) {
+    pub fn note_entry(&mut self, entry: ServerEntry, now: MonotonicInstant) {
         self.is_listed = true;
-        self.is_leaving = entry.is_leaving;
+        self.is_draining = entry.is_draining;
         self.zone = entry.zone;
         self.pool = entry.pool;
         self.slots = entry.slots.or(self.slots);
@@ -133,7 +133,7 @@
     }
     /// Whether it is cold. Where the list has not told, it is for as long as the plan says, from when this
     /// node first heard of it.
-    pub fn is_cold(&self, span: Span, now: Moment) -> bool {
+    pub fn is_cold(&self, span: Milliseconds, now: MonotonicInstant) -> bool {
         match self.cold_until {
             Some(deadline) => now < deadline,
             None => now.since(self.listed_from) < span,
@@ -142,7 +142,7 @@
     /// Whether this node may send it one more while it is cold; else when.
     ///
     /// Invariant: no more than `part` go there in any second.
-    pub fn check_cold(&self, part: u32, now: Moment) -> Result<(), Span> {
+    pub fn check_cold(&self, part: u32, now: MonotonicInstant) -> Result<(), Milliseconds> {
         if part == 0 {
             return Err(COLD_WINDOW);
         }
@@ -156,7 +156,7 @@
         Err(now.until(*oldest + COLD_WINDOW))
     }
     /// It was sent one. Also noted of warm ones: they may turn cold at any moment.
-    pub fn note_sent(&mut self, now: Moment) {
+    pub fn note_sent(&mut self, now: MonotonicInstant) {
         while self
             .cold_sent
             .front()
@@ -167,7 +167,7 @@
         self.cold_sent.push_back(now);
     }
     /// What the whole fleet may have in hand there now.
-    pub fn cap(&self, full: u32, now: Moment, rules: &SchedulerRules) -> u32 {
+    pub fn cap(&self, full: u32, now: MonotonicInstant, rules: &SchedulerRules) -> u32 {
         let age = now.since(self.ramp_from);
         if age >= rules.ramp {
             return full;
@@ -176,21 +176,21 @@
         full.min(rules.ramp_start.max(grown as u32))
     }
     /// Whether it's still ramping up.
-    pub fn is_fresh(&self, now: Moment, rules: &SchedulerRules) -> bool {
+    pub fn is_fresh(&self, now: MonotonicInstant, rules: &SchedulerRules) -> bool {
         now.since(self.ramp_from) < rules.ramp
     }
     /// Whether it's kept from work after faults.
-    pub fn is_suspect(&self, now: Moment) -> bool {
+    pub fn is_suspect(&self, now: MonotonicInstant) -> bool {
         self.suspect_until.is_some_and(|deadline| now < deadline)
     }
     /// A request failed there. Gives how long it is kept from work, if it is.
-    pub fn fault(&mut self, now: Moment, is_certain: bool) -> Option<Span> {
+    pub fn fault(&mut self, now: MonotonicInstant, is_certain: bool) -> Option<Milliseconds> {
         self.faults += 1;
         let needed = if is_certain { 1 } else { 2 };
         if self.faults < needed || self.is_suspect(now) {
             return None;
         }
-        let span = Span((500u64 << self.faults.min(5)).min(8000));
+        let span = Milliseconds((500u64 << self.faults.min(5)).min(8000));
         self.suspect_until = Some(now + span);
         self.ramp_from = now + span;
         Some(span)
@@ -224,7 +224,7 @@
 /// From a prompt with less to read, the reading speed can't be told.
 const LEARN_LEAST: u64 = 2048;
 /// What a cold server bears is told by the second.
-const COLD_WINDOW: Span = Span::seconds(1);
+const COLD_WINDOW: Milliseconds = Milliseconds::seconds(1);
 /// So many late ones in a row are no chance.
 const LATE_MOST: u32 = 2;
 
--- a/crates/placement/src/server_state/tests.rs
+++ b/crates/placement/src/server_state/tests.rs
@@ -1,17 +1,17 @@
 use crate::event::ServerEntry;
 use crate::rules::SchedulerRules;
 use crate::server_state::ServerState;
-use types::Moment;
+use types::MonotonicInstant;
 
 fn state() -> ServerState {
     let entry = ServerEntry {
         server: "s".into(),
         zone: "h".into(),
         pool: "model".into(),
-        is_leaving: false,
+        is_draining: false,
         ..ServerEntry::default()
     };
-    ServerState::new(&entry, Moment(0), &SchedulerRules::default())
+    ServerState::new(&entry, MonotonicInstant(0), &SchedulerRules::default())
 }
 
 #[test]
@@ -33,16 +33,18 @@
     let rules = SchedulerRules::default();
     let mut server = state();
     let caps: Vec<u32> = [0, 2000, 4000, 8000]
-        .map(|at| server.cap(8, Moment(at), &rules))
+        .map(|at| server.cap(8, MonotonicInstant(at), &rules))
         .to_vec();
     assert_eq!(caps, [2, 2, 4, 8]);
     assert_eq!(
-        server.fault(Moment(9000), false),
+        server.fault(MonotonicInstant(9000), false),
         None,
         "one doubtful fault is no proof"
     );
-    let span = server.fault(Moment(9000), false).expect("two are");
-    assert!(server.is_suspect(Moment(9000)));
-    assert!(!server.is_suspect(Moment(9000) + span));
-    assert_eq!(server.cap(8, Moment(9000) + span, &rules), 2);
+    let span = server
+        .fault(MonotonicInstant(9000), false)
+        .expect("two are");
+    assert!(server.is_suspect(MonotonicInstant(9000)));
+    assert!(!server.is_suspect(MonotonicInstant(9000) + span));
+    assert_eq!(server.cap(8, MonotonicInstant(9000) + span, &rules), 2);
 }
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/sketch.rs
@@ -29,7 +29,7 @@
 messages! {
     /// How often one node saw a prefix within the window.
     #[derive(Copy, Eq, Serialize, Deserialize)]
-    pub struct Hot {
+    pub struct HotPrefix {
         /// The prefix.
         pub prefix: PrefixHash,
         /// Its arrivals at the sender alone.
@@ -38,7 +38,7 @@
 
     /// Which server one node believes to hold a prefix.
     #[derive(Eq, Serialize, Deserialize)]
-    pub struct Holding {
+    pub struct CachedPrefix {
         /// The prefix.
         pub prefix: PrefixHash,
         /// The server.
@@ -78,9 +78,9 @@
         /// Grows within a life.
         pub number: u64,
         /// Prefixes that are turning hot.
-        pub hot: Vec<Hot>,
+        pub hot: Vec<HotPrefix>,
         /// Who holds them.
-        pub holdings: Vec<Holding>,
+        pub holdings: Vec<CachedPrefix>,
         /// What the sender has at servers.
         pub in_flight: Vec<InFlight>,
         /// Servers that the sender knows to be leaving.
--- a/crates/placement/src/window.rs
+++ b/crates/placement/src/window.rs
@@ -1,18 +1,18 @@
-use crate::sketch::{Hot, PrefixHash};
+use crate::sketch::{HotPrefix, PrefixHash};
 use std::collections::{BTreeMap, VecDeque};
-use types::{Moment, Span};
+use types::{Milliseconds, MonotonicInstant};
 
 /// Counts arrivals of prefixes within a sliding window.
 ///
 /// Invariant: each queue holds moments in order, none older than the window when last looked at.
 #[derive(Debug, Clone, Default)]
 pub struct Window {
-    arrivals: BTreeMap<PrefixHash, VecDeque<Moment>>,
+    arrivals: BTreeMap<PrefixHash, VecDeque<MonotonicInstant>>,
 }
 
 impl Window {
     /// A prompt with this prefix came.
-    pub fn arrive(&mut self, prefix: PrefixHash, now: Moment, span: Span) {
+    pub fn arrive(&mut self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) {
         let queue = self.arrivals.entry(prefix).or_default();
         queue.push_back(now);
         expire(queue, now, span);
@@ -22,22 +22,27 @@
         }
     }
     /// How many came within the window.
-    pub fn count(&self, prefix: PrefixHash, now: Moment, span: Span) -> u32 {
+    pub fn count(&self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) -> u32 {
         let queue = self.arrivals.get(&prefix);
         queue.map_or(0, |queue| {
             queue.iter().filter(|at| now.since(**at) < span).count() as u32
         })
     }
     /// The hottest ones, most first.
-    pub fn hottest(&mut self, now: Moment, span: Span, most: usize) -> Vec<Hot> {
+    pub fn hottest(
+        &mut self,
+        now: MonotonicInstant,
+        span: Milliseconds,
+        most: usize,
+    ) -> Vec<HotPrefix> {
         self.arrivals.retain(|_, queue| {
             expire(queue, now, span);
             !queue.is_empty()
         });
-        let mut hot: Vec<Hot> = self
+        let mut hot: Vec<HotPrefix> = self
             .arrivals
             .iter()
-            .map(|(prefix, queue)| Hot {
+            .map(|(prefix, queue)| HotPrefix {
                 prefix: *prefix,
                 count: queue.len() as u32,
             })
@@ -48,7 +53,7 @@
     }
 }
 
-fn expire(queue: &mut VecDeque<Moment>, now: Moment, span: Span) {
+fn expire(queue: &mut VecDeque<MonotonicInstant>, now: MonotonicInstant, span: Milliseconds) {
     while queue.front().is_some_and(|at| now.since(*at) >= span) {
         queue.pop_front();
     }
--- a/crates/placement/tests/by_time.rs
+++ b/crates/placement/tests/by_time.rs
@@ -1,10 +1,12 @@
 //! Placement where clients tell what they ask: tokens, targets, deadlines.
 
 use placement::{
-    BtbRules, Dated, Decision, Demand, Event, InFlight, Outcome, PlaceReason, PrefixHash, Rules,
-    Scheduler, SchedulerRules, ServerEntry, ServiceRules, Sketch,
+    BtbRules, Decision, Event, InFlight, Outcome, PlacementReason, PrefixHash, RequestCost, Rules,
+    Scheduler, SchedulerRules, ServerEntry, ServiceRules, Sketch, Timestamped,
+};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, ServerName,
 };
-use types::{Address, Epoch, Moment, RequestId, ResultCode, ServerName, Span};
 use yare::parameterized;
 
 /// Long after the machine came up.
@@ -15,11 +17,11 @@
         pool: "model".into(),
         zones: vec![],
         servers: vec![],
-        first_token: Span(800),
+        first_token: Milliseconds(800),
         slots: 128,
         btb: BtbRules::default(),
         cold_per_second: 0,
-        cold_span: Span(0),
+        cold_span: Milliseconds(0),
         memory_tokens: 650_000,
     }
 }
@@ -38,7 +40,7 @@
         zone: zone.into(),
         pool: "model".into(),
         slots: Some(128),
-        cold_left: Some(Span(0)),
+        cold_left: Some(Milliseconds(0)),
         ..ServerEntry::default()
     }
 }
@@ -59,7 +61,7 @@
             next: 0,
         };
         let rules = Rules {
-            epoch: Epoch(1),
+            epoch: ConfigEpoch(1),
             services: [("drafts".into(), service)].into(),
             withdrawn: vec![],
         };
@@ -74,8 +76,8 @@
         Played::with(service(), scheduler_rules(), servers)
     }
     fn take(&mut self, at: u64, event: Event) -> Vec<Decision> {
-        self.scheduler.take(Dated {
-            at: Moment(START + at),
+        self.scheduler.take(Timestamped {
+            at: MonotonicInstant(START + at),
             event,
         })
     }
@@ -83,12 +85,12 @@
     fn ask(&mut self, at: u64, parts: &[(u64, u32)], round: u32) -> (RequestId, Decision) {
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
-        let demand = Demand {
+        let demand = RequestCost {
             hash_tokens: parts.iter().map(|(_, tokens)| *tokens).collect(),
             prompt_tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
             output_tokens: 400,
-            deadline: Span(15_000),
-            ..Demand::default()
+            deadline: Milliseconds(15_000),
+            ..RequestCost::default()
         };
         let event = Event::Prompt {
             request: request.clone(),
@@ -137,7 +139,10 @@
         played.ask(n * 10, parts, 0);
     }
     assert_eq!(
-        !played.scheduler.active(Moment(START + 60)).is_empty(),
+        !played
+            .scheduler
+            .active(MonotonicInstant(START + 60))
+            .is_empty(),
         is_counted
     );
 }
@@ -238,7 +243,7 @@
     // The third went where nothing of it was held, for it would have waited longer than its reading takes.
     let warming: Vec<&ServerName> = reasons
         .iter()
-        .filter(|(reason, _)| *reason == PlaceReason::Warming)
+        .filter(|(reason, _)| *reason == PlacementReason::Warming)
         .map(|(_, server)| server)
         .collect();
     let distinct: std::collections::BTreeSet<&ServerName> = warming.iter().copied().collect();
@@ -267,7 +272,7 @@
             let Decision::Placed { reason, server, .. } = played.draft(1000 + n, 7).1 else {
                 panic!("placed")
             };
-            assert_eq!(reason, PlaceReason::Warm);
+            assert_eq!(reason, PlacementReason::Warm);
             server
         })
         .collect();
@@ -278,7 +283,7 @@
 fn the_own_zone_is_preferred_lightly() {
     let servers = vec![entry("a", "north"), entry("b", "south")];
     let rules = SchedulerRules {
-        zone_bias: Span(60),
+        zone_bias: Milliseconds(60),
         ..scheduler_rules()
     };
     let mut played = Played::with(service(), rules, servers);
@@ -334,14 +339,14 @@
         panic!("13 s are too late")
     };
     assert_eq!(code, ResultCode::Crowded.number());
-    assert!(retry_after >= Span(50));
+    assert!(retry_after >= Milliseconds(50));
 }
 
 #[test]
 fn nobody_is_refused_while_servers_stand_half_empty_however_uneven_the_traffic() {
     let app = ServiceRules {
         slots: 6,
-        first_token: Span(300),
+        first_token: Milliseconds(300),
         memory_tokens: 0,
         ..service()
     };
@@ -358,7 +363,7 @@
         0,
         Event::Members {
             members: members.clone(),
-            since: Epoch(1),
+            since: ConfigEpoch(1),
         },
     );
     for from in members.into_iter().skip(1) {
@@ -396,7 +401,7 @@
 fn a_cold_server_gets_its_rate_and_the_rest_go_elsewhere() {
     let rules = ServiceRules {
         cold_per_second: 20,
-        cold_span: Span(3000),
+        cold_span: Milliseconds(3000),
         ..service()
     };
     let servers = vec![
@@ -412,7 +417,7 @@
         0,
         Event::Members {
             members,
-            since: Epoch(1),
+            since: ConfigEpoch(1),
         },
     );
     let mut sent = vec![];
@@ -439,7 +444,7 @@
         10_000,
         Event::ServerList {
             servers: vec![ServerEntry {
-                cold_left: Some(Span(2000)),
+                cold_left: Some(Milliseconds(2000)),
                 ..entry("warm", "north")
             }],
         },
@@ -469,7 +474,7 @@
                 }
             }
         }
-        let now = Moment(START + at + 4000);
+        let now = MonotonicInstant(START + at + 4000);
         let lost = played
             .scheduler
             .servers()
@@ -496,11 +501,11 @@
 fn before_the_members_are_told_a_cold_server_gets_nothing() {
     let rules = ServiceRules {
         cold_per_second: 20,
-        cold_span: Span(3000),
+        cold_span: Milliseconds(3000),
         ..service()
     };
     let servers = vec![ServerEntry {
-        cold_left: Some(Span(60_000)),
+        cold_left: Some(Milliseconds(60_000)),
         ..entry("new", "north")
     }];
     let mut played = Played::with(rules, scheduler_rules(), servers);
@@ -509,7 +514,7 @@
         5000,
         Event::Members {
             members: vec![Address::loopback(1)],
-            since: Epoch(1),
+            since: ConfigEpoch(1),
         },
     );
     // Nor for a second and a half after: what others placed before has left by then, and its second is over.
--- a/crates/placement/tests/cold_shares.rs
+++ b/crates/placement/tests/cold_shares.rs
@@ -2,11 +2,11 @@
 //! some have just started, some were retired and don't know. Pure, seeded, in steps of a millisecond.
 
 use placement::{
-    BtbRules, Dated, Decision, Demand, Event, Outcome, Rules, Scheduler, SchedulerRules,
-    ServerEntry, ServiceRules, mix,
+    BtbRules, Decision, Event, Outcome, RequestCost, Rules, Scheduler, SchedulerRules, ServerEntry,
+    ServiceRules, Timestamped, mix,
 };
 use std::collections::{BTreeSet, VecDeque};
-use types::{Address, Epoch, Moment, RequestId, Span};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId};
 use yare::parameterized;
 
 const START: u64 = 1_000_000;
@@ -19,15 +19,15 @@
 /// A node, and how it stands with the core.
 struct Node {
     scheduler: Scheduler,
-    lives: u64,
+    incarnations: u64,
     /// Since when its process runs.
     up_from: u64,
     cut_until: u64,
     next_poll: u64,
     /// The membership's epoch that it knows.
-    knows: Epoch,
+    knows: ConfigEpoch,
     /// Answers under way: when they come, when they were asked for, the membership as it was at the core.
-    answers: VecDeque<(u64, u64, Epoch, Vec<Address>)>,
+    answers: VecDeque<(u64, u64, ConfigEpoch, Vec<Address>)>,
 }
 
 /// One server that is cold throughout, and nodes that send it whatever they may.
@@ -36,7 +36,7 @@
     seed: u64,
     nodes: Vec<Node>,
     membership: Vec<Address>,
-    since: Epoch,
+    since: ConfigEpoch,
     next: u64,
     placed: Vec<u64>,
 }
@@ -48,18 +48,18 @@
             seed,
             nodes: vec![],
             membership: vec![],
-            since: Epoch(0),
+            since: ConfigEpoch(0),
             next: 0,
             placed: vec![],
         };
         for place in 0..NODES {
             let node = Node {
                 scheduler: Scheduler::new(own(place), 0, SchedulerRules::default()),
-                lives: 0,
+                incarnations: 0,
                 up_from: START,
                 cut_until: START,
                 next_poll: START,
-                knows: Epoch(0),
+                knows: ConfigEpoch(0),
                 answers: VecDeque::new(),
             };
             fleet.nodes.push(node);
@@ -72,8 +72,8 @@
         self.seed % below
     }
     fn tell(&mut self, place: usize, event: Event) -> Vec<Decision> {
-        self.nodes[place].scheduler.take(Dated {
-            at: Moment(self.now),
+        self.nodes[place].scheduler.take(Timestamped {
+            at: MonotonicInstant(self.now),
             event,
         })
     }
@@ -81,9 +81,9 @@
     fn restart(&mut self, place: usize) {
         let up_from = self.now + self.random(400);
         let node = &mut self.nodes[place];
-        node.lives += 1;
-        node.scheduler = Scheduler::new(own(place), node.lives, SchedulerRules::default());
-        (node.up_from, node.next_poll, node.knows) = (up_from, up_from, Epoch(0));
+        node.incarnations += 1;
+        node.scheduler = Scheduler::new(own(place), node.incarnations, SchedulerRules::default());
+        (node.up_from, node.next_poll, node.knows) = (up_from, up_from, ConfigEpoch(0));
         node.answers.clear();
     }
     /// The new life is told the plan and the list as soon as it runs.
@@ -92,11 +92,11 @@
             pool: "model".into(),
             zones: vec![],
             servers: vec![],
-            first_token: Span(800),
+            first_token: Milliseconds(800),
             slots: 128,
             btb: BtbRules::default(),
             cold_per_second: BEARS as u32,
-            cold_span: Span(3000),
+            cold_span: Milliseconds(3000),
             memory_tokens: 0,
         };
         let services = [("drafts".into(), service)].into();
@@ -104,7 +104,7 @@
             place,
             Event::Rules {
                 rules: Rules {
-                    epoch: Epoch(1),
+                    epoch: ConfigEpoch(1),
                     services,
                     withdrawn: vec![],
                 },
@@ -113,7 +113,7 @@
         let entry = ServerEntry {
             server: "new".into(),
             slots: Some(128),
-            cold_left: Some(Span(600_000)),
+            cold_left: Some(Milliseconds(600_000)),
             zone: "north".into(),
             pool: "model".into(),
             ..ServerEntry::default()
@@ -160,8 +160,8 @@
                 self.tell(
                     place,
                     Event::Lease {
-                        until: Moment(asked + LEASE),
-                        span: Span(LEASE),
+                        until: MonotonicInstant(asked + LEASE),
+                        span: Milliseconds(LEASE),
                     },
                 );
             }
@@ -183,11 +183,11 @@
         }
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
-        let demand = Demand {
+        let demand = RequestCost {
             prompt_tokens: 100,
             output_tokens: 10,
-            deadline: Span(15_000),
-            ..Demand::default()
+            deadline: Milliseconds(15_000),
+            ..RequestCost::default()
         };
         let (service, hashes, tried) = ("drafts".into(), vec![], vec![]);
         let decisions = self.tell(
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! A small fleet of schedulers that share engines: pure, seeded, in steps of a millisecond.
 
 use placement::{
-    BtbRules, Dated, Decision, Demand, Event, Outcome, PlaceReason, PrefixHash, Rules, Scheduler,
-    SchedulerRules, ServerEntry, ServiceRules, Sketch, mix,
+    BtbRules, Decision, Event, Outcome, PlacementReason, PrefixHash, RequestCost, Rules, Scheduler,
+    SchedulerRules, ServerEntry, ServiceRules, Sketch, Timestamped, mix,
 };
 use std::collections::{BTreeMap, BTreeSet};
-use types::{Address, Epoch, Moment, RequestId, ServerName, Span};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName};
 
 const START: u64 = 1_000_000;
 const READ_PER_MS: f64 = 112.0;
@@ -32,14 +32,14 @@
     now: u64,
     seed: u64,
     schedulers: Vec<Scheduler>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     engines: Vec<Engine>,
     timers: BTreeMap<(u64, u64), Timer>,
     service: ServiceRules,
     scheduler_rules: SchedulerRules,
     next: u64,
     /// When, where, why, for which prefix.
-    placed: Vec<(u64, ServerName, PlaceReason, u64)>,
+    placed: Vec<(u64, ServerName, PlacementReason, u64)>,
     asked: Vec<u64>,
     repeated: Vec<u64>,
     refused: u32,
@@ -68,7 +68,7 @@
             now: START,
             seed: 11,
             schedulers: vec![],
-            lives: vec![0; schedulers],
+            incarnations: vec![0; schedulers],
             engines: (0..engines).map(engine).collect(),
             timers: BTreeMap::new(),
             service,
@@ -95,7 +95,7 @@
         let entry = |engine: &Engine| ServerEntry {
             server: engine.name.clone(),
             slots: Some(128),
-            cold_left: Some(Span(engine.cold_until.saturating_sub(self.now))),
+            cold_left: Some(Milliseconds(engine.cold_until.saturating_sub(self.now))),
             zone: "north".into(),
             pool: "model".into(),
             ..ServerEntry::default()
@@ -103,22 +103,25 @@
         self.engines.iter().map(entry).collect()
     }
     fn tell(&mut self, place: usize, event: Event) -> Vec<Decision> {
-        self.schedulers[place].take(Dated {
-            at: Moment(self.now),
+        self.schedulers[place].take(Timestamped {
+            at: MonotonicInstant(self.now),
             event,
         })
     }
     /// A node is killed and starts anew; what it had in hand is lost.
     fn restart(&mut self, place: usize) {
-        self.lives[place] += 1;
-        self.schedulers[place] =
-            Scheduler::new(own(place), self.lives[place], self.scheduler_rules.clone());
+        self.incarnations[place] += 1;
+        self.schedulers[place] = Scheduler::new(
+            own(place),
+            self.incarnations[place],
+            self.scheduler_rules.clone(),
+        );
         let services = [("drafts".into(), self.service.clone())].into();
         self.tell(
             place,
             Event::Rules {
                 rules: Rules {
-                    epoch: Epoch(1),
+                    epoch: ConfigEpoch(1),
                     services,
                     withdrawn: vec![],
                 },
@@ -132,7 +135,7 @@
             place,
             Event::Members {
                 members,
-                since: Epoch(1),
+                since: ConfigEpoch(1),
             },
         );
         self.tell(place, Event::ServerList { servers });
@@ -179,7 +182,7 @@
             }
         }
         if self.now.is_multiple_of(250) {
-            let at = Moment(self.now);
+            let at = MonotonicInstant(self.now);
             let sketches: Vec<Sketch> = self
                 .schedulers
                 .iter_mut()
@@ -207,12 +210,12 @@
             (PrefixHash(prefix), 4870),
             (PrefixHash(mix(self.next)), 3000),
         ];
-        let demand = Demand {
+        let demand = RequestCost {
             hash_tokens: parts.map(|(_, tokens)| tokens).to_vec(),
             prompt_tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
             output_tokens: 400,
-            deadline: Span(15_000),
-            ..Demand::default()
+            deadline: Milliseconds(15_000),
+            ..RequestCost::default()
         };
         let hashes = parts.map(|(hash, _)| hash).to_vec();
         let event = Event::Prompt {
@@ -299,11 +302,11 @@
         pool: "model".into(),
         zones: vec![],
         servers: vec![],
-        first_token: Span(800),
+        first_token: Milliseconds(800),
         slots: 128,
         btb: BtbRules::default(),
         cold_per_second: 20,
-        cold_span: Span(3000),
+        cold_span: Milliseconds(3000),
         memory_tokens: 650_000,
     }
 }
@@ -312,7 +315,7 @@
     SchedulerRules {
         block_micros: 143,
         does_order_copies: false,
-        repeat_window: Span::seconds(10),
+        repeat_window: Milliseconds::seconds(10),
         repeats_in_window: 62,
         ..SchedulerRules::default()
     }
@@ -334,7 +337,7 @@
         }
     }
     let late = START + 6000;
-    let hot = |p: &&(u64, ServerName, PlaceReason, u64)| p.3 == 777 && p.0 >= late;
+    let hot = |p: &&(u64, ServerName, PlacementReason, u64)| p.3 == 777 && p.0 >= late;
     let used: BTreeSet<&ServerName> = fleet.placed.iter().filter(hot).map(|p| &p.1).collect();
     assert!((3..=6).contains(&used.len()), "the burst went to {used:?}");
     let reads: u32 = fleet
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -5,12 +5,15 @@
 mod golden_file;
 
 use placement::{
-    BtbRules, Candidate, Dated, Decision, Demand, Event, Holding, Hot, InFlight, Outcome,
-    PlaceReason, PrefixHash, Rules, SchedulerRules, ServerEntry, ServiceRules, Sketch, life_key,
-    server_key,
+    BtbRules, CachedPrefix, Candidate, Decision, Event, HotPrefix, InFlight, Outcome,
+    PlacementReason, PrefixHash, RequestCost, Rules, SchedulerRules, ServerEntry, ServiceRules,
+    Sketch, Timestamped, incarnation_key, server_key,
 };
 use std::collections::BTreeMap;
-use types::{Address, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName, ServiceName,
+    ZoneName,
+};
 
 variant_names!(ALL_EVENTS, event_name(Event) {
     Event::Rules { .. } => "rules",
@@ -44,13 +47,13 @@
     Outcome::Failed => "failed",
 });
 
-variant_names!(ALL_REASONS, reason_name(PlaceReason) {
-    PlaceReason::Warm => "warm",
-    PlaceReason::CacheMatch => "cache_match",
-    PlaceReason::Imbalance => "imbalance",
-    PlaceReason::LeastLoaded => "least_loaded",
-    PlaceReason::Soonest => "soonest",
-    PlaceReason::Warming => "warming",
+variant_names!(ALL_REASONS, reason_name(PlacementReason) {
+    PlacementReason::Warm => "warm",
+    PlacementReason::CacheMatch => "cache_match",
+    PlacementReason::Imbalance => "imbalance",
+    PlacementReason::LeastLoaded => "least_loaded",
+    PlacementReason::Soonest => "soonest",
+    PlacementReason::Warming => "warming",
 });
 
 const OUTCOMES: [Outcome; 5] = [
@@ -61,13 +64,13 @@
     Outcome::Failed,
 ];
 
-const REASONS: [PlaceReason; 6] = [
-    PlaceReason::Warm,
-    PlaceReason::CacheMatch,
-    PlaceReason::Imbalance,
-    PlaceReason::LeastLoaded,
-    PlaceReason::Soonest,
-    PlaceReason::Warming,
+const REASONS: [PlacementReason; 6] = [
+    PlacementReason::Warm,
+    PlacementReason::CacheMatch,
+    PlacementReason::Imbalance,
+    PlacementReason::LeastLoaded,
+    PlacementReason::Soonest,
+    PlacementReason::Warming,
 ];
 
 fn rules() -> Rules {
@@ -75,22 +78,22 @@
         pool: "model".into(),
         zones: vec![ZoneName::from("north")],
         servers: vec![ServerName::from("127.0.0.1:8101")],
-        first_token: Span(2000),
+        first_token: Milliseconds(2000),
         slots: 8,
         btb: BtbRules {
             is_on: false,
             blocks: 32,
             arrivals: 5,
-            window: Span(6000),
+            window: Milliseconds(6000),
             copies: 2,
             most_copies: 7,
         },
         cold_per_second: 9,
-        cold_span: Span(10_000),
+        cold_span: Milliseconds(10_000),
         memory_tokens: 200_000,
     };
     Rules {
-        epoch: Epoch(3),
+        epoch: ConfigEpoch(3),
         services: BTreeMap::from([(ServiceName::from("drafts"), service)]),
         withdrawn: vec![ZoneName::from("south")],
     }
@@ -102,10 +105,10 @@
             server: ServerName::from("model-0.life-3"),
             address: Some("127.0.0.1:8101".into()),
             slots: Some(16),
-            cold_left: Some(Span(2500)),
+            cold_left: Some(Milliseconds(2500)),
             zone: ZoneName::from("north"),
             pool: "model".into(),
-            is_leaving: false,
+            is_draining: false,
         },
         ServerEntry {
             server: ServerName::from("127.0.0.1:8102"),
@@ -114,7 +117,7 @@
             cold_left: None,
             zone: ZoneName::from("south"),
             pool: "app".into(),
-            is_leaving: true,
+            is_draining: true,
         },
     ]
 }
@@ -124,11 +127,11 @@
     Sketch {
         incarnation: 11,
         number: 12,
-        hot: vec![Hot {
+        hot: vec![HotPrefix {
             prefix: PrefixHash(13),
             count: 14,
         }],
-        holdings: vec![Holding {
+        holdings: vec![CachedPrefix {
             prefix: PrefixHash(15),
             server: server(),
             incarnation: 16,
@@ -153,17 +156,17 @@
         Event::Rules { rules: rules() },
         Event::Members {
             members: vec![Address::loopback(7201), Address::loopback(7202)],
-            since: Epoch(2),
+            since: ConfigEpoch(2),
         },
         Event::Lease {
-            until: Moment(99_000),
-            span: Span(6000),
+            until: MonotonicInstant(99_000),
+            span: Milliseconds(6000),
         },
         Event::ServerList { servers: servers() },
         Event::Load {
             server: server(),
             incarnation: 21,
-            up: Span(22),
+            up: Milliseconds(22),
             running: 23,
             waiting: 24,
             slots: 25,
@@ -176,13 +179,13 @@
             hashes: vec![PrefixHash(26), PrefixHash(27)],
             round: 1,
             tried: vec![server()],
-            demand: Demand {
+            demand: RequestCost {
                 hash_tokens: vec![28, 29],
                 prompt_tokens: 30,
                 output_tokens: 31,
                 rank: 2,
-                target: Span(32),
-                deadline: Span(33),
+                target: Milliseconds(32),
+                deadline: Milliseconds(33),
             },
         },
         Event::FirstToken { request: request() },
@@ -215,16 +218,16 @@
             service: service(),
             code: 103,
             why: "every server is full".into(),
-            retry_after: Span(1000),
+            retry_after: Milliseconds(1000),
             round: 0,
-            epoch: Epoch(3),
+            epoch: ConfigEpoch(3),
         },
         Decision::Warm {
             prefix: PrefixHash(1),
             holder: server(),
             targets: vec![ServerName::from("127.0.0.1:8102")],
             count: 4,
-            epoch: Epoch(3),
+            epoch: ConfigEpoch(3),
         },
         Decision::Cooled {
             prefix: PrefixHash(1),
@@ -236,7 +239,7 @@
         },
         Decision::Suspected {
             server: server(),
-            span: Span(500),
+            span: Milliseconds(500),
         },
     ];
     decisions.extend(REASONS.map(|reason| Decision::Placed {
@@ -250,10 +253,10 @@
             server: server(),
             load: 3,
             matched: 4,
-            expected: Span(5),
+            expected: Milliseconds(5),
             is_warm: true,
         }],
-        epoch: Epoch(3),
+        epoch: ConfigEpoch(3),
     }));
     decisions
 }
@@ -264,17 +267,17 @@
 
 #[test]
 fn events_have_their_golden_json_and_read_back() {
-    let dated: Vec<Dated> = events()
+    let dated: Vec<Timestamped> = events()
         .into_iter()
-        .map(|event| Dated {
-            at: Moment(10_000),
+        .map(|event| Timestamped {
+            at: MonotonicInstant(10_000),
             event,
         })
         .collect();
     let lines: Vec<String> = dated.iter().map(json).collect();
     let golden = golden_file::compare_json_lines("events.jsonl", &lines);
     for (line, event) in golden.iter().zip(&dated) {
-        let read: Dated = serde_json::from_str(line).expect("an event");
+        let read: Timestamped = serde_json::from_str(line).expect("an event");
         assert_eq!(&read, event);
         let tag = format!(r#""event":"{}""#, event_name(&event.event));
         assert!(line.contains(&tag), "{line}");
@@ -315,7 +318,8 @@
         r#"{"at":5,"event":"peer_sketch","from":"0.0.0.0:0","sketch":{"incarnation":1,"number":2,"hot":[],"holdings":[],"in_flight":[{"server":"a","count":1}],"leaving":[]}}"#,
         r#"{"at":6,"event":"rules","rules":{"epoch":1,"services":{"s":{"pool":"p","zones":[],"servers":[],"first_token":1,"slots":2,"btb":{"is_on":true,"blocks":1,"arrivals":2,"window":3,"copies":4,"most_copies":5}}},"withdrawn":[]}}"#,
     ];
-    let read = lines.map(|line| json(&serde_json::from_str::<Dated>(line).expect("an event")));
+    let read =
+        lines.map(|line| json(&serde_json::from_str::<Timestamped>(line).expect("an event")));
     golden_file::compare_json_lines("events-completed.jsonl", &read);
 }
 
@@ -331,9 +335,9 @@
     let server = ServerName::from("127.0.0.1:8101");
     let keys = [
         server_key(&server),
-        life_key(&server, 7, false),
-        life_key(&server, 7, true),
-        life_key(&server, 8, true),
+        incarnation_key(&server, 7, false),
+        incarnation_key(&server, 7, true),
+        incarnation_key(&server, 8, true),
     ];
     golden_file::compare_text("server-keys.txt", &format!("{keys:?}\n"));
 }
--- a/crates/placement/tests/repeat_window.rs
+++ b/crates/placement/tests/repeat_window.rs
@@ -1,15 +1,15 @@
 //! One node's repeats in each sliding window.
 
 use placement::RepeatWindow;
-use types::{Moment, Span};
+use types::{Milliseconds, MonotonicInstant};
 
 #[test]
 fn no_window_has_more_than_its_bound_and_a_new_life_begins_without_the_extra() {
-    let window = Span::seconds(10);
-    let mut node = RepeatWindow::new(Moment(0));
+    let window = Milliseconds::seconds(10);
+    let mut node = RepeatWindow::new(MonotonicInstant(0));
     let mut made = vec![];
     for at in (0..60_000).step_by(50) {
-        let now = Moment(at);
+        let now = MonotonicInstant(at);
         if at % 200 == 0 {
             node.place(false, now, window);
         }
@@ -34,11 +34,11 @@
 
 #[test]
 fn a_part_that_grows_counts_after_a_window_and_one_that_shrinks_at_once() {
-    let window = Span::seconds(10);
-    let mut node = RepeatWindow::new(Moment(0));
-    assert!(node.check(20, 10, Moment(9999), window).is_err());
-    assert!(node.check(20, 10, Moment(10_000), window).is_ok());
-    (0..8).for_each(|_| node.place(true, Moment(10_000), window));
+    let window = Milliseconds::seconds(10);
+    let mut node = RepeatWindow::new(MonotonicInstant(0));
+    assert!(node.check(20, 10, MonotonicInstant(9999), window).is_err());
+    assert!(node.check(20, 10, MonotonicInstant(10_000), window).is_ok());
+    (0..8).for_each(|_| node.place(true, MonotonicInstant(10_000), window));
     for (at, part, may) in [
         (10_001, 10, false),
         (10_002, 20, false),
@@ -47,7 +47,7 @@
         (20_003, 0, false),
     ] {
         assert_eq!(
-            node.check(20, part, Moment(at), window).is_ok(),
+            node.check(20, part, MonotonicInstant(at), window).is_ok(),
             may,
             "at {at}"
         );
--- a/crates/placement/tests/residency.rs
+++ b/crates/placement/tests/residency.rs
@@ -1,17 +1,20 @@
 //! What a server is believed to hold, bounded by its memory.
 
 use placement::{PrefixHash, Residency};
-use types::Moment;
+use types::MonotonicInstant;
 
 #[test]
 fn what_was_not_used_for_longest_makes_room_and_a_part_counts_only_after_all_before_it() {
     let hashes: Vec<PrefixHash> = (1..=3).map(PrefixHash).collect();
     let mut residency = Residency::default();
     residency.set_memory(1000);
-    residency.hold(&hashes, Moment(0));
+    residency.hold(&hashes, MonotonicInstant(0));
     residency.note_read(600);
-    residency.hold(&hashes[1..], Moment(1));
+    residency.hold(&hashes[1..], MonotonicInstant(1));
     residency.note_read(500);
-    assert!(!residency.holds(hashes[0], Moment(2)) && residency.holds(hashes[2], Moment(2)));
-    assert_eq!(residency.matched(&hashes, Moment(2)), 0);
+    assert!(
+        !residency.holds(hashes[0], MonotonicInstant(2))
+            && residency.holds(hashes[2], MonotonicInstant(2))
+    );
+    assert_eq!(residency.matched(&hashes, MonotonicInstant(2)), 0);
 }
--- a/crates/placement/tests/urgency.rs
+++ b/crates/placement/tests/urgency.rs
@@ -1,5 +1,5 @@
-use placement::Demand;
-use types::Span;
+use placement::RequestCost;
+use types::Milliseconds;
 use yare::parameterized;
 
 #[parameterized(
@@ -12,10 +12,10 @@
     beyond_all_classes = { u32::MAX, 1, 9 },
 )]
 fn the_shorter_against_its_target_goes_first(prompt_tokens: u32, target: u64, class: u8) {
-    let demand = Demand {
+    let demand = RequestCost {
         prompt_tokens,
-        target: Span(target),
-        ..Demand::default()
+        target: Milliseconds(target),
+        ..RequestCost::default()
     };
     assert_eq!(demand.urgency(), class);
 }
--- a/crates/quota/src/authority.rs
+++ b/crates/quota/src/authority.rs
@@ -1,7 +1,7 @@
 use crate::limit::{Amount, QuotaBounds, QuotaLimit};
 use crate::messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
 use std::collections::{BTreeMap, VecDeque};
-use types::{Address, Epoch, Moment, Span, TenantName};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TenantName};
 
 /// Grants credit of tenants' quotas. There is one authority at a time: the core's tail.
 ///
@@ -11,13 +11,13 @@
 /// slack; and a new authority that knows nothing may grant by the rate at once, since its predecessor kept to this. It
 /// first waits until it knows what its predecessor's grants left out, or until that has expired.
 #[derive(Debug, Clone)]
-pub struct Authority {
+pub struct QuotaAuthority {
     bounds: QuotaBounds,
     /// When it became the authority.
-    since: Moment,
+    since: MonotonicInstant,
     /// Nodes that have told all that they hold since then, with when the last that isn't known of it may have been
     /// spent.
-    heard: BTreeMap<Address, Moment>,
+    heard: BTreeMap<Address, MonotonicInstant>,
     /// Since when it makes grants.
     settled: Option<Settled>,
     /// The newest ask of each node: its life, and its number.
@@ -31,14 +31,14 @@
 #[derive(Debug, Clone, Copy)]
 struct Settled {
     /// What was granted by others was spent by then, or is known to be out.
-    last_spent: Moment,
+    last_spent: MonotonicInstant,
 }
 
 #[derive(Debug, Clone)]
 struct Account {
     limit: QuotaLimit,
     /// The epoch of the plan that the limit is from.
-    epoch: Epoch,
+    epoch: ConfigEpoch,
     /// By the node and its life.
     credits: BTreeMap<(Address, u64), Credit>,
     /// Their sum.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Credit {
     amount: Amount,
-    expires: Moment,
+    expires: MonotonicInstant,
 }
 
 /// What operators are shown of a tenant.
@@ -72,17 +72,17 @@
 }
 
 /// A node that asks while it isn't known what is out asks again after this.
-const UNSETTLED_WAIT: Span = Span(200);
+const UNSETTLED_WAIT: Milliseconds = Milliseconds(200);
 /// The shortest and the longest time after which a node may be told to ask again.
-const SHORTEST_WAIT: Span = Span(100);
-const LONGEST_WAIT: Span = Span(500);
+const SHORTEST_WAIT: Milliseconds = Milliseconds(100);
+const LONGEST_WAIT: Milliseconds = Milliseconds(500);
 /// A node gets no more than one part in so many of what is left beyond the reserve, for requests to come.
 const SPARE_PART: u64 = 8;
 
-impl Authority {
+impl QuotaAuthority {
     /// One that has just become it.
-    pub fn new(bounds: QuotaBounds, now: Moment) -> Self {
-        Authority {
+    pub fn new(bounds: QuotaBounds, now: MonotonicInstant) -> Self {
+        QuotaAuthority {
             bounds,
             since: now,
             heard: BTreeMap::new(),
@@ -102,38 +102,38 @@
     /// A node asks. `members` are all nodes that may hold credit.
     pub fn on_ask(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         from: Address,
         ask: &CreditAsk,
         members: &[Address],
     ) -> Option<CreditGrant> {
-        let (life, number) = self.newest.get(&from).copied().unwrap_or_default();
-        if life == ask.life && ask.number <= number {
+        let (incarnation, number) = self.newest.get(&from).copied().unwrap_or_default();
+        if incarnation == ask.incarnation && ask.number <= number {
             // An older one, late: what it lists is not so any more.
             return None;
         }
-        self.newest.insert(from, (ask.life, ask.number));
+        self.newest.insert(from, (ask.incarnation, ask.number));
         if ask.is_whole {
             self.heard
-                .insert(from, now - ask.fresh_for.unwrap_or(Span(0)));
+                .insert(from, now - ask.fresh_for.unwrap_or(Milliseconds(0)));
         }
         self.settle(now, members);
         let entries = ask
             .entries
             .iter()
-            .map(|entry| self.grant(now, (from, ask.life), ask.plan_epoch, entry));
+            .map(|entry| self.grant(now, (from, ask.incarnation), ask.plan_epoch, entry));
         let entries = entries.collect();
         let wants_whole = self.settled.is_none() && !self.heard.contains_key(&from);
         Some(CreditGrant {
             number: ask.number,
-            life: self.bounds.credit_life(),
+            incarnation: self.bounds.credit_life(),
             wants_whole,
             entries,
         })
     }
 
     /// Once it is known what the former authority's grants left out, or that has expired, grants are made.
-    fn settle(&mut self, now: Moment, members: &[Address]) {
+    fn settle(&mut self, now: MonotonicInstant, members: &[Address]) {
         if self.settled.is_some() {
             return;
         }
@@ -163,9 +163,9 @@
 
     fn grant(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         node: (Address, u64),
-        epoch: Epoch,
+        epoch: ConfigEpoch,
         entry: &CreditRequest,
     ) -> TenantGrant {
         let bounds = self.bounds;
@@ -201,7 +201,7 @@
         if ignores {
             account.outstanding = Amount::NONE;
         }
-        let nothing = |wait: Span| TenantGrant {
+        let nothing = |wait: Milliseconds| TenantGrant {
             tenant: entry.tenant.clone(),
             granted: Amount::NONE,
             wait,
@@ -211,7 +211,7 @@
             None => (
                 Amount::NONE,
                 if entry.need.is_none() {
-                    Span(0)
+                    Milliseconds(0)
                 } else {
                     UNSETTLED_WAIT
                 },
@@ -230,13 +230,13 @@
         } else {
             TenantGrant {
                 granted,
-                ..nothing(Span(0))
+                ..nothing(Milliseconds(0))
             }
         }
     }
 
     /// What operators are shown.
-    pub fn tenants(&self, now: Moment) -> Vec<TenantUse> {
+    pub fn tenants(&self, now: MonotonicInstant) -> Vec<TenantUse> {
         let shown = |(tenant, account): (&TenantName, &Account)| TenantUse {
             tenant: tenant.clone(),
             rate: account.limit.rate,
@@ -252,7 +252,7 @@
 /// What was spent lately, by slots of time.
 #[derive(Debug, Clone)]
 struct SpentWindow {
-    slot: Span,
+    slot: Milliseconds,
     /// By the slot's number; the oldest first.
     slots: VecDeque<(u64, Amount)>,
 }
@@ -261,18 +261,18 @@
 const SLOTS: u64 = 128;
 
 impl SpentWindow {
-    fn new(window: Span) -> Self {
+    fn new(window: Milliseconds) -> Self {
         SpentWindow {
-            slot: Span((window.0 / SLOTS).max(1)),
+            slot: Milliseconds((window.0 / SLOTS).max(1)),
             slots: VecDeque::new(),
         }
     }
 
-    fn number(&self, at: Moment) -> u64 {
+    fn number(&self, at: MonotonicInstant) -> u64 {
         at.0 / self.slot.0
     }
 
-    fn note(&mut self, at: Moment, amount: Amount) {
+    fn note(&mut self, at: MonotonicInstant, amount: Amount) {
         let number = self.number(at);
         let place = self.slots.partition_point(|(known, _)| *known < number);
         match self.slots.get_mut(place) {
@@ -282,7 +282,7 @@
     }
 
     /// A slot is forgotten once all of it is older than a window.
-    fn forget(&mut self, now: Moment) {
+    fn forget(&mut self, now: MonotonicInstant) {
         let newest = self.number(now);
         while self
             .slots
@@ -293,20 +293,20 @@
         }
     }
 
-    fn sum(&self, now: Moment) -> Amount {
+    fn sum(&self, now: MonotonicInstant) -> Amount {
         let oldest = self.number(now).saturating_sub(SLOTS - 1);
         let within = self.slots.iter().filter(|(number, _)| *number >= oldest);
         within.fold(Amount::NONE, |sum, (_, spent)| sum.plus(*spent))
     }
 
     /// By how much less was spent than `at_once` and `rate` allow, in the span back from now where that is least.
-    fn headroom(&self, now: Moment, at_once: Amount, rate: Amount) -> i128 {
+    fn headroom(&self, now: MonotonicInstant, at_once: Amount, rate: Amount) -> i128 {
         let mut spent = Amount::NONE;
         let mut least = i128::from(at_once.thousandths);
         for (number, amount) in self.slots.iter().rev() {
             spent = spent.plus(*amount);
             // What was spent in a slot may have been at its end.
-            let span = now.since(Moment((number + 1) * self.slot.0));
+            let span = now.since(MonotonicInstant((number + 1) * self.slot.0));
             let allowed = at_once.plus(rate.over(span));
             least = least.min(i128::from(allowed.thousandths) - i128::from(spent.thousandths));
         }
@@ -315,7 +315,7 @@
 }
 
 impl Account {
-    fn new(limit: QuotaLimit, epoch: Epoch, bounds: &QuotaBounds) -> Self {
+    fn new(limit: QuotaLimit, epoch: ConfigEpoch, bounds: &QuotaBounds) -> Self {
         Account {
             limit,
             epoch,
@@ -340,13 +340,13 @@
     }
 
     /// What is known to be out is known, and all else that may be spent at once was spent by then.
-    fn assume_spent(&mut self, by: Moment, bounds: &QuotaBounds) {
+    fn assume_spent(&mut self, by: MonotonicInstant, bounds: &QuotaBounds) {
         let unknown = self.at_once(bounds).less(self.outstanding);
         self.spent.note(by, unknown);
     }
 
     /// Credit that nobody can spend any more may have been spent, as far as nobody said otherwise.
-    fn expire(&mut self, now: Moment) {
+    fn expire(&mut self, now: MonotonicInstant) {
         let Account { credits, spent, .. } = self;
         credits.retain(|_, credit| {
             let is_alive = now < credit.expires;
@@ -367,7 +367,7 @@
     }
 
     /// A node holds this of what it was granted: the rest is spent.
-    fn note_held(&mut self, now: Moment, node: (Address, u64), held: Amount) {
+    fn note_held(&mut self, now: MonotonicInstant, node: (Address, u64), held: Amount) {
         let Some(credit) = self.credits.get_mut(&node) else {
             return;
         };
@@ -392,11 +392,11 @@
     /// and where nothing was although it is needed, when it's worth asking again.
     fn take(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         bounds: &QuotaBounds,
         need: Amount,
         want: Amount,
-    ) -> (Amount, Span) {
+    ) -> (Amount, Milliseconds) {
         let (at_once, debt) = (self.at_once(bounds), self.debt(bounds));
         let free = self
             .spent
@@ -431,6 +431,6 @@
                 thousandths: spare / SPARE_PART,
             })
             .min(room);
-        (need.plus(extra), Span(0))
+        (need.plus(extra), Milliseconds(0))
     }
 }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,7 +1,7 @@
 use crate::limit::{Amount, QuotaLimit};
 use crate::messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
 use std::collections::{BTreeMap, VecDeque};
-use types::{Address, Epoch, Moment, Span, TenantName};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TenantName};
 
 /// A node's credit: what it may let in of each tenant without asking.
 ///
@@ -9,22 +9,22 @@
 /// listed or granted by an answer to the newest ask, and has not expired, reckoned from when that ask was sent.
 /// At most one ask is under way; an answer is taken once, and only to the newest.
 #[derive(Debug, Clone)]
-pub struct CreditHolder {
-    life: u64,
-    began: Moment,
+pub struct QuotaClient {
+    incarnation: u64,
+    began: MonotonicInstant,
     /// Whether anything was granted to this life.
     was_granted: bool,
     number: u64,
-    plan_epoch: Epoch,
+    plan_epoch: ConfigEpoch,
     tenants: BTreeMap<TenantName, TenantCredit>,
     under_way: Option<UnderWay>,
     /// Whom all credit was listed to, once.
     told: Option<Address>,
     is_whole_wanted: bool,
     /// When it may ask next for requests to come.
-    next_restock: Moment,
+    next_restock: MonotonicInstant,
     /// When demand is reckoned next.
-    next_reckoning: Moment,
+    next_reckoning: MonotonicInstant,
     #[cfg(test)]
     pub(crate) mutant: Option<crate::Mutant>,
 }
@@ -32,14 +32,14 @@
 #[derive(Debug, Clone, Copy)]
 struct UnderWay {
     to: Address,
-    sent: Moment,
+    sent: MonotonicInstant,
 }
 
 #[derive(Debug, Clone)]
 struct TenantCredit {
     limit: QuotaLimit,
     held: Amount,
-    expires: Moment,
+    expires: MonotonicInstant,
     /// Spent without credit, by requests that could not be turned away any more.
     debt: Amount,
     /// Admitted since demand was last reckoned.
@@ -49,7 +49,7 @@
     /// What the newest request took.
     newest: Amount,
     /// Until then the authority grants nothing.
-    denied_until: Moment,
+    denied_until: MonotonicInstant,
     waiting: VecDeque<Waiting>,
     admitted_count: u64,
     refused_count: u64,
@@ -60,21 +60,21 @@
 struct Waiting {
     number: u64,
     amount: Amount,
-    deadline: Moment,
+    deadline: MonotonicInstant,
 }
 
 /// Why a request is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QuotaDenial {
+pub enum QuotaRejection {
     /// The tenant is beyond its quota.
     OverQuota {
         /// When it's worth asking again.
-        retry_after: Span,
+        retry_after: Milliseconds,
     },
     /// The authority did not answer in time.
     Unknown {
         /// When it's worth asking again.
-        retry_after: Span,
+        retry_after: Milliseconds,
     },
 }
 
@@ -86,7 +86,7 @@
     /// It waits until a [`Settlement`] has its number.
     Waits,
     /// It is turned away.
-    Denied(QuotaDenial),
+    Denied(QuotaRejection),
 }
 
 /// What became of a request that waited.
@@ -95,12 +95,12 @@
     /// Its number.
     pub number: u64,
     /// Whether it is admitted.
-    pub outcome: Result<(), QuotaDenial>,
+    pub outcome: Result<(), QuotaRejection>,
 }
 
 /// What operators are shown of a tenant at one node.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
-pub struct HeldCredit {
+pub struct ReservedCredit {
     /// The tenant.
     pub tenant: TenantName,
     /// Units a second over the whole fleet, in thousandths; 0: no limit.
@@ -120,33 +120,33 @@
 }
 
 /// An ask without an answer for this long is given up.
-const ASK_DEADLINE: Span = Span(120);
+const ASK_DEADLINE: Milliseconds = Milliseconds(120);
 /// A request waits for credit this long at most.
-const PATIENCE: Span = Span(300);
+const PATIENCE: Milliseconds = Milliseconds(300);
 /// Whoever is turned away for want of an answer may come back after this.
-const UNKNOWN_RETRY: Span = Span(500);
+const UNKNOWN_RETRY: Milliseconds = Milliseconds(500);
 /// Between asks for requests to come, at least; a byte of such an ask adds a millisecond.
-const RESTOCK_PERIOD: Span = Span(500);
+const RESTOCK_PERIOD: Milliseconds = Milliseconds(500);
 /// About how many bytes a tenant takes in an ask.
 const ENTRY_BYTES: u64 = 64;
 /// Tenants in one ask at most.
 const ENTRIES: usize = 64;
 /// Credit is kept for requests of this long.
-const STOCK: Span = Span(1500);
+const STOCK: Milliseconds = Milliseconds(1500);
 /// How often demand is reckoned.
-const RECKONING_PERIOD: Span = Span(250);
+const RECKONING_PERIOD: Milliseconds = Milliseconds(250);
 /// The newest period counts one part in so many.
 const DEMAND_PARTS: u64 = 8;
 
-impl CreditHolder {
+impl QuotaClient {
     /// At the start of a node's life, which no other has.
-    pub fn new(life: u64, now: Moment) -> Self {
-        CreditHolder {
-            life,
+    pub fn new(incarnation: u64, now: MonotonicInstant) -> Self {
+        QuotaClient {
+            incarnation,
             began: now,
             was_granted: false,
             number: 0,
-            plan_epoch: Epoch(0),
+            plan_epoch: ConfigEpoch(0),
             tenants: BTreeMap::new(),
             under_way: None,
             told: None,
@@ -175,7 +175,7 @@
     /// no more is admitted.
     pub fn set_limits(
         &mut self,
-        epoch: Epoch,
+        epoch: ConfigEpoch,
         limits: &[(TenantName, QuotaLimit)],
     ) -> Vec<Settlement> {
         self.plan_epoch = epoch;
@@ -202,7 +202,7 @@
     /// A request of a tenant wants to be admitted.
     pub fn admit(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         number: u64,
         tenant: &TenantName,
         amount: Amount,
@@ -218,7 +218,7 @@
         if now < credit.denied_until {
             credit.refused_count += 1;
             let retry_after = now.until(credit.denied_until);
-            return Admission::Denied(QuotaDenial::OverQuota { retry_after });
+            return Admission::Denied(QuotaRejection::OverQuota { retry_after });
         }
         credit.waiting.push_back(Waiting {
             number,
@@ -229,7 +229,7 @@
     }
 
     /// A request that was admitted before goes to one more server, and the first may have run it.
-    pub fn spend_again(&mut self, now: Moment, tenant: &TenantName, amount: Amount) {
+    pub fn spend_again(&mut self, now: MonotonicInstant, tenant: &TenantName, amount: Amount) {
         let Some(credit) = self.tenants.get_mut(tenant) else {
             return;
         };
@@ -240,7 +240,7 @@
     }
 
     /// A request that was admitted was sent to no server.
-    pub fn give_back(&mut self, now: Moment, tenant: &TenantName, amount: Amount) {
+    pub fn give_back(&mut self, now: MonotonicInstant, tenant: &TenantName, amount: Amount) {
         let Some(credit) = self.tenants.get_mut(tenant) else {
             return;
         };
@@ -257,7 +257,7 @@
     }
 
     /// Time has passed.
-    pub fn on_clock(&mut self, now: Moment) -> Vec<Settlement> {
+    pub fn on_clock(&mut self, now: MonotonicInstant) -> Vec<Settlement> {
         if now >= self.next_reckoning {
             self.next_reckoning = now + RECKONING_PERIOD;
             self.tenants.values_mut().for_each(TenantCredit::reckon);
@@ -279,7 +279,7 @@
                     break;
                 };
                 credit.unknown_count += 1;
-                let outcome = Err(QuotaDenial::Unknown {
+                let outcome = Err(QuotaRejection::Unknown {
                     retry_after: UNKNOWN_RETRY,
                 });
                 settled.push(Settlement {
@@ -292,7 +292,11 @@
     }
 
     /// What is to be asked now of the authority, which is there as far as known.
-    pub fn ask(&mut self, now: Moment, authority: Option<Address>) -> Option<(Address, CreditAsk)> {
+    pub fn ask(
+        &mut self,
+        now: MonotonicInstant,
+        authority: Option<Address>,
+    ) -> Option<(Address, CreditAsk)> {
         let to = authority?;
         if self.under_way.is_some() || self.tenants.is_empty() {
             return None;
@@ -316,19 +320,20 @@
             }
         }
         if restocks {
-            self.next_restock = now + RESTOCK_PERIOD.max(Span(entries.len() as u64 * ENTRY_BYTES));
+            self.next_restock =
+                now + RESTOCK_PERIOD.max(Milliseconds(entries.len() as u64 * ENTRY_BYTES));
         }
         if entries.is_empty() && !is_whole {
             return None;
         }
         self.number += 1;
         self.under_way = Some(UnderWay { to, sent: now });
-        let (life, number, plan_epoch) = (self.life, self.number, self.plan_epoch);
+        let (incarnation, number, plan_epoch) = (self.incarnation, self.number, self.plan_epoch);
         let fresh_for = (!self.was_granted).then(|| now.since(self.began));
         Some((
             to,
             CreditAsk {
-                life,
+                incarnation,
                 number,
                 plan_epoch,
                 fresh_for,
@@ -339,12 +344,17 @@
     }
 
     /// The authority answers.
-    pub fn on_grant(&mut self, now: Moment, from: Address, grant: &CreditGrant) -> Vec<Settlement> {
+    pub fn on_grant(
+        &mut self,
+        now: MonotonicInstant,
+        from: Address,
+        grant: &CreditGrant,
+    ) -> Vec<Settlement> {
         let is_newest = grant.number == self.number;
         #[cfg(test)]
         let is_newest = is_newest || self.is_mutant(crate::Mutant::TakeTwice);
         // One that slept may find the answer to what it asked long ago.
-        let is_alive = |ask: &UnderWay| now.since(ask.sent) < grant.life;
+        let is_alive = |ask: &UnderWay| now.since(ask.sent) < grant.incarnation;
         let awaited = self
             .under_way
             .filter(|ask| ask.to == from && is_newest && is_alive(ask));
@@ -364,14 +374,14 @@
         let mut settled = vec![];
         for entry in &grant.entries {
             if let Some(credit) = self.tenants.get_mut(&entry.tenant) {
-                credit.take(now, ask.sent + grant.life, entry, &mut settled);
+                credit.take(now, ask.sent + grant.incarnation, entry, &mut settled);
             }
         }
         settled
     }
 
     /// When something may have to be done next; `None`: with the next request.
-    pub fn next_timer(&self) -> Option<Moment> {
+    pub fn next_timer(&self) -> Option<MonotonicInstant> {
         let under_way = self.under_way.map(|ask| ask.sent + ASK_DEADLINE);
         let waiting = self
             .tenants
@@ -383,8 +393,8 @@
     }
 
     /// What operators are shown.
-    pub fn tenants(&self) -> Vec<HeldCredit> {
-        let shown = |(tenant, credit): (&TenantName, &TenantCredit)| HeldCredit {
+    pub fn tenants(&self) -> Vec<ReservedCredit> {
+        let shown = |(tenant, credit): (&TenantName, &TenantCredit)| ReservedCredit {
             tenant: tenant.clone(),
             rate: credit.limit.rate,
             burst: credit.limit.burst,
@@ -403,12 +413,12 @@
         TenantCredit {
             limit: QuotaLimit::default(),
             held: Amount::NONE,
-            expires: Moment(0),
+            expires: MonotonicInstant(0),
             debt: Amount::NONE,
             admitted: Amount::NONE,
             demand: Amount::NONE,
             newest: Amount::NONE,
-            denied_until: Moment(0),
+            denied_until: MonotonicInstant(0),
             waiting: VecDeque::new(),
             admitted_count: 0,
             refused_count: 0,
@@ -418,7 +428,7 @@
 }
 
 impl TenantCredit {
-    fn expire(&mut self, now: Moment, spends_expired: bool) {
+    fn expire(&mut self, now: MonotonicInstant, spends_expired: bool) {
         if now >= self.expires && !spends_expired {
             self.held = Amount::NONE;
         }
@@ -477,8 +487,8 @@
     /// What the authority answers; credit lasts until then.
     fn take(
         &mut self,
-        now: Moment,
-        expires: Moment,
+        now: MonotonicInstant,
+        expires: MonotonicInstant,
         entry: &TenantGrant,
         settled: &mut Vec<Settlement>,
     ) {
@@ -503,7 +513,7 @@
         self.denied_until = now + entry.wait;
         for waiting in std::mem::take(&mut self.waiting) {
             self.refused_count += 1;
-            let outcome = Err(QuotaDenial::OverQuota {
+            let outcome = Err(QuotaRejection::OverQuota {
                 retry_after: entry.wait,
             });
             settled.push(Settlement {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -10,8 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-pub use authority::{Authority, TenantUse};
-pub use holder::{Admission, CreditHolder, HeldCredit, QuotaDenial, Settlement};
+pub use authority::{QuotaAuthority, TenantUse};
+pub use holder::{Admission, QuotaClient, QuotaRejection, ReservedCredit, Settlement};
 pub use limit::{Amount, QuotaBounds, QuotaLimit};
 pub use messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
 
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,4 +1,4 @@
-use types::{Span, messages};
+use types::{Milliseconds, messages};
 
 messages! {
     /// Requests or tokens, in thousandths.
@@ -59,14 +59,14 @@
         }
     }
     /// What comes in so long, if this comes in a second.
-    pub fn over(self, span: Span) -> Amount {
+    pub fn over(self, span: Milliseconds) -> Amount {
         self.part(span.0, 1000)
     }
     /// How long this takes at so much a second.
-    pub fn time_at(self, rate: Amount) -> Span {
+    pub fn time_at(self, rate: Amount) -> Milliseconds {
         let milliseconds =
             u128::from(self.thousandths) * 1000 / u128::from(rate.thousandths.max(1));
-        Span(u64::try_from(milliseconds).unwrap_or(u64::MAX))
+        Milliseconds(u64::try_from(milliseconds).unwrap_or(u64::MAX))
     }
 }
 
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaBounds {
     /// Any span of this length counts.
-    pub window: Span,
+    pub window: Milliseconds,
     /// In percent of what a window may hold.
     pub excess_percent: u64,
     /// Units beyond that.
@@ -84,7 +84,7 @@
 impl Default for QuotaBounds {
     fn default() -> Self {
         QuotaBounds {
-            window: Span::seconds(8),
+            window: Milliseconds::seconds(8),
             excess_percent: 10,
             tolerance: 1,
         }
@@ -104,7 +104,7 @@
     }
     /// Credit is spent within this after it was asked for, or never. Shorter than a window, so that credit under
     /// a former limit is gone before a lower one binds.
-    pub fn credit_life(&self) -> Span {
-        Span(self.window.0 / 2)
+    pub fn credit_life(&self) -> Milliseconds {
+        Milliseconds(self.window.0 / 2)
     }
 }
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,5 +1,5 @@
 use crate::limit::{Amount, QuotaLimit};
-use types::{Epoch, Span, TenantName, messages};
+use types::{ConfigEpoch, Milliseconds, TenantName, messages};
 
 messages! {
     /// What a node tells and wants of one tenant.
@@ -21,14 +21,14 @@
     #[derive(Eq)]
     pub struct CreditAsk {
         /// The node's life.
-        pub life: u64,
+        pub incarnation: u64,
         /// Grows by one with each of the node's asks: only the answer to the newest is taken.
         pub number: u64,
         /// The epoch of the plan that the limits are from.
-        pub plan_epoch: Epoch,
+        pub plan_epoch: ConfigEpoch,
         /// How long ago the node's life began, if it was never granted anything: what its former lives may have spent
         /// was spent by then.
-        pub fresh_for: Option<Span>,
+        pub fresh_for: Option<Milliseconds>,
         /// Whether it lists all tenants of whom the node holds credit.
         pub is_whole: bool,
         /// By tenant.
@@ -43,7 +43,7 @@
         /// So much more.
         pub granted: Amount,
         /// Where what was needed is not granted: when it's worth asking again.
-        pub wait: Span,
+        pub wait: Milliseconds,
     }
 
     /// The authority's answer.
@@ -52,7 +52,7 @@
         /// Of the ask.
         pub number: u64,
         /// All credit that the ask listed, and this, is spent within so long after the ask was sent, or never.
-        pub life: Span,
+        pub incarnation: Milliseconds,
         /// Whether the authority needs a whole list of what the node holds.
         pub wants_whole: bool,
         /// By tenant.
--- a/crates/quota/src/tests.rs
+++ b/crates/quota/src/tests.rs
@@ -2,12 +2,12 @@
 //! holds more than the bound, and what is within the limit is let in.
 
 use crate::Mutant;
-use crate::authority::Authority;
-use crate::holder::{Admission, CreditHolder, Settlement};
+use crate::authority::QuotaAuthority;
+use crate::holder::{Admission, QuotaClient, Settlement};
 use crate::limit::{Amount, QuotaBounds, QuotaLimit};
 use crate::messages::{CreditAsk, CreditGrant, CreditRequest};
 use std::collections::BTreeMap;
-use types::{Address, Epoch, Moment, Span, TenantName};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TenantName};
 use yare::parameterized;
 
 /// Numbers from a seed (splitmix64).
@@ -31,7 +31,7 @@
 
 const NODES: usize = 12;
 const BOUNDS: QuotaBounds = QuotaBounds {
-    window: Span(8000),
+    window: Milliseconds(8000),
     excess_percent: 10,
     tolerance: 400,
 };
@@ -76,7 +76,7 @@
 }
 
 struct Node {
-    holder: CreditHolder,
+    holder: QuotaClient,
     frozen_until: u64,
     cut_until: u64,
     waiting: BTreeMap<u64, u64>,
@@ -84,7 +84,7 @@
 
 /// The authority at one address, until another takes over.
 struct Core {
-    authority: Authority,
+    authority: QuotaAuthority,
     address: Address,
     away_until: u64,
 }
@@ -99,7 +99,7 @@
     admitted: Vec<(u64, u64)>,
     refused: u64,
     sent: u64,
-    lives: u64,
+    incarnations: u64,
     number: u64,
 }
 
@@ -122,7 +122,7 @@
             admitted: vec![],
             refused: 0,
             sent: 0,
-            lives: 0,
+            incarnations: 0,
             number: 0,
         };
         for _ in 0..NODES {
@@ -133,7 +133,7 @@
     }
 
     fn core(play: &Play, number: u16, now: u64, away_until: u64) -> Core {
-        let mut authority = Authority::new(BOUNDS, Moment(now));
+        let mut authority = QuotaAuthority::new(BOUNDS, MonotonicInstant(now));
         authority.mutant = play.mutant;
         Core {
             authority,
@@ -143,14 +143,14 @@
     }
 
     fn fresh_node(&mut self) -> Node {
-        self.lives += 1;
-        let mut holder = CreditHolder::new(self.lives, Moment(self.now));
+        self.incarnations += 1;
+        let mut holder = QuotaClient::new(self.incarnations, MonotonicInstant(self.now));
         holder.mutant = self.play.mutant;
         let limit = QuotaLimit {
             rate: Amount::units(self.play.rate),
             burst: Amount::units(self.play.burst),
         };
-        holder.set_limits(Epoch(1), &[(tenant(), limit)]);
+        holder.set_limits(ConfigEpoch(1), &[(tenant(), limit)]);
         Node {
             holder,
             frozen_until: 0,
@@ -239,17 +239,22 @@
                     if now < self.core.away_until {
                         continue;
                     }
-                    let grant =
-                        self.core
-                            .authority
-                            .on_ask(Moment(now), address(node), &ask, &members);
+                    let grant = self.core.authority.on_ask(
+                        MonotonicInstant(now),
+                        address(node),
+                        &ask,
+                        &members,
+                    );
                     let from = self.core.address;
                     grant
                         .into_iter()
                         .for_each(|grant| self.post(node, Packet::Grant(node, from, grant)));
                 }
                 Packet::Grant(node, from, grant) => {
-                    let settled = self.nodes[node].holder.on_grant(Moment(now), from, &grant);
+                    let settled =
+                        self.nodes[node]
+                            .holder
+                            .on_grant(MonotonicInstant(now), from, &grant);
                     self.settle(node, settled);
                 }
             }
@@ -305,7 +310,7 @@
         self.sent += 1;
         let holder = &mut self.nodes[node].holder;
         match holder.admit(
-            Moment(self.now),
+            MonotonicInstant(self.now),
             self.number,
             &tenant(),
             Amount::units(amount),
@@ -321,11 +326,11 @@
             if self.now < self.nodes[node].frozen_until {
                 continue;
             }
-            let settled = self.nodes[node].holder.on_clock(Moment(self.now));
+            let settled = self.nodes[node].holder.on_clock(MonotonicInstant(self.now));
             self.settle(node, settled);
             if let Some((_, ask)) = self.nodes[node]
                 .holder
-                .ask(Moment(self.now), Some(self.core.address))
+                .ask(MonotonicInstant(self.now), Some(self.core.address))
             {
                 self.post(node, Packet::Ask(node, ask));
             }
@@ -484,11 +489,11 @@
 #[test]
 fn a_quota_without_burst_or_slack_lets_something_in() {
     let bounds = QuotaBounds {
-        window: Span(1000),
+        window: Milliseconds(1000),
         excess_percent: 0,
         tolerance: 1,
     };
-    let mut authority = Authority::new(bounds, Moment(START));
+    let mut authority = QuotaAuthority::new(bounds, MonotonicInstant(START));
     let limit = QuotaLimit {
         rate: Amount::units(2),
         burst: Amount::NONE,
@@ -503,14 +508,19 @@
             want: Amount::units(1),
         };
         let ask = CreditAsk {
-            life: 1,
+            incarnation: 1,
             number,
-            plan_epoch: Epoch(1),
+            plan_epoch: ConfigEpoch(1),
             fresh_for: None,
             is_whole: true,
             entries: vec![entry],
         };
-        let grant = authority.on_ask(Moment(START + number * 100), address(0), &ask, &[]);
+        let grant = authority.on_ask(
+            MonotonicInstant(START + number * 100),
+            address(0),
+            &ask,
+            &[],
+        );
         granted += grant.expect("an answer").entries[0].granted.thousandths / 1000;
     }
     assert!(
@@ -521,7 +531,7 @@
 
 #[test]
 fn a_new_authority_waits_until_all_have_told_what_they_hold() {
-    let mut authority = Authority::new(BOUNDS, Moment(START));
+    let mut authority = QuotaAuthority::new(BOUNDS, MonotonicInstant(START));
     let members = [address(0), address(1)];
     let limit = QuotaLimit {
         rate: Amount::units(1000),
@@ -536,15 +546,15 @@
     };
     let mut ask = |node: usize, number: u64, at: u64, is_whole: bool| {
         let ask = CreditAsk {
-            life: 7,
+            incarnation: 7,
             number,
-            plan_epoch: Epoch(1),
+            plan_epoch: ConfigEpoch(1),
             fresh_for: None,
             is_whole,
             entries: vec![entry(10)],
         };
         authority
-            .on_ask(Moment(START + at), address(node), &ask, &members)
+            .on_ask(MonotonicInstant(START + at), address(node), &ask, &members)
             .expect("an answer")
     };
     let first = ask(0, 1, 100, false);
--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -5,10 +5,10 @@
 //! returns.
 
 use replication::{
-    Input, Kept, Note, Output, Preview, Record, Replica, StateMachine, Timing, Voter,
+    Input, Note, Output, Preview, Record, RecoveredRecords, Replica, StateMachine, Timing, Voter,
 };
 use std::collections::VecDeque;
-use types::{Address, DiskId, Moment, Span};
+use types::{Address, DiskId, Milliseconds, MonotonicInstant};
 
 /// A word, and who holds the duty to keep it.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -50,10 +50,10 @@
 
 /// Three machines and what lies between them.
 struct Zone {
-    now: Moment,
+    now: MonotonicInstant,
     replicas: Vec<Option<Replica<Register>>>,
     disks: Vec<Vec<Record>>,
-    letters: VecDeque<(Address, Address, Note)>,
+    messages: VecDeque<(Address, Address, Note)>,
     responses: Vec<String>,
     proposals: u64,
 }
@@ -68,10 +68,10 @@
 impl Zone {
     fn new() -> Zone {
         let mut zone = Zone {
-            now: Moment(1_000),
+            now: MonotonicInstant(1_000),
             replicas: vec![],
             disks: vec![vec![]; 3],
-            letters: VecDeque::new(),
+            messages: VecDeque::new(),
             responses: vec![],
             proposals: 0,
         };
@@ -80,7 +80,7 @@
     }
     fn open(&self, place: usize) -> Replica<Register> {
         let founders = (0..3).map(|n| voter(n).address).collect();
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: self.disks[place].clone(),
         };
         let made = Replica::new(
@@ -104,7 +104,7 @@
     }
     fn act(&mut self, place: usize, output: Output) {
         match output {
-            Output::Send { to, note } => self.letters.push_back((voter(place).address, to, note)),
+            Output::Send { to, note } => self.messages.push_back((voter(place).address, to, note)),
             Output::Write {
                 id,
                 records,
@@ -138,7 +138,7 @@
                 let chain: Vec<String> = view
                     .chain
                     .iter()
-                    .map(|seat| seat.voter.address.to_string())
+                    .map(|position| position.voter.address.to_string())
                     .collect();
                 println!(
                     "{}: view {}, chain {}",
@@ -150,12 +150,12 @@
         }
     }
     /// Lets time pass and carries all letters.
-    fn pass(&mut self, span: Span) {
+    fn pass(&mut self, span: Milliseconds) {
         let deadline = self.now + span;
         while self.now < deadline {
-            self.now = self.now + Span(20);
+            self.now = self.now + Milliseconds(20);
             (0..3).for_each(|place| self.step(place, Input::ClockEvent));
-            while let Some((from, to, note)) = self.letters.pop_front() {
+            while let Some((from, to, note)) = self.messages.pop_front() {
                 if let Some(place) = (0..3).find(|place| voter(*place).address == to) {
                     self.step(place, Input::Note { from, note });
                 }
@@ -173,7 +173,7 @@
                 body: what.as_bytes().to_vec(),
             },
         );
-        self.pass(Span(200));
+        self.pass(Milliseconds(200));
         let response = self.responses.pop().unwrap_or_else(|| "no response".into());
         println!("{what:>12} -> {response}");
         response
@@ -182,7 +182,7 @@
 
 fn main() {
     let mut zone = Zone::new();
-    zone.pass(Span(2_000));
+    zone.pass(Milliseconds(2_000));
     assert_eq!(zone.propose(0, "set hello"), "word hello, duty held by ");
     assert_eq!(zone.propose(1, "claim ada"), "word hello, duty held by ada");
     assert_eq!(
@@ -198,7 +198,7 @@
     });
     let tail = tail.expect("there is a tail");
     zone.replicas[tail] = None;
-    zone.pass(Span(4_000));
+    zone.pass(Milliseconds(4_000));
     let other = (tail + 1) % 3;
     assert_eq!(
         zone.propose(other, "vacate ada"),
@@ -210,7 +210,7 @@
     );
     println!("it comes back, and takes what it missed");
     zone.replicas[tail] = Some(zone.open(tail));
-    zone.pass(Span(4_000));
+    zone.pass(Milliseconds(4_000));
     assert_eq!(
         zone.replicas[tail]
             .as_ref()
--- a/crates/replication/src/leases.rs
+++ b/crates/replication/src/leases.rs
@@ -1,5 +1,5 @@
 use std::collections::BTreeMap;
-use types::{Address, Epoch, Moment, messages};
+use types::{Address, ConfigEpoch, MonotonicInstant, messages};
 
 messages! {
     /// The members of the fleet, as the chain keeps them.
@@ -13,7 +13,7 @@
         /// The members before the last change.
         pub previous: Vec<Address>,
         /// The epoch at which it last changed.
-        pub since: Epoch,
+        pub since: ConfigEpoch,
     }
 }
 
@@ -28,13 +28,13 @@
 
 #[derive(Debug, Clone)]
 struct Lease {
-    deadline: Moment,
-    known: Epoch,
+    deadline: MonotonicInstant,
+    known: ConfigEpoch,
 }
 
 impl LeaseTable {
     /// A member asked, knowing this epoch; its lease runs until `deadline`.
-    pub fn renew(&mut self, member: Address, known: Epoch, deadline: Moment) {
+    pub fn renew(&mut self, member: Address, known: ConfigEpoch, deadline: MonotonicInstant) {
         self.leases.insert(member, Lease { deadline, known });
     }
     /// Forgets all, when this replica stops being the tail.
@@ -42,23 +42,23 @@
         self.leases.clear();
     }
     /// Whether more than half of the members, and of the previous members, hold leases.
-    pub fn has_majority(&self, membership: &Membership, now: Moment) -> bool {
+    pub fn has_majority(&self, membership: &Membership, now: MonotonicInstant) -> bool {
         let is_live = |member: &Address| self.leases.get(member).is_some_and(|p| p.deadline > now);
         is_most(&membership.members, is_live) && is_most(&membership.previous, is_live)
     }
     /// Whether more than half of the members, and of the previous members, are known to know `epoch`.
-    pub fn is_known_to_most(&self, membership: &Membership, epoch: Epoch) -> bool {
+    pub fn is_known_to_most(&self, membership: &Membership, epoch: ConfigEpoch) -> bool {
         let is_told = |member: &Address| self.leases.get(member).is_some_and(|p| p.known >= epoch);
         is_most(&membership.members, is_told) && is_most(&membership.previous, is_told)
     }
     /// Whether each that holds a lease is known to know `epoch`; one that is no member any more still does.
-    pub fn is_known_to_holders(&self, epoch: Epoch, now: Moment) -> bool {
+    pub fn is_known_to_holders(&self, epoch: ConfigEpoch, now: MonotonicInstant) -> bool {
         self.leases
             .values()
             .all(|lease| lease.deadline <= now || lease.known >= epoch)
     }
     /// Whether each of the members is known to know `epoch`.
-    pub fn is_known_to_all(&self, membership: &Membership, epoch: Epoch) -> bool {
+    pub fn is_known_to_all(&self, membership: &Membership, epoch: ConfigEpoch) -> bool {
         membership
             .members
             .iter()
@@ -74,7 +74,7 @@
         is_most(&membership.previous, is_told)
     }
     /// Who holds a lease now, and what they know.
-    pub fn live(&self, now: Moment) -> Vec<(Address, Epoch)> {
+    pub fn live(&self, now: MonotonicInstant) -> Vec<(Address, ConfigEpoch)> {
         let leases = self.leases.iter().filter(|(_, p)| p.deadline > now);
         leases.map(|(member, p)| (*member, p.known)).collect()
     }
--- a/crates/replication/src/leases/tests.rs
+++ b/crates/replication/src/leases/tests.rs
@@ -1,5 +1,5 @@
 use crate::leases::{LeaseTable, Membership};
-use types::{Address, Epoch, Moment};
+use types::{Address, ConfigEpoch, MonotonicInstant};
 
 fn members(ports: &[u16]) -> Vec<Address> {
     ports.iter().map(|p| Address::loopback(*p)).collect()
@@ -11,25 +11,25 @@
     let membership = Membership {
         members: members(&[1, 2, 3]),
         previous: members(&[1, 4]),
-        since: Epoch(5),
+        since: ConfigEpoch(5),
     };
-    table.renew(Address::loopback(1), Epoch(6), Moment(300));
-    table.renew(Address::loopback(2), Epoch(5), Moment(200));
+    table.renew(Address::loopback(1), ConfigEpoch(6), MonotonicInstant(300));
+    table.renew(Address::loopback(2), ConfigEpoch(5), MonotonicInstant(200));
     assert!(
-        !table.is_known_to_holders(Epoch(6), Moment(100)),
+        !table.is_known_to_holders(ConfigEpoch(6), MonotonicInstant(100)),
         "2 holds a lease and knows only 5"
     );
     assert!(
-        table.is_known_to_holders(Epoch(6), Moment(200)),
+        table.is_known_to_holders(ConfigEpoch(6), MonotonicInstant(200)),
         "2's lease has run out"
     );
     assert!(
-        !table.is_known_to_all(&membership, Epoch(5)),
+        !table.is_known_to_all(&membership, ConfigEpoch(5)),
         "3 was never heard"
     );
-    table.renew(Address::loopback(4), Epoch(2), Moment(400));
+    table.renew(Address::loopback(4), ConfigEpoch(2), MonotonicInstant(400));
     assert!(
-        !table.is_known_to_holders(Epoch(6), Moment(200)),
+        !table.is_known_to_holders(ConfigEpoch(6), MonotonicInstant(200)),
         "4, which is no member now, holds one"
     );
 }
@@ -40,25 +40,29 @@
     let membership = Membership {
         members: members(&[1, 2, 3, 4]),
         previous: members(&[1, 2]),
-        since: Epoch(5),
+        since: ConfigEpoch(5),
     };
-    let now = Moment(100);
+    let now = MonotonicInstant(100);
     for port in [2, 3, 4] {
-        table.renew(Address::loopback(port), Epoch(5), Moment(200));
+        table.renew(
+            Address::loopback(port),
+            ConfigEpoch(5),
+            MonotonicInstant(200),
+        );
     }
     assert!(
         !table.has_majority(&membership, now),
         "one of two previous members is not more than half"
     );
-    table.renew(Address::loopback(1), Epoch(4), Moment(200));
+    table.renew(Address::loopback(1), ConfigEpoch(4), MonotonicInstant(200));
     assert!(table.has_majority(&membership, now));
     assert!(
-        !table.is_known_to_most(&membership, Epoch(5)),
+        !table.is_known_to_most(&membership, ConfigEpoch(5)),
         "the previous member 1 knows only epoch 4"
     );
     assert!(!table.is_membership_settled(&membership));
     assert!(
-        !table.has_majority(&membership, Moment(200)),
+        !table.has_majority(&membership, MonotonicInstant(200)),
         "leases have run out"
     );
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -50,6 +50,6 @@
 pub use lease_state::{LeaseState, LeaseStatus};
 pub use leases::{LeaseTable, Membership};
 pub use notes::{Ballot, Change, Note, Record, Round, Ticket};
-pub use replica::{Input, Kept, KeptFault, Output, Replica, ReplicaState, Timing};
+pub use replica::{Input, Output, RecoveredRecords, RecoveryError, Replica, ReplicaState, Timing};
 pub use state_machine::{Preview, StateMachine};
-pub use view::{Seat, View, Voter};
+pub use view::{ChainPosition, View, Voter};
--- a/crates/replication/src/notes.rs
+++ b/crates/replication/src/notes.rs
@@ -1,5 +1,5 @@
 use crate::view::View;
-use types::{Address, DiskId, Seq, ViewEpoch, messages};
+use types::{Address, DiskId, SequenceNumber, ViewNumber, messages};
 
 messages! {
     /// Requests ballots of one instance: the greater one wins.
@@ -36,9 +36,9 @@
     #[derive(Eq, Hash)]
     pub struct Change {
         /// Its place.
-        pub seq: Seq,
+        pub seq: SequenceNumber,
         /// The view in which the head took it.
-        pub stamp: ViewEpoch,
+        pub stamp: ViewNumber,
         /// Who waits for it.
         pub ticket: Ticket,
         /// What it says, for the state machine alone.
@@ -49,35 +49,35 @@
     #[derive(Eq, Hash)]
     pub enum Note {
         /// Said to all, often: that I live and how far I am.
-        Beat {
+        Heartbeat {
             /// My disk.
             disk: DiskId,
             /// The view that I know.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// The last change on my disk.
-            last: Seq,
+            last: SequenceNumber,
             /// Its stamp.
-            stamp: ViewEpoch,
+            stamp: ViewNumber,
             /// The last change known to be replied.
-            replied: Seq,
+            replied: SequenceNumber,
             /// Whether I hold all that was ever replied.
-            is_level: bool,
+            is_caught_up: bool,
             /// Whether my disk takes writes, and I hear most of the voters.
-            is_sound: bool,
+            is_healthy: bool,
             /// Whether the tail sees more than half of the members with leases (the tail's word).
             has_members: bool,
         },
         /// First half of a ballot.
         Prepare {
             /// For the view of this epoch.
-            instance: ViewEpoch,
+            instance: ViewNumber,
             /// The round.
             round: Round,
         },
         /// Response to `Prepare`: I'll take part in no lesser round.
         Promise {
             /// For the view of this epoch.
-            instance: ViewEpoch,
+            instance: ViewNumber,
             /// The round.
             round: Round,
             /// My disk.
@@ -93,7 +93,7 @@
         /// Response to `Accept`.
         Accepted {
             /// For the view of this epoch.
-            instance: ViewEpoch,
+            instance: ViewNumber,
             /// The round.
             round: Round,
             /// My disk.
@@ -102,7 +102,7 @@
         /// Response to a lesser round.
         Outdone {
             /// For the view of this epoch.
-            instance: ViewEpoch,
+            instance: ViewNumber,
             /// What I have promised.
             promised: Round,
         },
@@ -114,14 +114,14 @@
         /// The tail asks to answer for a while.
         LeaseAsk {
             /// In this view.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// Tells asks apart.
             round: u64,
         },
         /// It may.
         LeaseGrant {
             /// In this view.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// As asked.
             round: u64,
             /// Whose grant.
@@ -130,25 +130,25 @@
         /// A change, from a member to its successor.
         Pass {
             /// In this view.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// The change.
             change: Change,
         },
         /// To a newcomer's seat: you're level once you hold this change.
         Level {
             /// In this view.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// My last change when I took up the view.
-            last: Seq,
+            last: SequenceNumber,
         },
         /// Asks the tail for what I lack.
         Follow {
             /// My disk.
             disk: DiskId,
             /// The last change that I hold.
-            last: Seq,
+            last: SequenceNumber,
             /// Its stamp.
-            stamp: ViewEpoch,
+            stamp: ViewNumber,
         },
         /// Some of what a follower lacks.
         Feed {
@@ -158,25 +158,25 @@
         /// A follower needs the snapshot; it's this long.
         SnapshotOffer {
             /// The last change in the snapshot.
-            last: Seq,
+            last: SequenceNumber,
             /// Its stamp.
-            stamp: ViewEpoch,
+            stamp: ViewNumber,
             /// Its length.
             length: u64,
         },
         /// Asks for a piece of it.
         SnapshotAsk {
             /// Of the snapshot up to this change.
-            last: Seq,
+            last: SequenceNumber,
             /// From this byte.
             offset: u64,
         },
         /// A piece of it.
         SnapshotPiece {
             /// Of the snapshot up to this change.
-            last: Seq,
+            last: SequenceNumber,
             /// Its stamp.
-            stamp: ViewEpoch,
+            stamp: ViewNumber,
             /// From this byte.
             offset: u64,
             /// Of the whole snapshot.
@@ -204,11 +204,11 @@
         /// or of a view that is past, so say so yourself, or that it isn't so.
         Judge {
             /// In this view.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// Who waits.
             ticket: Ticket,
             /// The last change of the state that it was judged against.
-            last: Seq,
+            last: SequenceNumber,
             /// The proposal.
             body: Vec<u8>,
         },
@@ -225,7 +225,7 @@
         /// I promised this.
         Promised {
             /// For the view of this epoch.
-            instance: ViewEpoch,
+            instance: ViewNumber,
             /// The round.
             round: Round,
         },
@@ -247,9 +247,9 @@
         /// From here on the snapshot counts; all changes before this record are void.
         Snapshot {
             /// The last change in it.
-            last: Seq,
+            last: SequenceNumber,
             /// Its stamp.
-            stamp: ViewEpoch,
+            stamp: ViewNumber,
             /// The state machine's state.
             body: Vec<u8>,
         },
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -2,7 +2,7 @@
 use crate::state_machine::StateMachine;
 use crate::view::{View, Voter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use types::{Address, DiskId, Moment, Seq, Span, ViewEpoch};
+use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
 
 mod ballots;
 mod chain;
@@ -19,23 +19,23 @@
     /// Voters wanted: a follower's vote is added while there are fewer. Never taken away again.
     pub voters: usize,
     /// Between beats.
-    pub beat: Span,
+    pub beat: Milliseconds,
     /// Unheard for this long, a replica is taken for gone.
-    pub suspect: Span,
+    pub suspect: Milliseconds,
     /// How long a voter keeps its word to the tail.
-    pub lease: Span,
+    pub lease: Milliseconds,
     /// How long the tail itself counts on it, from when it asked: less, for clocks that run apart.
-    pub lease_counted: Span,
+    pub lease_counted: Milliseconds,
     /// A ballot's notes are sent again after this.
-    pub retry: Span,
+    pub retry: Milliseconds,
     /// A voter unheard for this long may be replaced by a follower with another disk.
-    pub replace_after: Span,
+    pub replace_after: Milliseconds,
     /// Changes sent at once to one that is behind, in bytes.
     pub feed_bytes: usize,
     /// A piece of a snapshot, in bytes.
     pub piece_bytes: usize,
     /// A disk that leaves a write unsynced for this long is taken for one that takes none.
-    pub stall: Span,
+    pub stall: Milliseconds,
     /// Changes that the head lets in beyond those replied to; more are turned away unchanged.
     pub ahead: u64,
     /// Changes that the head lets in a second, for long. With what the state machine remembers (4,096) it bounds from
@@ -53,15 +53,15 @@
         Timing {
             copies: 2,
             voters: 3,
-            beat: Span(100),
-            suspect: Span(800),
-            lease: Span(1000),
-            lease_counted: Span(800),
-            retry: Span(250),
-            replace_after: Span(2000),
+            beat: Milliseconds(100),
+            suspect: Milliseconds(800),
+            lease: Milliseconds(1000),
+            lease_counted: Milliseconds(800),
+            retry: Milliseconds(250),
+            replace_after: Milliseconds(2000),
             feed_bytes: 1 << 20,
             piece_bytes: 256 << 10,
-            stall: Span(1500),
+            stall: Milliseconds(1500),
             ahead: 64,
             changes_per_second: 100,
             burst: 128,
@@ -153,20 +153,20 @@
 
 /// What a disk gave back: records in the order they were written.
 #[derive(Debug, Clone, Default)]
-pub struct Kept {
+pub struct RecoveredRecords {
     /// All of them since the last whole write.
     pub records: Vec<Record>,
 }
 
 /// Why what a disk gave back can't be used. Nothing of it is served.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum KeptFault {
+pub enum RecoveryError {
     /// The snapshot is not one of the state machine's.
     #[error("the snapshot up to change {0} can't be read")]
-    Snapshot(Seq),
+    Snapshot(SequenceNumber),
     /// Changes are missing before this one.
     #[error("changes are missing before change {0}")]
-    Gap(Seq),
+    Gap(SequenceNumber),
 }
 
 /// What a replica believes, for operators.
@@ -177,19 +177,19 @@
     /// The view.
     pub view: View,
     /// The last change on its disk.
-    pub last: Seq,
+    pub last: SequenceNumber,
     /// The last change known to be replied.
-    pub replied: Seq,
+    pub replied: SequenceNumber,
     /// Whether it may answer now.
     pub may_respond: bool,
     /// Whether its disk takes writes.
-    pub is_sound: bool,
+    pub is_healthy: bool,
     /// Who was heard lately, and how long ago.
-    pub heard: Vec<(Address, Span)>,
+    pub heard: Vec<(Address, Milliseconds)>,
 }
 
 /// The stamp of a change that came before all that is kept.
-const UNKNOWN_STAMP: ViewEpoch = ViewEpoch(u64::MAX);
+const UNKNOWN_STAMP: ViewNumber = ViewNumber(u64::MAX);
 
 /// One machine of the core.
 ///
@@ -207,56 +207,56 @@
     /// Others that it was told of by whoever knows a newer view. They take part in nothing by that.
     contacts: Vec<Address>,
     timing: Timing,
-    now: Moment,
+    now: MonotonicInstant,
     // On disk.
     view: View,
-    promised: (ViewEpoch, Round),
+    promised: (ViewNumber, Round),
     accepted: Option<Ballot>,
-    base: (Seq, ViewEpoch),
+    base: (SequenceNumber, ViewNumber),
     log: VecDeque<Change>,
     state_machine: C,
     // What follows from it.
-    last: (Seq, ViewEpoch),
-    synced: (Seq, ViewEpoch),
-    replied: Seq,
-    is_level: bool,
-    is_sound: bool,
+    last: (SequenceNumber, ViewNumber),
+    synced: (SequenceNumber, ViewNumber),
+    replied: SequenceNumber,
+    is_caught_up: bool,
+    is_healthy: bool,
     is_fresh: bool,
     // Writing.
     next_write: u64,
-    unsynced: VecDeque<(u64, Moment)>,
+    unsynced: VecDeque<(u64, MonotonicInstant)>,
     deferred: VecDeque<(u64, Deferred)>,
-    life: u64,
+    incarnation: u64,
     log_bytes: usize,
     snapshot_bytes: usize,
     // Others.
     heard: BTreeMap<Address, Heard>,
     has_members: bool,
-    last_event: Moment,
-    next_beat: Moment,
+    last_event: MonotonicInstant,
+    next_heartbeat: MonotonicInstant,
     // Lease of the tail.
-    granted_until: Moment,
-    silent_until: Moment,
+    granted_until: MonotonicInstant,
+    silent_until: MonotonicInstant,
     has_released: bool,
-    paused_until: Moment,
+    paused_until: MonotonicInstant,
     /// Counted from when this life began, so that no grant to an earlier one is taken for its own.
     ask_round: u64,
-    asked_at: Moment,
+    asked_at: MonotonicInstant,
     grants: BTreeSet<DiskId>,
-    lease_deadline: Moment,
+    lease_deadline: MonotonicInstant,
     // Ballots.
     bid: Option<Bid>,
     top_count: u64,
-    wanted_since: Option<Moment>,
-    not_before: Moment,
+    wanted_since: Option<MonotonicInstant>,
+    not_before: MonotonicInstant,
     /// When this life began or its machine last woke: nobody can have been heard before.
-    listens_since: Moment,
+    listens_since: MonotonicInstant,
     // Chain. `early`: passed to this one before what comes in front of it.
-    early: BTreeMap<Seq, Change>,
+    early: BTreeMap<SequenceNumber, Change>,
     pace: pacing::Pace,
     /// The last change passed on, and when it's taken for lost.
-    passed: (Seq, Moment),
-    successor_moved: (Seq, Moment),
+    passed: (SequenceNumber, MonotonicInstant),
+    successor_moved: (SequenceNumber, MonotonicInstant),
     // Repair.
     followers: BTreeMap<Voter, Follower>,
     snapshot: Option<Offered>,
@@ -264,8 +264,8 @@
     /// The write of a fetched snapshot that isn't synced yet. Until it is, a restart gives back what was there before.
     snapshot_write: Option<u64>,
     // Leaving. `leaving`: others that said so, and when.
-    leaving_since: Option<Moment>,
-    leaving: BTreeMap<Voter, Moment>,
+    draining_since: Option<MonotonicInstant>,
+    leaving: BTreeMap<Voter, MonotonicInstant>,
     // This step.
     outputs: Vec<Output>,
     to_self: VecDeque<Note>,
@@ -279,14 +279,14 @@
 
 #[derive(Debug, Clone)]
 struct Heard {
-    at: Moment,
+    at: MonotonicInstant,
     disk: DiskId,
-    view: ViewEpoch,
-    last: Seq,
+    view: ViewNumber,
+    last: SequenceNumber,
     /// The view in which that change was let in: with its number, it names one change.
-    stamp: ViewEpoch,
-    is_level: bool,
-    is_sound: bool,
+    stamp: ViewNumber,
+    is_caught_up: bool,
+    is_healthy: bool,
     has_members: bool,
 }
 
@@ -298,41 +298,41 @@
     promises: BTreeMap<DiskId, Option<Ballot>>,
     ballot: Option<Ballot>,
     accepts: BTreeSet<DiskId>,
-    sent: Moment,
-    deadline: Moment,
+    sent: MonotonicInstant,
+    deadline: MonotonicInstant,
 }
 
 #[derive(Debug, Clone)]
 struct Follower {
-    last: Seq,
-    heard: Moment,
+    last: SequenceNumber,
+    heard: MonotonicInstant,
     /// The last change that was sent to it, and until when that is taken to be on its way.
-    fed: Seq,
-    fed_deadline: Moment,
-    patience: Span,
+    fed: SequenceNumber,
+    fed_deadline: MonotonicInstant,
+    patience: Milliseconds,
 }
 
 /// A snapshot that followers fetch by pieces. It stays as it is while changes go on.
 #[derive(Debug, Clone)]
 struct Offered {
-    last: Seq,
-    stamp: ViewEpoch,
+    last: SequenceNumber,
+    stamp: ViewNumber,
     bytes: Vec<u8>,
     /// When it was last offered or a piece of it asked for.
-    asked: Moment,
+    asked: MonotonicInstant,
 }
 
 #[derive(Debug, Clone)]
 struct Fetching {
-    last: Seq,
-    stamp: ViewEpoch,
+    last: SequenceNumber,
+    stamp: ViewNumber,
     bytes: Vec<u8>,
     length: u64,
-    asked: Moment,
+    asked: MonotonicInstant,
     /// Whether it was asked for again since its last piece.
     is_silent: bool,
     /// Without a piece for this long, it's asked for again.
-    patience: Span,
+    patience: Milliseconds,
 }
 
 impl<C: StateMachine> Replica<C> {
@@ -343,10 +343,10 @@
         me: Voter,
         founders: Vec<Address>,
         timing: Timing,
-        kept: Kept,
+        kept: RecoveredRecords,
         empty: C,
-        now: Moment,
-    ) -> Result<Self, KeptFault> {
+        now: MonotonicInstant,
+    ) -> Result<Self, RecoveryError> {
         let is_fresh = kept.records.is_empty();
         let mut replica = Replica {
             me,
@@ -362,28 +362,28 @@
             state_machine: empty,
             last: Default::default(),
             synced: Default::default(),
-            replied: Seq(0),
-            is_level: false,
-            is_sound: true,
+            replied: SequenceNumber(0),
+            is_caught_up: false,
+            is_healthy: true,
             is_fresh,
             next_write: 0,
             unsynced: VecDeque::new(),
             deferred: VecDeque::new(),
-            life: 0,
+            incarnation: 0,
             log_bytes: 0,
             snapshot_bytes: 0,
             heard: BTreeMap::new(),
             has_members: false,
             last_event: now,
-            next_beat: now,
-            granted_until: Moment(0),
+            next_heartbeat: now,
+            granted_until: MonotonicInstant(0),
             silent_until: if is_fresh { now } else { now + timing.lease },
             has_released: false,
             paused_until: now,
             ask_round: now.0,
-            asked_at: Moment(0),
+            asked_at: MonotonicInstant(0),
             grants: BTreeSet::new(),
-            lease_deadline: Moment(0),
+            lease_deadline: MonotonicInstant(0),
             bid: None,
             top_count: 0,
             wanted_since: None,
@@ -391,13 +391,13 @@
             listens_since: now,
             early: BTreeMap::new(),
             pace: pacing::Pace::full(&timing, now),
-            passed: (Seq(0), Moment(0)),
-            successor_moved: (Seq(0), now),
+            passed: (SequenceNumber(0), MonotonicInstant(0)),
+            successor_moved: (SequenceNumber(0), now),
             followers: BTreeMap::new(),
             snapshot: None,
             fetching: None,
             snapshot_write: None,
-            leaving_since: None,
+            draining_since: None,
             leaving: BTreeMap::new(),
             outputs: vec![],
             to_self: VecDeque::new(),
@@ -415,7 +415,7 @@
             replica.log_bytes = 0;
             replica.base = replica.last;
         }
-        if replica.view.epoch == ViewEpoch(0) && replica.promised.0 == ViewEpoch(1) {
+        if replica.view.epoch == ViewNumber(0) && replica.promised.0 == ViewNumber(1) {
             replica.founders.push(me.address);
         }
         replica.founders.sort();
@@ -424,14 +424,17 @@
         replica.has_released = replica.promised.0 == replica.view.epoch.next()
             && replica.promised.1.proposer == me.disk.0;
         replica.synced = replica.last;
-        replica.is_level = replica.view.seat(&me).is_some_and(|seat| seat.is_level);
-        if replica.is_tail() && replica.is_level {
+        replica.is_caught_up = replica
+            .view
+            .position(&me)
+            .is_some_and(|position| position.is_caught_up);
+        if replica.is_tail() && replica.is_caught_up {
             replica.replied = replica.synced.0;
         }
         Ok(replica)
     }
 
-    fn recall(&mut self, record: Record) -> Result<(), KeptFault> {
+    fn recall(&mut self, record: Record) -> Result<(), RecoveryError> {
         match record {
             Record::Promised { instance, round } => self.promised = (instance, round),
             Record::Accepted { ballot } => {
@@ -444,11 +447,11 @@
                 if newest.is_some_and(|newest| newest.next() != change.seq)
                     || change.seq > self.last.0.next()
                 {
-                    return Err(KeptFault::Gap(change.seq));
+                    return Err(RecoveryError::Gap(change.seq));
                 }
                 if newest.is_none() && change.seq <= self.base.0 {
                     // The log reaches back behind the snapshot; what came before it has no stamp here.
-                    self.base = (Seq(change.seq.0 - 1), UNKNOWN_STAMP);
+                    self.base = (SequenceNumber(change.seq.0 - 1), UNKNOWN_STAMP);
                 }
                 if change.seq > self.last.0 {
                     self.state_machine.apply(&change.body);
@@ -458,7 +461,7 @@
                 self.log.push_back(change);
             }
             Record::Snapshot { last, stamp, body } => {
-                self.state_machine = C::restore(&body).ok_or(KeptFault::Snapshot(last))?;
+                self.state_machine = C::restore(&body).ok_or(RecoveryError::Snapshot(last))?;
                 self.log.clear();
                 self.log_bytes = 0;
                 self.snapshot_bytes = body.len();
@@ -481,7 +484,7 @@
     }
 
     /// Takes an input in; gives what is to be done.
-    pub fn step(&mut self, now: Moment, input: Input) -> Vec<Output> {
+    pub fn step(&mut self, now: MonotonicInstant, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         match input {
             Input::Note { from, note } => self.on_note(from, note),
@@ -510,12 +513,12 @@
         self.me
     }
     /// Whether it may answer for the core at this moment: to be asked right before each answer.
-    pub fn may_respond(&self, now: Moment) -> bool {
-        self.is_sound && self.is_tail() && self.is_level && now < self.lease_deadline
+    pub fn may_respond(&self, now: MonotonicInstant) -> bool {
+        self.is_healthy && self.is_tail() && self.is_caught_up && now < self.lease_deadline
     }
     /// Whether this replica heard a majority of the view's voters lately, itself included. One that did not is cut
     /// off or alone, and can neither read nor propose; one that has just started had no time to hear anybody.
-    pub fn hears_majority(&self, now: Moment) -> bool {
+    pub fn hears_majority(&self, now: MonotonicInstant) -> bool {
         let is_heard = |voter: &Voter| {
             let heard = self.heard.get(&voter.address);
             *voter == self.me
@@ -531,12 +534,12 @@
     }
     /// Whether it has a seat in the chain, a disk that takes writes, and hears a majority: operators are well served
     /// here, even where the answer comes from the tail.
-    pub fn is_serving(&self, now: Moment) -> bool {
-        self.is_sound && self.view.seats(&self.me) && self.hears_majority(now)
+    pub fn is_serving(&self, now: MonotonicInstant) -> bool {
+        self.is_healthy && self.view.seats(&self.me) && self.hears_majority(now)
     }
     /// Tells it of others that know a newer view: it beats to them until it knows as much, since its own view and
     /// its settings may name nobody who is in the core by now.
-    pub fn meet(&mut self, view: ViewEpoch, voters: &[Address]) {
+    pub fn meet(&mut self, view: ViewNumber, voters: &[Address]) {
         self.contacts = if view > self.view.epoch {
             voters.to_vec()
         } else {
@@ -548,7 +551,12 @@
         self.has_members = has_members;
     }
     /// Gives the answer to a settled change, if this replica may still answer.
-    pub fn respond(&mut self, now: Moment, ticket: Ticket, body: Vec<u8>) -> Option<Output> {
+    pub fn respond(
+        &mut self,
+        now: MonotonicInstant,
+        ticket: Ticket,
+        body: Vec<u8>,
+    ) -> Option<Output> {
         if !self.may_respond(now) {
             return None;
         }
@@ -571,8 +579,8 @@
         })
     }
     /// When its next beat is due.
-    pub fn next_beat(&self) -> Moment {
-        self.next_beat
+    pub fn next_heartbeat(&self) -> MonotonicInstant {
+        self.next_heartbeat
     }
     /// Whether it bids for a view, repairs, or waits for its disk or its successor, so that clock events
     /// are wanted more often than its beats.
@@ -589,7 +597,7 @@
             last: self.synced.0,
             replied: self.replied,
             may_respond: self.may_respond(self.now),
-            is_sound: self.is_sound,
+            is_healthy: self.is_healthy,
             heard: self
                 .heard
                 .iter()
@@ -653,7 +661,9 @@
         {
             match self.deferred.pop_front() {
                 Some((_, Deferred::Send(to, note))) => self.send(to, note),
-                Some((_, Deferred::Apply(life, change))) if life == self.life => {
+                Some((_, Deferred::Apply(incarnation, change)))
+                    if incarnation == self.incarnation =>
+                {
                     self.on_change_synced(change)
                 }
                 _ => {}
@@ -662,8 +672,8 @@
     }
 
     fn on_disk_fault(&mut self) {
-        self.is_sound = false;
-        self.lease_deadline = Moment(0);
+        self.is_healthy = false;
+        self.lease_deadline = MonotonicInstant(0);
         self.deferred.clear();
         self.unsynced.clear();
         self.bid = None;
@@ -671,7 +681,7 @@
     }
 
     fn on_clock_event(&mut self) {
-        if self.now.since(self.last_event) > Span(self.timing.suspect.0 / 2) {
+        if self.now.since(self.last_event) > Milliseconds(self.timing.suspect.0 / 2) {
             // This machine slept. Nobody is to be taken for gone before there was time to hear it.
             let now = self.now;
             self.heard.values_mut().for_each(|h| h.at = now);
@@ -681,16 +691,16 @@
             self.listens_since = now;
         }
         self.last_event = self.now;
-        if self.now >= self.next_beat {
-            self.next_beat = self.now + self.timing.beat;
+        if self.now >= self.next_heartbeat {
+            self.next_heartbeat = self.now + self.timing.beat;
             self.beat();
-            if self.is_sound {
+            if self.is_healthy {
                 self.ask_lease();
                 self.follow();
                 self.pass_again();
             }
         }
-        if self.is_sound {
+        if self.is_healthy {
             self.found();
             self.propose_view();
             self.push_bid();
@@ -700,14 +710,14 @@
     }
 
     fn beat(&mut self) {
-        let note = Note::Beat {
+        let note = Note::Heartbeat {
             disk: self.me.disk,
             view: self.view.epoch,
             last: self.synced.0,
             stamp: self.synced.1,
             replied: self.replied,
-            is_level: self.is_level,
-            is_sound: self.is_sound && !self.is_stalled() && !self.is_deaf(),
+            is_caught_up: self.is_caught_up,
+            is_healthy: self.is_healthy && !self.is_stalled() && !self.is_deaf(),
             has_members: self.has_members,
         };
         for address in self.others() {
@@ -729,7 +739,7 @@
             .collect();
         all.extend(self.view.voters.iter().map(|v| v.address));
         all.extend(self.view.chain.iter().map(|s| s.voter.address));
-        let lately = |h: &Heard| self.now.since(h.at) < Span(self.timing.suspect.0 * 4);
+        let lately = |h: &Heard| self.now.since(h.at) < Milliseconds(self.timing.suspect.0 * 4);
         all.extend(
             self.heard
                 .iter()
@@ -741,18 +751,18 @@
     }
 
     fn on_note(&mut self, from: Address, note: Note) {
-        if !self.is_sound {
+        if !self.is_healthy {
             return;
         }
         match note {
-            Note::Beat {
+            Note::Heartbeat {
                 disk,
                 view,
                 last,
                 stamp,
                 replied,
-                is_level,
-                is_sound,
+                is_caught_up,
+                is_healthy,
                 has_members,
             } => {
                 let heard = Heard {
@@ -761,8 +771,8 @@
                     view,
                     last,
                     stamp,
-                    is_level,
-                    is_sound,
+                    is_caught_up,
+                    is_healthy,
                     has_members,
                 };
                 self.heard.insert(from, heard);
@@ -772,7 +782,7 @@
                     };
                     self.send(from, note);
                 }
-                self.on_chain_beat(from, disk, view, last, replied, is_level);
+                self.on_chain_beat(from, disk, view, last, replied, is_caught_up);
             }
             Note::Prepare { instance, round } => self.on_prepare(from, instance, round),
             Note::Promise {
@@ -841,10 +851,10 @@
     /// Whether this voter was heard lately, with the disk that it votes with, and takes writes.
     fn is_alive(&self, voter: &Voter) -> bool {
         if *voter == self.me {
-            return self.is_sound && !self.is_stalled();
+            return self.is_healthy && !self.is_stalled();
         }
         self.heard.get(&voter.address).is_some_and(|h| {
-            h.disk == voter.disk && h.is_sound && self.now.since(h.at) < self.timing.suspect
+            h.disk == voter.disk && h.is_healthy && self.now.since(h.at) < self.timing.suspect
         })
     }
 }
