--- a/crates/replication/src/replica/ballots.rs
+++ b/crates/replication/src/replica/ballots.rs
@@ -4,16 +4,19 @@
 use crate::notes::{Ballot, Note, Record, Round};
 use crate::replica::{Output, Replica};
 use crate::state_machine::StateMachine;
-use crate::view::{Seat, View, Voter};
-use types::{Address, DiskId, Moment, Seq, Span, ViewEpoch};
+use crate::view::{ChainPosition, View, Voter};
+use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
 
 impl<C: StateMachine> Replica<C> {
     /// Whether it votes on the first view: it was told that it is a founder when its disk was empty, and that
     /// disk is still the same.
     fn is_founder(&self) -> bool {
-        let is_untouched = self.is_fresh || self.promised.0 == ViewEpoch(1);
+        let is_untouched = self.is_fresh || self.promised.0 == ViewNumber(1);
         let is_named = self.founders.contains(&self.me.address);
-        self.view.epoch == ViewEpoch(0) && is_named && is_untouched && self.last.0 == Seq(0)
+        self.view.epoch == ViewNumber(0)
+            && is_named
+            && is_untouched
+            && self.last.0 == SequenceNumber(0)
     }
 
     /// A founder bids for the first view once it has heard all others, the first one by address at once; or
@@ -22,12 +25,12 @@
         if !self.is_founder() {
             return;
         }
-        if self.promised.0 == ViewEpoch(0) {
+        if self.promised.0 == ViewNumber(0) {
             // After a restart, this tells that it is a founder, whatever it's told then.
-            self.promised = (ViewEpoch(1), Round::default());
+            self.promised = (ViewNumber(1), Round::default());
             self.write(
                 Record::Promised {
-                    instance: ViewEpoch(1),
+                    instance: ViewNumber(1),
                     round: Round::default(),
                 },
                 None,
@@ -38,7 +41,7 @@
         }
         let is_heard = |address: &Address| {
             let lately =
-                |h: &Heard| h.view == ViewEpoch(0) && self.now.since(h.at) < self.timing.suspect;
+                |h: &Heard| h.view == ViewNumber(0) && self.now.since(h.at) < self.timing.suspect;
             *address == self.me.address || self.heard.get(address).is_some_and(lately)
         };
         let heard = self
@@ -51,7 +54,7 @@
             .iter()
             .take_while(|address| **address != self.me.address)
             .count() as u64;
-        let is_turn = self.now >= self.not_before + Span(self.timing.retry.0 * 2 * turn);
+        let is_turn = self.now >= self.not_before + Milliseconds(self.timing.retry.0 * 2 * turn);
         let are_all_here = turn == 0 && heard == self.founders.len() && self.top_count == 0;
         if !are_all_here && (!is_turn || heard < self.founders_majority()) {
             return;
@@ -66,8 +69,8 @@
             promises: BTreeMap::new(),
             ballot: None,
             accepts: BTreeSet::new(),
-            sent: Moment(0),
-            deadline: self.now + Span(self.timing.retry.0 * 8),
+            sent: MonotonicInstant(0),
+            deadline: self.now + Milliseconds(self.timing.retry.0 * 8),
         });
     }
 
@@ -80,7 +83,7 @@
     fn close_founding(&mut self) {
         let majority = self.founders_majority();
         let Some(bid) = &mut self.bid else { return };
-        let is_over = self.now + Span(self.timing.retry.0 * 7) >= bid.deadline;
+        let is_over = self.now + Milliseconds(self.timing.retry.0 * 7) >= bid.deadline;
         let have = bid.founders.len();
         if bid.ballot.is_some() || have < majority || (have < self.founders.len() && !is_over) {
             return;
@@ -95,9 +98,9 @@
         let voters: Vec<Voter> = self.founders.iter().map(voter).collect();
         let here = voters.iter().filter(|voter| voter.disk != DiskId(0));
         let chain = here
-            .map(|voter| Seat {
+            .map(|voter| ChainPosition {
                 voter: *voter,
-                is_level: true,
+                is_caught_up: true,
             })
             .collect();
         let newest = bid
@@ -107,7 +110,7 @@
             .max_by_key(|ballot| ballot.round);
         let view = newest.map_or(
             View {
-                epoch: ViewEpoch(1),
+                epoch: ViewNumber(1),
                 chain,
                 voters,
             },
@@ -117,34 +120,34 @@
             round: bid.round,
             view,
         });
-        bid.sent = Moment(0);
+        bid.sent = MonotonicInstant(0);
         self.push_bid();
     }
 
     /// What the view should be, as far as this replica sees.
     fn wish(&self) -> View {
-        let mut chain: Vec<Seat> = vec![];
-        for seat in &self.view.chain {
-            if !self.is_alive(&seat.voter) || self.is_stuck(&seat.voter) {
+        let mut chain: Vec<ChainPosition> = vec![];
+        for position in &self.view.chain {
+            if !self.is_alive(&position.voter) || self.is_stuck(&position.voter) {
                 continue;
             }
-            let says_level = if seat.voter == self.me {
-                self.is_level
+            let says_level = if position.voter == self.me {
+                self.is_caught_up
             } else {
-                let heard = self.heard.get(&seat.voter.address);
-                heard.is_some_and(|h| h.view == self.view.epoch && h.is_level)
+                let heard = self.heard.get(&position.voter.address);
+                heard.is_some_and(|h| h.view == self.view.epoch && h.is_caught_up)
             };
-            chain.push(Seat {
-                voter: seat.voter,
-                is_level: seat.is_level || says_level,
+            chain.push(ChainPosition {
+                voter: position.voter,
+                is_caught_up: position.is_caught_up || says_level,
             });
         }
         let mut voters = self.view.voters.clone();
-        if self.is_tail() && self.is_level {
+        if self.is_tail() && self.is_caught_up {
             for (voter, follower) in &self.followers {
                 let is_near = follower.last.0 + 16 >= self.synced.0.0;
                 let is_heard = self.now.since(follower.heard) < self.timing.suspect;
-                let is_wanted = self.is_alive(voter) && !self.is_leaving(voter);
+                let is_wanted = self.is_alive(voter) && !self.is_draining(voter);
                 if !is_near || !is_heard || !is_wanted || self.view.seats(voter) {
                     continue;
                 }
@@ -155,12 +158,12 @@
                         None => continue,
                     }
                 }
-                chain.push(Seat {
+                chain.push(ChainPosition {
                     voter: *voter,
-                    is_level: false,
+                    is_caught_up: false,
                 });
             }
-            chain.retain(|seat| voters.contains(&seat.voter));
+            chain.retain(|position| voters.contains(&position.voter));
         }
         self.drop_own_seat(&mut chain);
         View {
@@ -172,7 +175,12 @@
 
     /// Whose vote a follower with another disk may take over: that of its own address, of a voter that is
     /// about to stop, or of one long unheard.
-    fn replaceable(&self, voters: &[Voter], chain: &[Seat], follower: &Voter) -> Option<usize> {
+    fn replaceable(
+        &self,
+        voters: &[Voter],
+        chain: &[ChainPosition],
+        follower: &Voter,
+    ) -> Option<usize> {
         let is_gone = |voter: &Voter| {
             *voter != self.me
                 && self.now >= self.listens_since + self.timing.replace_after
@@ -186,7 +194,7 @@
         let leaving = || {
             voters
                 .iter()
-                .position(|v| self.is_leaving(v) && self.can_be_spared(v, chain))
+                .position(|v| self.is_draining(v) && self.can_be_spared(v, chain))
         };
         same.or_else(leaving).or_else(|| {
             voters
@@ -225,11 +233,14 @@
             return;
         };
         let since = *self.wanted_since.get_or_insert(self.now);
-        let does_admit = wish.chain.iter().any(|seat| !self.view.seats(&seat.voter));
+        let does_admit = wish
+            .chain
+            .iter()
+            .any(|position| !self.view.seats(&position.voter));
         let turn = self.turn();
         if !does_admit
-            && self.leaving_since.is_none()
-            && self.now < since + Span(self.timing.retry.0 * 2 * turn)
+            && self.draining_since.is_none()
+            && self.now < since + Milliseconds(self.timing.retry.0 * 2 * turn)
         {
             return;
         }
@@ -244,11 +255,11 @@
             promises: BTreeMap::new(),
             ballot: None,
             accepts: BTreeSet::new(),
-            sent: Moment(0),
+            sent: MonotonicInstant(0),
             deadline: self.now
                 + self.timing.lease
                 + self.timing.lease
-                + Span(self.timing.retry.0 * 4),
+                + Milliseconds(self.timing.retry.0 * 4),
         });
         self.push_bid();
     }
@@ -286,7 +297,7 @@
             },
         };
         let electors = match self.view.epoch {
-            ViewEpoch(0) => self.founders.clone(),
+            ViewNumber(0) => self.founders.clone(),
             _ => self.view.voters.iter().map(|voter| voter.address).collect(),
         };
         let releases = bid
@@ -297,7 +308,7 @@
             // By proposing another tail this one gives its lease up, for good in this view: voters
             // take such a ballot from it whenever it reaches them. Its own promise, on its disk by
             // now, tells it so after a restart.
-            self.lease_deadline = Moment(0);
+            self.lease_deadline = MonotonicInstant(0);
             self.has_released = true;
         }
         for address in electors {
@@ -306,12 +317,12 @@
     }
 
     /// A pause before the next try that differs from replica to replica and try to try.
-    fn pause(&self) -> Span {
+    fn pause(&self) -> Milliseconds {
         let mixed = (self.me.disk.0 as u64 ^ self.top_count).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        Span(self.timing.retry.0 / 2 + (mixed >> 40) % (self.timing.retry.0 * 2))
+        Milliseconds(self.timing.retry.0 / 2 + (mixed >> 40) % (self.timing.retry.0 * 2))
     }
 
-    pub(super) fn on_prepare(&mut self, from: Address, instance: ViewEpoch, round: Round) {
+    pub(super) fn on_prepare(&mut self, from: Address, instance: ViewNumber, round: Round) {
         self.top_count = self.top_count.max(round.count);
         if instance != self.view.epoch.next()
             || !(self.view.has_voter(&self.me) || self.is_founder())
@@ -345,12 +356,12 @@
     pub(super) fn on_promise(
         &mut self,
         from: Address,
-        instance: ViewEpoch,
+        instance: ViewNumber,
         round: Round,
         disk: DiskId,
         accepted: Option<Ballot>,
     ) {
-        let is_founding = self.view.epoch == ViewEpoch(0);
+        let is_founding = self.view.epoch == ViewNumber(0);
         let is_elector = if is_founding {
             self.founders.contains(&from)
         } else {
@@ -376,7 +387,7 @@
     /// view should be by now. That is not what it should have been when the ballot began: whoever was not there then,
     /// and has promised since, is. A view without those would rest on fewer disks than are there.
     pub(super) fn propose_view(&mut self) {
-        let is_founding = self.view.epoch == ViewEpoch(0);
+        let is_founding = self.view.epoch == ViewNumber(0);
         let Some(bid) = self
             .bid
             .as_ref()
@@ -402,7 +413,7 @@
         match (view, &mut self.bid) {
             (Some(view), Some(bid)) => {
                 bid.ballot = Some(Ballot { round, view });
-                bid.sent = Moment(0);
+                bid.sent = MonotonicInstant(0);
                 self.push_bid();
             }
             _ => {
@@ -415,7 +426,7 @@
 
     /// Whether one that has a seat and has promised was not heard yet.
     fn awaits_promiser(&self, bid: &Bid) -> bool {
-        let seated = self.view.chain.iter().map(|seat| seat.voter);
+        let seated = self.view.chain.iter().map(|position| position.voter);
         let promisers =
             seated.filter(|voter| *voter != self.me && bid.promises.contains_key(&voter.disk));
         let is_unheard = |voter: Voter| {
@@ -440,7 +451,7 @@
             };
             return self.send(from, note);
         }
-        if instance == ViewEpoch(1) {
+        if instance == ViewNumber(1) {
             if !self.may_found(&ballot.view) {
                 return;
             }
@@ -483,11 +494,11 @@
     pub(super) fn on_accepted(
         &mut self,
         from: Address,
-        instance: ViewEpoch,
+        instance: ViewNumber,
         round: Round,
         disk: DiskId,
     ) {
-        let is_founding = self.view.epoch == ViewEpoch(0);
+        let is_founding = self.view.epoch == ViewNumber(0);
         let (is_elector, needed) = match is_founding {
             true => (self.founders.contains(&from), self.founders_majority()),
             false => (
@@ -516,7 +527,7 @@
         }
     }
 
-    pub(super) fn on_outdone(&mut self, instance: ViewEpoch, promised: Round) {
+    pub(super) fn on_outdone(&mut self, instance: ViewNumber, promised: Round) {
         self.top_count = self.top_count.max(promised.count);
         let Some(bid) = &self.bid else { return };
         if instance == self.view.epoch.next() && bid.round < promised {
@@ -534,7 +545,7 @@
         let was_tail = self.is_tail();
         // Level is carried over only from the view right before: one between may have gone on
         // without this replica.
-        let stays_level = was_seated && self.is_level && view.epoch == self.view.epoch.next();
+        let stays_level = was_seated && self.is_caught_up && view.epoch == self.view.epoch.next();
         let old_tail = self.view.tail();
         let are_voters_kept = self.view.voters == view.voters;
         self.take_view(view.clone());
@@ -543,36 +554,36 @@
         self.wanted_since = None;
         self.followers.clear();
         self.early.clear();
-        self.passed = (Seq(0), Moment(0));
-        self.successor_moved = (Seq(0), self.now);
-        let seat = view.seat(&self.me).copied();
-        self.is_level = match seat {
-            Some(seat) => seat.is_level || stays_level,
+        self.passed = (SequenceNumber(0), MonotonicInstant(0));
+        self.successor_moved = (SequenceNumber(0), self.now);
+        let position = view.position(&self.me).copied();
+        self.is_caught_up = match position {
+            Some(position) => position.is_caught_up || stays_level,
             None => false,
         };
         if view.tail() != old_tail || !was_tail || !are_voters_kept {
             // The next view is up to these voters, and most of them may not have given their word.
-            self.lease_deadline = Moment(0);
-            self.asked_at = Moment(0);
+            self.lease_deadline = MonotonicInstant(0);
+            self.asked_at = MonotonicInstant(0);
         }
         self.grants.clear();
         self.ask_round += 1;
         self.has_released = false;
         if view.tail() != old_tail {
             // The word was given to another tail, which this view has waited out.
-            self.granted_until = Moment(0);
+            self.granted_until = MonotonicInstant(0);
         }
-        self.paused_until = Moment(0);
-        if seat.is_some() {
+        self.paused_until = MonotonicInstant(0);
+        if position.is_some() {
             self.fetching = None;
         }
-        if self.is_tail() && self.is_level {
+        if self.is_tail() && self.is_caught_up {
             self.replied = self.synced.0;
         }
         if !self.is_tail() {
             self.snapshot = None;
         }
-        self.next_beat = self.now;
+        self.next_heartbeat = self.now;
         self.outputs.push(Output::ViewChanged(view));
     }
 
@@ -581,7 +592,7 @@
         if !self.is_tail()
             || self.has_released
             || self.is_stalled()
-            || self.now < self.asked_at + Span(self.timing.lease_counted.0 / 4)
+            || self.now < self.asked_at + Milliseconds(self.timing.lease_counted.0 / 4)
         {
             return;
         }
@@ -597,7 +608,7 @@
         }
     }
 
-    pub(super) fn on_lease_ask(&mut self, from: Address, view: ViewEpoch, round: u64) {
+    pub(super) fn on_lease_ask(&mut self, from: Address, view: ViewNumber, round: u64) {
         let is_from_tail = self.view.tail().is_some_and(|tail| tail.address == from);
         let tail = self.view.tail();
         let backs_other = self
@@ -617,7 +628,7 @@
         self.send(from, note);
     }
 
-    pub(super) fn on_lease_grant(&mut self, view: ViewEpoch, round: u64, disk: DiskId) {
+    pub(super) fn on_lease_grant(&mut self, view: ViewNumber, round: u64, disk: DiskId) {
         let is_voter = self.view.voters.iter().any(|v| v.disk == disk);
         if view != self.view.epoch || round != self.ask_round || !is_voter || !self.is_tail() {
             return;
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -5,7 +5,7 @@
 use crate::replica::{Output, Replica};
 use crate::state_machine::{Preview, StateMachine};
 use crate::view::Voter;
-use types::{Address, DiskId, Seq, Span, ViewEpoch};
+use types::{Address, DiskId, Milliseconds, SequenceNumber, ViewNumber};
 
 impl<C: StateMachine> Replica<C> {
     pub(super) fn on_propose_here(&mut self, number: u64, body: Vec<u8>) {
@@ -14,7 +14,9 @@
             number,
         };
         match self.view.head() {
-            Some(head) if self.is_sound => self.send(head.address, Note::Propose { ticket, body }),
+            Some(head) if self.is_healthy => {
+                self.send(head.address, Note::Propose { ticket, body })
+            }
             _ => self.outputs.push(Output::Response {
                 number,
                 is_replied: false,
@@ -32,7 +34,7 @@
             None => false,
         };
         let has_room = self.last.0.0 < self.replied.0 + self.timing.ahead;
-        let may_enter = self.is_head() && self.is_level && self.has_copies() && has_room;
+        let may_enter = self.is_head() && self.is_caught_up && self.has_copies() && has_room;
         if !may_enter || (self.state_machine.needs_members(&body) && !tail_says) {
             return self.turn_away(ticket, false, vec![]);
         }
@@ -74,16 +76,16 @@
     pub(super) fn on_judge(
         &mut self,
         from: Address,
-        view: ViewEpoch,
+        view: ViewNumber,
         ticket: Ticket,
-        last: Seq,
+        last: SequenceNumber,
         body: Vec<u8>,
     ) {
         let is_heads =
             view == self.view.epoch && self.view.head().is_some_and(|head| head.address == from);
         let may_judge = is_heads
             && self.is_tail()
-            && self.is_level
+            && self.is_caught_up
             && self.has_copies()
             && self.synced.0 >= last;
         if !may_judge {
@@ -118,7 +120,7 @@
         self.log_bytes += change.body.len();
         self.log.push_back(change.clone());
         self.is_fresh = false;
-        let then = Deferred::Apply(self.life, change.clone());
+        let then = Deferred::Apply(self.incarnation, change.clone());
         self.write(Record::Change { change }, Some(then));
     }
 
@@ -129,8 +131,8 @@
         match self.view.successor(&self.me) {
             Some(successor) => {
                 let size = change.body.len();
-                let deadline =
-                    (self.now + self.way(size)).max(self.passed.1 + Span(size as u64 / 4000));
+                let deadline = (self.now + self.way(size))
+                    .max(self.passed.1 + Milliseconds(size as u64 / 4000));
                 self.passed = (change.seq, deadline);
                 let note = Note::Pass {
                     view: self.view.epoch,
@@ -138,7 +140,7 @@
                 };
                 self.send(successor.address, note);
             }
-            None if self.is_tail() && self.is_level => {
+            None if self.is_tail() && self.is_caught_up => {
                 self.replied = self.synced.0;
                 // A chain that has shrunk since it took the change has it on too few disks to say so.
                 if self.has_copies() {
@@ -147,19 +149,19 @@
                         body: answer,
                     });
                 }
-                self.next_beat = self.now;
+                self.next_heartbeat = self.now;
             }
             None => {}
         }
     }
 
-    pub(super) fn on_pass(&mut self, from: Address, view: ViewEpoch, change: Change) {
+    pub(super) fn on_pass(&mut self, from: Address, view: ViewNumber, change: Change) {
         let is_from_predecessor = self
             .view
             .predecessor(&self.me)
             .is_some_and(|p| p.address == from);
-        let is_wanted =
-            (self.last.0.next()..=Seq(self.last.0.0 + self.timing.ahead)).contains(&change.seq);
+        let is_wanted = (self.last.0.next()..=SequenceNumber(self.last.0.0 + self.timing.ahead))
+            .contains(&change.seq);
         if view != self.view.epoch || !is_from_predecessor || !is_wanted {
             return;
         }
@@ -173,10 +175,10 @@
         &mut self,
         from: Address,
         disk: DiskId,
-        view: ViewEpoch,
-        last: Seq,
-        replied: Seq,
-        is_level: bool,
+        view: ViewNumber,
+        last: SequenceNumber,
+        replied: SequenceNumber,
+        is_caught_up: bool,
     ) {
         if view != self.view.epoch {
             return;
@@ -192,7 +194,7 @@
             if last > self.successor_moved.0 || last >= self.synced.0 {
                 self.successor_moved = (last, self.now);
             }
-            if !is_level && self.is_level && self.is_on_own_history(&voter) {
+            if !is_caught_up && self.is_caught_up && self.is_on_own_history(&voter) {
                 let note = Note::Level {
                     view,
                     last: self.last.0,
@@ -202,15 +204,15 @@
         }
     }
 
-    pub(super) fn on_level(&mut self, from: Address, view: ViewEpoch, last: Seq) {
+    pub(super) fn on_level(&mut self, from: Address, view: ViewNumber, last: SequenceNumber) {
         let is_from_predecessor = self
             .view
             .predecessor(&self.me)
             .is_some_and(|p| p.address == from);
         let has_all = self.synced.0 >= last && self.snapshot_write.is_none();
-        if view == self.view.epoch && is_from_predecessor && has_all && !self.is_level {
-            self.is_level = true;
-            self.next_beat = self.now;
+        if view == self.view.epoch && is_from_predecessor && has_all && !self.is_caught_up {
+            self.is_caught_up = true;
+            self.next_heartbeat = self.now;
             if self.is_tail() {
                 self.replied = self.synced.0;
             }
@@ -218,8 +220,8 @@
     }
 
     /// How long so many bytes may be under way and to the disk: a few beats, and 4 MB/s.
-    pub(super) fn way(&self, bytes: usize) -> Span {
-        Span(self.timing.beat.0 * 3 + bytes as u64 / 4000)
+    pub(super) fn way(&self, bytes: usize) -> Milliseconds {
+        Milliseconds(self.timing.beat.0 * 3 + bytes as u64 / 4000)
     }
 
     /// Passes on again what the successor hasn't got, but nothing that is still on its way.
@@ -249,7 +251,7 @@
     }
 
     /// Synced changes after this one, up to the bound, at least one.
-    pub(super) fn changes_after(&self, seq: Seq, mut room: usize) -> Vec<Change> {
+    pub(super) fn changes_after(&self, seq: SequenceNumber, mut room: usize) -> Vec<Change> {
         let mut found: Vec<Change> = vec![];
         for change in self
             .log
@@ -278,7 +280,7 @@
             .is_some_and(|h| h.last < self.synced.0);
         self.view.successor(&self.me) == Some(*voter)
             && is_behind
-            && self.now.since(self.successor_moved.1) > Span(self.timing.suspect.0 * 4)
+            && self.now.since(self.successor_moved.1) > Milliseconds(self.timing.suspect.0 * 4)
             && self.now >= self.passed.1
     }
 
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -8,11 +8,11 @@
 use crate::replica::Replica;
 use crate::state_machine::StateMachine;
 use std::hash::{Hash, Hasher};
-use types::{Moment, Span};
+use types::{Milliseconds, MonotonicInstant};
 
 impl<C: StateMachine> Replica<C> {
     /// Feeds the digest of the state at this moment.
-    pub fn fingerprint(&self, now: Moment, hasher: &mut impl Hasher) {
+    pub fn fingerprint(&self, now: MonotonicInstant, hasher: &mut impl Hasher) {
         let clock = RelativeClock {
             now,
             horizon: self.horizon(),
@@ -32,7 +32,7 @@
     }
 
     /// The longest span that any timer compares an age with.
-    fn horizon(&self) -> Span {
+    fn horizon(&self) -> Milliseconds {
         let longest = [
             self.timing.replace_after.0,
             self.timing.suspect.0 * 4,
@@ -40,7 +40,7 @@
             self.timing.retry.0 * 16,
             self.timing.stall.0,
         ];
-        Span(longest.into_iter().max().unwrap_or_default())
+        Milliseconds(longest.into_iter().max().unwrap_or_default())
     }
 
     fn fingerprint_disk(&self, hasher: &mut impl Hasher) {
@@ -55,11 +55,11 @@
         self.state_machine.snapshot().hash(hasher);
     }
 
-    fn fingerprint_position(&self, now: Moment, hasher: &mut impl Hasher) {
+    fn fingerprint_position(&self, now: MonotonicInstant, hasher: &mut impl Hasher) {
         (self.last, self.synced, self.replied).hash(hasher);
         (
-            self.is_level,
-            self.is_sound,
+            self.is_caught_up,
+            self.is_healthy,
             self.is_fresh,
             self.has_members,
         )
@@ -76,7 +76,9 @@
             (self.next_write - id).hash(hasher);
             match then {
                 Deferred::Send(to, note) => (to, note).hash(hasher),
-                Deferred::Apply(life, change) => (self.life - life, change).hash(hasher),
+                Deferred::Apply(incarnation, change) => {
+                    (self.incarnation - incarnation, change).hash(hasher)
+                }
             }
         }
     }
@@ -92,11 +94,11 @@
                 heard.stamp,
             )
                 .hash(hasher);
-            (heard.is_level, heard.is_sound, heard.has_members).hash(hasher);
+            (heard.is_caught_up, heard.is_healthy, heard.has_members).hash(hasher);
         }
         (
             clock.signed(self.last_event),
-            clock.signed(self.next_beat),
+            clock.signed(self.next_heartbeat),
             clock.signed(self.listens_since),
         )
             .hash(hasher);
@@ -155,7 +157,7 @@
         self.snapshot_write
             .map(|id| self.next_write - id)
             .hash(hasher);
-        self.leaving_since
+        self.draining_since
             .map(|since| clock.signed(since))
             .hash(hasher);
         for (voter, at) in &self.leaving {
@@ -178,17 +180,17 @@
 
 /// Gives moments relative to now.
 struct RelativeClock {
-    now: Moment,
-    horizon: Span,
+    now: MonotonicInstant,
+    horizon: Milliseconds,
 }
 
 impl RelativeClock {
     /// Until a moment to come; what has passed is all alike.
-    fn ahead(&self, moment: Moment) -> u64 {
+    fn ahead(&self, moment: MonotonicInstant) -> u64 {
         self.now.until(moment).0
     }
     /// Until or since a moment; ages beyond the horizon are all alike.
-    fn signed(&self, moment: Moment) -> i64 {
+    fn signed(&self, moment: MonotonicInstant) -> i64 {
         let distance = moment.0 as i64 - self.now.0 as i64;
         distance.max(-(self.horizon.0 as i64))
     }
--- a/crates/replication/src/replica/leaving.rs
+++ b/crates/replication/src/replica/leaving.rs
@@ -8,17 +8,17 @@
 use crate::notes::Note;
 use crate::replica::{Output, Replica};
 use crate::state_machine::StateMachine;
-use crate::view::{Seat, View, Voter};
-use types::{Address, DiskId, Span};
+use crate::view::{ChainPosition, View, Voter};
+use types::{Address, DiskId, Milliseconds};
 
 /// A leaving member with a follower about leaves the exchange of votes to the tail for so long.
-const EXCHANGE_SPAN: Span = Span(1000);
+const EXCHANGE_SPAN: Milliseconds = Milliseconds(1000);
 
 impl<C: StateMachine> Replica<C> {
     pub(super) fn on_leave(&mut self) {
-        if self.leaving_since.is_none() {
-            self.leaving_since = Some(self.now);
-            self.next_beat = self.now;
+        if self.draining_since.is_none() {
+            self.draining_since = Some(self.now);
+            self.next_heartbeat = self.now;
         }
     }
 
@@ -32,12 +32,12 @@
             .all(|voter| *voter == self.me || self.is_alive(voter));
         let may_vote_go =
             !self.view.has_voter(&self.me) || (are_others_here && !self.has_candidate());
-        self.leaving_since.is_some() && !self.view.seats(&self.me) && may_vote_go
+        self.draining_since.is_some() && !self.view.seats(&self.me) && may_vote_go
     }
 
     /// Tells all others, with each beat.
     pub(super) fn tell_leaving(&mut self) {
-        if self.leaving_since.is_none() {
+        if self.draining_since.is_none() {
             return;
         }
         let note = Note::Leaving { disk: self.me.disk };
@@ -62,9 +62,9 @@
     }
 
     /// Whether this voter is about to stop.
-    pub(super) fn is_leaving(&self, voter: &Voter) -> bool {
+    pub(super) fn is_draining(&self, voter: &Voter) -> bool {
         if *voter == self.me {
-            return self.leaving_since.is_some();
+            return self.draining_since.is_some();
         }
         self.leaving
             .get(voter)
@@ -78,7 +78,7 @@
                 address: *address,
                 disk: heard.disk,
             };
-            !self.view.has_voter(&voter) && self.is_alive(&voter) && !self.is_leaving(&voter)
+            !self.view.has_voter(&voter) && self.is_alive(&voter) && !self.is_draining(&voter)
         })
     }
 
@@ -89,35 +89,35 @@
             .view
             .chain
             .iter()
-            .any(|seat| seat.is_level && !next.seats(&seat.voter));
+            .any(|position| position.is_caught_up && !next.seats(&position.voter));
         !drops_level
             || next
                 .chain
                 .iter()
-                .any(|seat| seat.is_level && !self.is_leaving(&seat.voter))
+                .any(|position| position.is_caught_up && !self.is_draining(&position.voter))
     }
 
     /// Whether a chain without this voter still has somebody, who stays, that holds everything.
-    pub(super) fn can_be_spared(&self, voter: &Voter, chain: &[Seat]) -> bool {
-        chain
-            .iter()
-            .any(|seat| seat.voter != *voter && seat.is_level && !self.is_leaving(&seat.voter))
+    pub(super) fn can_be_spared(&self, voter: &Voter, chain: &[ChainPosition]) -> bool {
+        chain.iter().any(|position| {
+            position.voter != *voter && position.is_caught_up && !self.is_draining(&position.voter)
+        })
     }
 
     /// Leaves its own seat out where the rest holds each change on as many disks as it must be on, and
     /// nobody is there for its vote, or that takes long.
-    pub(super) fn drop_own_seat(&self, chain: &mut Vec<Seat>) {
-        let Some(since) = self.leaving_since else {
+    pub(super) fn drop_own_seat(&self, chain: &mut Vec<ChainPosition>) {
+        let Some(since) = self.draining_since else {
             return;
         };
-        let is_other = |seat: &&Seat| seat.voter != self.me;
+        let is_other = |position: &&ChainPosition| position.voter != self.me;
         let others = chain
             .iter()
             .filter(is_other)
-            .filter(|seat| seat.is_level && !self.is_leaving(&seat.voter));
+            .filter(|position| position.is_caught_up && !self.is_draining(&position.voter));
         let is_exchanging = self.has_candidate() && self.now.since(since) < EXCHANGE_SPAN;
         if others.count() >= self.timing.copies && !is_exchanging {
-            chain.retain(|seat| seat.voter != self.me);
+            chain.retain(|position| position.voter != self.me);
         }
     }
 }
--- a/crates/replication/src/replica/pacing.rs
+++ b/crates/replication/src/replica/pacing.rs
@@ -1,7 +1,7 @@
 //! How fast changes enter, so that the span in which a repeat is known as one can't be used up at once.
 
 use crate::replica::Timing;
-use types::Moment;
+use types::MonotonicInstant;
 
 /// A bucket that holds at most [`Timing::burst`] changes and fills by [`Timing::changes_per_second`].
 ///
@@ -11,14 +11,14 @@
 pub(super) struct Pace {
     /// Thousandths of a change.
     available: u64,
-    at: Moment,
+    at: MonotonicInstant,
 }
 
 /// Thousandths in a change.
 const CHANGE: u64 = 1000;
 
 impl Pace {
-    pub(super) fn full(timing: &Timing, now: Moment) -> Pace {
+    pub(super) fn full(timing: &Timing, now: MonotonicInstant) -> Pace {
         Pace {
             available: timing.burst * CHANGE,
             at: now,
@@ -26,7 +26,7 @@
     }
 
     /// Whether one more may enter now; it's counted if so.
-    pub(super) fn take(&mut self, timing: &Timing, now: Moment) -> bool {
+    pub(super) fn take(&mut self, timing: &Timing, now: MonotonicInstant) -> bool {
         self.available = self.level(timing, now);
         self.at = now;
         let may_enter = self.available >= CHANGE;
@@ -37,7 +37,7 @@
     }
 
     /// What it holds at this moment, in thousandths of a change.
-    pub(super) fn level(&self, timing: &Timing, now: Moment) -> u64 {
+    pub(super) fn level(&self, timing: &Timing, now: MonotonicInstant) -> u64 {
         // A second has as many milliseconds as a change has thousandths.
         let filled = self.available + now.since(self.at).0 * timing.changes_per_second;
         filled.min(timing.burst * CHANGE)
--- a/crates/replication/src/replica/repair.rs
+++ b/crates/replication/src/replica/repair.rs
@@ -5,7 +5,7 @@
 use crate::replica::Replica;
 use crate::state_machine::StateMachine;
 use crate::view::Voter;
-use types::{Address, DiskId, Seq, Span, ViewEpoch};
+use types::{Address, DiskId, Milliseconds, SequenceNumber, ViewNumber};
 
 /// A piece or a feed that brings no word is sent again after a while that doubles up to so many times
 /// [`Timing::suspect`]: a slow line isn't filled with copies.
@@ -16,7 +16,7 @@
 const FETCH_ROOM: usize = 4;
 
 /// A follower unheard for this long is fed anew.
-const FORGET_FEED: Span = Span(2000);
+const FORGET_FEED: Milliseconds = Milliseconds(2000);
 
 /// A snapshot that was not asked for in so many times [`Timing::suspect`] is not being fetched.
 const FETCH_RESTS: u64 = 2 * MOST_PATIENCE;
@@ -26,7 +26,7 @@
     pub(super) fn follow(&mut self) {
         let Some(tail) = self.view.tail() else { return };
         if self.view.seats(&self.me)
-            || self.leaving_since.is_some()
+            || self.draining_since.is_some()
             || self.snapshot_write.is_some()
         {
             return;
@@ -39,7 +39,7 @@
             fetching.asked = self.now;
             fetching.is_silent = true;
             fetching.patience =
-                Span((fetching.patience.0 * 2).min(self.timing.suspect.0 * MOST_PATIENCE));
+                Milliseconds((fetching.patience.0 * 2).min(self.timing.suspect.0 * MOST_PATIENCE));
             let note = Note::SnapshotAsk {
                 last: fetching.last,
                 offset: fetching.bytes.len() as u64,
@@ -55,7 +55,7 @@
     }
 
     /// The stamp of the change at this place, if it's still known.
-    pub(super) fn stamp_at(&self, seq: Seq) -> Option<ViewEpoch> {
+    pub(super) fn stamp_at(&self, seq: SequenceNumber) -> Option<ViewNumber> {
         if seq == self.base.0 && self.base.1 != UNKNOWN_STAMP {
             return Some(self.base.1);
         }
@@ -65,12 +65,18 @@
             .map(|change| change.stamp)
     }
 
-    pub(super) fn on_follow(&mut self, from: Address, disk: DiskId, last: Seq, stamp: ViewEpoch) {
+    pub(super) fn on_follow(
+        &mut self,
+        from: Address,
+        disk: DiskId,
+        last: SequenceNumber,
+        stamp: ViewNumber,
+    ) {
         let voter = Voter {
             address: from,
             disk,
         };
-        if !self.is_tail() || !self.is_level || self.view.seats(&voter) {
+        if !self.is_tail() || !self.is_caught_up || self.view.seats(&voter) {
             return;
         }
         let is_known = last <= self.synced.0 && self.stamp_at(last) == Some(stamp);
@@ -109,14 +115,14 @@
     }
 
     /// Sends a follower what comes after `last`, but nothing again that is still on its way.
-    fn feed(&mut self, voter: Voter, last: Seq) {
+    fn feed(&mut self, voter: Voter, last: SequenceNumber) {
         let before = self.followers.get(&voter).cloned();
         let mut follower = Follower {
             last,
             heard: self.now,
             fed: last,
             fed_deadline: self.now,
-            patience: Span(0),
+            patience: Milliseconds(0),
         };
         if let Some(before) = before.filter(|before| self.now.since(before.heard) < FORGET_FEED) {
             let is_waited_for = last < before.fed;
@@ -132,7 +138,7 @@
                 return;
             }
             let patience = before.patience.0;
-            follower.patience = Span(if is_waited_for {
+            follower.patience = Milliseconds(if is_waited_for {
                 patience * 2
             } else {
                 patience * 3 / 4
@@ -141,7 +147,7 @@
         let changes = self.changes_after(last, self.timing.piece_bytes);
         if let Some(newest) = changes.last() {
             let bytes = changes.iter().map(|change| change.body.len()).sum();
-            let most = Span(self.timing.suspect.0 * MOST_PATIENCE);
+            let most = Milliseconds(self.timing.suspect.0 * MOST_PATIENCE);
             follower.patience = follower.patience.max(self.way(bytes)).min(most);
             (follower.fed, follower.fed_deadline) = (newest.seq, self.now + follower.patience);
             self.send(voter.address, Note::Feed { changes });
@@ -151,7 +157,7 @@
 
     /// Whether someone fetches the snapshot that is kept for it.
     fn is_fetched(&self) -> bool {
-        let rests = Span(self.timing.suspect.0 * FETCH_RESTS);
+        let rests = Milliseconds(self.timing.suspect.0 * FETCH_RESTS);
         self.snapshot
             .as_ref()
             .is_some_and(|offered| self.now.since(offered.asked) < rests)
@@ -185,8 +191,8 @@
     pub(super) fn on_snapshot_offer(
         &mut self,
         from: Address,
-        last: Seq,
-        stamp: ViewEpoch,
+        last: SequenceNumber,
+        stamp: ViewNumber,
         length: u64,
     ) {
         if self.view.seats(&self.me) || !self.is_from_tail(from) {
@@ -216,7 +222,7 @@
         self.send(from, Note::SnapshotAsk { last, offset: 0 });
     }
 
-    pub(super) fn on_snapshot_ask(&mut self, from: Address, last: Seq, offset: u64) {
+    pub(super) fn on_snapshot_ask(&mut self, from: Address, last: SequenceNumber, offset: u64) {
         let Some(offered) = &mut self.snapshot else {
             return;
         };
@@ -240,8 +246,8 @@
     pub(super) fn on_snapshot_piece(
         &mut self,
         from: Address,
-        last: Seq,
-        stamp: ViewEpoch,
+        last: SequenceNumber,
+        stamp: ViewNumber,
         offset: u64,
         length: u64,
         bytes: Vec<u8>,
@@ -259,7 +265,7 @@
         fetching.bytes.extend_from_slice(&bytes);
         fetching.asked = self.now;
         fetching.is_silent = false;
-        fetching.patience = Span(fetching.patience.0 * 3 / 4).max(self.timing.suspect);
+        fetching.patience = Milliseconds(fetching.patience.0 * 3 / 4).max(self.timing.suspect);
         let have = fetching.bytes.len() as u64;
         if have < length && !bytes.is_empty() {
             return self.send(from, Note::SnapshotAsk { last, offset: have });
@@ -272,16 +278,16 @@
         }
         if let Some(state_machine) = C::restore(&fetching.bytes) {
             self.state_machine = state_machine;
-            self.life += 1;
+            self.incarnation += 1;
             self.is_fresh = false;
             self.base = (last, stamp);
             self.last = self.base;
             self.synced = self.base;
-            self.replied = Seq(0);
+            self.replied = SequenceNumber(0);
             self.log.clear();
             self.write_whole(fetching.bytes);
             self.snapshot_write = Some(self.next_write);
-            self.next_beat = self.now;
+            self.next_heartbeat = self.now;
         }
     }
 
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::notes::{Ballot, Change, Note, Record, Round, Ticket};
-use crate::replica::{Input, Kept, KeptFault, Output, Replica, Timing};
+use crate::replica::{Input, Output, RecoveredRecords, RecoveryError, Replica, Timing};
 use crate::state_machine::{Preview, StateMachine};
-use crate::view::{Seat, View, Voter};
-use types::{Address, DiskId, Moment, Seq, ViewEpoch};
+use crate::view::{ChainPosition, View, Voter};
+use types::{Address, DiskId, MonotonicInstant, SequenceNumber, ViewNumber};
 
 /// Counts the bodies that it applied.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,12 +37,12 @@
 
 fn view(epoch: u64, chain: &[(u16, bool)]) -> View {
     View {
-        epoch: ViewEpoch(epoch),
+        epoch: ViewNumber(epoch),
         chain: chain
             .iter()
-            .map(|(n, is_level)| Seat {
+            .map(|(n, is_caught_up)| ChainPosition {
                 voter: voter(*n),
-                is_level: *is_level,
+                is_caught_up: *is_caught_up,
             })
             .collect(),
         voters: (1..=3).map(voter).collect(),
@@ -55,8 +55,8 @@
         number: seq,
     };
     Change {
-        seq: Seq(seq),
-        stamp: ViewEpoch(stamp),
+        seq: SequenceNumber(seq),
+        stamp: ViewNumber(stamp),
         ticket,
         body: vec![1],
     }
@@ -68,23 +68,23 @@
         voter(n),
         founders,
         Timing::default(),
-        Kept { records },
+        RecoveredRecords { records },
         Tally(0),
-        Moment(10_000),
+        MonotonicInstant(10_000),
     )
     .unwrap()
 }
 
 /// The beat of a level member of view 1 that holds no change.
 fn beat(n: u16) -> Note {
-    Note::Beat {
+    Note::Heartbeat {
         disk: voter(n).disk,
-        view: ViewEpoch(1),
-        last: Seq(0),
-        stamp: ViewEpoch(0),
-        replied: Seq(0),
-        is_level: true,
-        is_sound: true,
+        view: ViewNumber(1),
+        last: SequenceNumber(0),
+        stamp: ViewNumber(0),
+        replied: SequenceNumber(0),
+        is_caught_up: true,
+        is_healthy: true,
         has_members: true,
     }
 }
@@ -103,14 +103,14 @@
 
 /// Has the replica take an input and all its writes synced; gives what it sends.
 fn settle(replica: &mut Replica<Tally>, at: u64, input: Input) -> Vec<(u16, Note)> {
-    let mut outputs = replica.step(Moment(at), input);
+    let mut outputs = replica.step(MonotonicInstant(at), input);
     let mut sent = vec![];
     while !outputs.is_empty() {
         let mut more = vec![];
         for output in outputs {
             match output {
                 Output::Write { id, .. } => {
-                    more.extend(replica.step(Moment(at), Input::Written { id }))
+                    more.extend(replica.step(MonotonicInstant(at), Input::Written { id }))
                 }
                 Output::Send { to, note } => sent.push((to.0.port(), note)),
                 _ => {}
@@ -123,7 +123,7 @@
 
 fn grant_all(replica: &mut Replica<Tally>, at: u64) -> bool {
     let asks: Vec<Note> = replica
-        .step(Moment(at), Input::ClockEvent)
+        .step(MonotonicInstant(at), Input::ClockEvent)
         .into_iter()
         .filter_map(|output| match output {
             Output::Send {
@@ -150,7 +150,7 @@
             );
         }
     }
-    replica.may_respond(Moment(at))
+    replica.may_respond(MonotonicInstant(at))
 }
 
 #[test]
@@ -180,8 +180,8 @@
         10_300,
         2,
         Note::Level {
-            view: ViewEpoch(3),
-            last: Seq(2),
+            view: ViewNumber(3),
+            last: SequenceNumber(2),
         },
     );
     assert!(!grant_all(&mut tail, 10_500));
@@ -190,7 +190,7 @@
         10_600,
         2,
         Note::Pass {
-            view: ViewEpoch(3),
+            view: ViewNumber(3),
             change: change(2, 2),
         },
     );
@@ -199,8 +199,8 @@
         10_700,
         2,
         Note::Level {
-            view: ViewEpoch(3),
-            last: Seq(2),
+            view: ViewNumber(3),
+            last: SequenceNumber(2),
         },
     );
     assert!(grant_all(&mut tail, 11_000));
@@ -255,7 +255,7 @@
         12_000,
         3,
         Note::LeaseAsk {
-            view: ViewEpoch(1),
+            view: ViewNumber(1),
             round: 1,
         },
     );
@@ -268,7 +268,7 @@
         12_950,
         3,
         Note::LeaseAsk {
-            view: ViewEpoch(1),
+            view: ViewNumber(1),
             round: 2,
         },
     );
@@ -286,11 +286,11 @@
         }],
     );
     let pass = Note::Pass {
-        view: ViewEpoch(1),
+        view: ViewNumber(1),
         change: change(1, 1),
     };
     let outputs = middle.step(
-        Moment(10_100),
+        MonotonicInstant(10_100),
         Input::Note {
             from: Address::loopback(1),
             note: pass,
@@ -299,19 +299,19 @@
     let [Output::Write { id, .. }] = outputs.as_slice() else {
         panic!("{outputs:?}")
     };
-    let outputs = middle.step(Moment(10_200), Input::Written { id: *id });
+    let outputs = middle.step(MonotonicInstant(10_200), Input::Written { id: *id });
     assert!(
         matches!(outputs.as_slice(), [Output::Send { to, note: Note::Pass { .. } }] if to.0.port() == 3)
     );
     let prepare = Note::Prepare {
-        instance: ViewEpoch(2),
+        instance: ViewNumber(2),
         round: Round {
             count: 1,
             proposer: 1,
         },
     };
     let outputs = middle.step(
-        Moment(10_300),
+        MonotonicInstant(10_300),
         Input::Note {
             from: Address::loopback(1),
             note: prepare,
@@ -334,21 +334,21 @@
         },
     ];
     let bent = vec![Record::Snapshot {
-        last: Seq(5),
-        stamp: ViewEpoch(1),
+        last: SequenceNumber(5),
+        stamp: ViewNumber(1),
         body: vec![1, 2],
     }];
     for (records, fault) in [
-        (gap, KeptFault::Gap(Seq(3))),
-        (bent, KeptFault::Snapshot(Seq(5))),
+        (gap, RecoveryError::Gap(SequenceNumber(3))),
+        (bent, RecoveryError::Snapshot(SequenceNumber(5))),
     ] {
         let made = Replica::new(
             voter(1),
             vec![],
             Timing::default(),
-            Kept { records },
+            RecoveredRecords { records },
             Tally(0),
-            Moment(0),
+            MonotonicInstant(0),
         );
         assert_eq!(made.err(), Some(fault));
     }
@@ -361,8 +361,8 @@
         view: view(1, &chain),
     }];
     records.push(Record::Snapshot {
-        last: Seq(40),
-        stamp: ViewEpoch(1),
+        last: SequenceNumber(40),
+        stamp: ViewNumber(1),
         body: 40u64.to_be_bytes().to_vec(),
     });
     records.push(Record::Change {
@@ -383,7 +383,7 @@
     let (mut at, mut to_tail) = (10_000, vec![]);
     for _ in 0..40 {
         at += 100;
-        let outputs = behind.step(Moment(at), Input::ClockEvent);
+        let outputs = behind.step(MonotonicInstant(at), Input::ClockEvent);
         to_tail.extend(outputs.into_iter().filter_map(|output| match output {
             Output::Send { to, note } if to.0.port() == 2 => Some(note),
             _ => None,
@@ -404,7 +404,7 @@
     }
     assert_eq!(
         (behind.state_machine(), behind.state().last),
-        (&Tally(41), Seq(41))
+        (&Tally(41), SequenceNumber(41))
     );
 }
 
@@ -435,12 +435,12 @@
                     ballot: ballot.clone(),
                 });
             }
-            let start = Moment(10_000);
+            let start = MonotonicInstant(10_000);
             Replica::new(
                 voter(n),
                 founders.clone(),
                 Timing::default(),
-                Kept { records },
+                RecoveredRecords { records },
                 Tally(0),
                 start,
             )
@@ -448,7 +448,7 @@
         })
         .collect();
     let mut notes: VecDeque<(Address, Address, Note)> = VecDeque::new();
-    for at in (10_000..20_000).step_by(25).map(Moment) {
+    for at in (10_000..20_000).step_by(25).map(MonotonicInstant) {
         let mut inputs: Vec<(usize, Input)> =
             (0..4).map(|place| (place, Input::ClockEvent)).collect();
         while let Some((place, input)) = inputs.pop() {
@@ -492,7 +492,7 @@
             } => Some(round),
             _ => None,
         };
-        tail.step(Moment(at), Input::ClockEvent)
+        tail.step(MonotonicInstant(at), Input::ClockEvent)
             .into_iter()
             .find_map(round)
             .expect("it asks")
@@ -504,9 +504,9 @@
         voter(3),
         founders,
         Timing::default(),
-        Kept { records },
+        RecoveredRecords { records },
         Tally(0),
-        Moment(13_000),
+        MonotonicInstant(13_000),
     )
     .unwrap();
     let round = asked(&mut tail, 13_500);
@@ -517,13 +517,13 @@
                 13_510,
                 n,
                 Note::LeaseGrant {
-                    view: ViewEpoch(1),
+                    view: ViewNumber(1),
                     round,
                     disk: DiskId(u128::from(n)),
                 },
             );
         }
-        tail.may_respond(Moment(13_510))
+        tail.may_respond(MonotonicInstant(13_510))
     };
     assert!(!grant_all(&mut tail, earlier));
     assert!(grant_all(&mut tail, round));
@@ -566,7 +566,7 @@
             address: Address::loopback(n),
             disk: self.disks[place],
         };
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: self.records[place].clone(),
         };
         let replica = Replica::new(
@@ -575,7 +575,7 @@
             self.timing,
             kept,
             Tally(0),
-            Moment(self.at),
+            MonotonicInstant(self.at),
         );
         self.replicas[place] = Some(replica.unwrap());
     }
@@ -604,7 +604,7 @@
         let deadline = self.at + span;
         while self.at < deadline {
             self.at += 25;
-            let at = Moment(self.at);
+            let at = MonotonicInstant(self.at);
             inputs.extend((0..self.replicas.len()).map(|place| (place, Input::ClockEvent)));
             while let Some((place, input)) = inputs.pop_front() {
                 let Some(replica) = &mut self.replicas[place] else {
@@ -648,7 +648,8 @@
     }
     /// Where a replica may respond: who votes and who sits in the chain there, and how many changes it holds.
     fn core(&self) -> Option<(Vec<u16>, Vec<u16>, u64)> {
-        let may_respond = |replica: &&Replica<Tally>| replica.may_respond(Moment(self.at));
+        let may_respond =
+            |replica: &&Replica<Tally>| replica.may_respond(MonotonicInstant(self.at));
         let tail = self.replicas.iter().flatten().find(may_respond)?;
         let sorted = |voters: &mut dyn Iterator<Item = Address>| {
             let mut ports: Vec<u16> = voters.map(|address| address.0.port()).collect();
@@ -757,18 +758,21 @@
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
     let mut alone = replica(1, records);
-    assert!(alone.is_serving(Moment(10_700)), "it has just begun");
-    assert!(!alone.is_serving(Moment(10_800)));
+    assert!(
+        alone.is_serving(MonotonicInstant(10_700)),
+        "it has just begun"
+    );
+    assert!(!alone.is_serving(MonotonicInstant(10_800)));
     tell(&mut alone, 11_000, 3, beat(3));
     assert!(
-        alone.is_serving(Moment(11_700)),
+        alone.is_serving(MonotonicInstant(11_700)),
         "it and another are two of three"
     );
-    assert!(!alone.is_serving(Moment(11_800)));
-    alone.step(Moment(20_000), Input::ClockEvent);
+    assert!(!alone.is_serving(MonotonicInstant(11_800)));
+    alone.step(MonotonicInstant(20_000), Input::ClockEvent);
     assert!(
-        alone.hears_majority(Moment(20_700)),
+        alone.hears_majority(MonotonicInstant(20_700)),
         "it slept, and nobody could be heard meanwhile"
     );
-    assert!(!alone.hears_majority(Moment(20_800)));
+    assert!(!alone.hears_majority(MonotonicInstant(20_800)));
 }
--- a/crates/replication/src/replica/tests/founding.rs
+++ b/crates/replication/src/replica/tests/founding.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::notes::{Note, Record, Ticket};
-use crate::replica::{Input, Kept, Output, Replica, Timing};
+use crate::replica::{Input, Output, RecoveredRecords, Replica, Timing};
 use crate::view::Voter;
-use types::{Address, DiskId, Moment};
+use types::{Address, DiskId, MonotonicInstant};
 
 /// Replicas that write at once and lose no letter but those to and from the `down`.
 struct Played {
@@ -27,12 +27,12 @@
             disk: DiskId(disk),
         };
         let known = known.iter().map(|n| Address::loopback(*n)).collect();
-        let now = Moment(self.at);
+        let now = MonotonicInstant(self.at);
         let replica = Replica::new(
             me,
             known,
             Timing::default(),
-            Kept { records },
+            RecoveredRecords { records },
             Tally(0),
             now,
         )
@@ -53,7 +53,7 @@
                 let Some(replica) = self.replicas.get_mut(&n) else {
                     continue;
                 };
-                for output in replica.step(Moment(self.at), input) {
+                for output in replica.step(MonotonicInstant(self.at), input) {
                     match output {
                         Output::Send { to, note } => {
                             inputs.push_back((
@@ -85,7 +85,7 @@
         newest
             .chain
             .iter()
-            .map(|seat| (seat.voter.address.0.port(), seat.voter.disk.0))
+            .map(|position| (position.voter.address.0.port(), position.voter.disk.0))
             .collect()
     }
 }
@@ -148,7 +148,7 @@
         body: vec![1],
     };
     let outputs = head.step(
-        Moment(10_100),
+        MonotonicInstant(10_100),
         Input::Note {
             from: Address::loopback(1),
             note: propose.clone(),
@@ -167,7 +167,7 @@
         },
     );
     let outputs = head.step(
-        Moment(10_200),
+        MonotonicInstant(10_200),
         Input::Written {
             id: id.expect("a write"),
         },
@@ -179,7 +179,7 @@
         "{outputs:?}"
     );
     let outputs = head.step(
-        Moment(10_300),
+        MonotonicInstant(10_300),
         Input::Note {
             from: Address::loopback(1),
             note: propose,
--- a/crates/replication/src/replica/tests/leaving.rs
+++ b/crates/replication/src/replica/tests/leaving.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::notes::{Note, Record};
 use crate::replica::{Input, Replica};
-use types::{Moment, ViewEpoch};
+use types::{MonotonicInstant, ViewNumber};
 
 /// The next view is decided by its own voters: most of them may never have given the tail their word.
 #[test]
@@ -17,12 +17,15 @@
     assert!(grant_all(&mut tail, 11_000));
     let mut next = view(2, &[(2, true), (3, true)]);
     tell(&mut tail, 11_050, 2, Note::Decided { view: next.clone() });
-    assert!(tail.may_respond(Moment(11_060)), "the same voters");
-    next.epoch = ViewEpoch(3);
+    assert!(
+        tail.may_respond(MonotonicInstant(11_060)),
+        "the same voters"
+    );
+    next.epoch = ViewNumber(3);
     next.voters = vec![voter(4), voter(2), voter(3)];
     tell(&mut tail, 11_070, 2, Note::Decided { view: next });
     assert!(
-        !tail.may_respond(Moment(11_080)),
+        !tail.may_respond(MonotonicInstant(11_080)),
         "of the voters 2, 3 and 4, only 3 is known to keep its word"
     );
     assert!(grant_all(&mut tail, 11_100));
@@ -31,7 +34,7 @@
 impl Core {
     fn leave(&mut self, n: u16) {
         let replica = self.replicas[usize::from(n) - 1].as_mut().expect("it runs");
-        replica.step(Moment(self.at), Input::Leave);
+        replica.step(MonotonicInstant(self.at), Input::Leave);
     }
     fn has_handed_over(&self, n: u16) -> bool {
         self.replicas[usize::from(n) - 1]
--- a/crates/replication/src/replica/tests/proposals.rs
+++ b/crates/replication/src/replica/tests/proposals.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::notes::{Ballot, Note, Record, Round};
 use crate::replica::{Input, Replica};
-use types::{DiskId, ViewEpoch};
+use types::{DiskId, ViewNumber};
 
 fn promise(n: u16, round: Round) -> Note {
     Note::Promise {
-        instance: ViewEpoch(2),
+        instance: ViewNumber(2),
         round,
         disk: DiskId(u128::from(n)),
         accepted: None,
@@ -21,7 +21,7 @@
             .view
             .chain
             .iter()
-            .map(|seat| seat.voter.address.0.port())
+            .map(|position| position.voter.address.0.port())
             .collect()
     };
     let accepts = sent.iter().filter_map(|(to, note)| match note {
@@ -101,7 +101,7 @@
     };
     let accepted = Some(before);
     let note = Note::Promise {
-        instance: ViewEpoch(2),
+        instance: ViewNumber(2),
         round,
         disk: DiskId(2),
         accepted,
--- a/crates/replication/src/replica/tests/restart.rs
+++ b/crates/replication/src/replica/tests/restart.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::notes::{Note, Record};
-use crate::replica::{Input, Kept, KeptFault, Output, Replica, Timing};
-use types::{Address, Moment, Seq, ViewEpoch};
+use crate::replica::{Input, Output, RecoveredRecords, RecoveryError, Replica, Timing};
+use types::{Address, MonotonicInstant, SequenceNumber, ViewNumber};
 use yare::parameterized;
 
 fn snapshot(last: u64) -> Record {
     Record::Snapshot {
-        last: Seq(last),
-        stamp: ViewEpoch(1),
+        last: SequenceNumber(last),
+        stamp: ViewNumber(1),
         body: last.to_be_bytes().to_vec(),
     }
 }
@@ -40,7 +40,7 @@
     let replica = replica(2, records);
     assert_eq!(
         (replica.state_machine(), replica.state().last),
-        (&Tally(40), Seq(40))
+        (&Tally(40), SequenceNumber(40))
     );
 }
 
@@ -53,11 +53,11 @@
         voter(1),
         vec![],
         Timing::default(),
-        Kept { records },
+        RecoveredRecords { records },
         Tally(0),
-        Moment(0),
+        MonotonicInstant(0),
     );
-    assert_eq!(made.err(), Some(KeptFault::Gap(Seq(from))));
+    assert_eq!(made.err(), Some(RecoveryError::Gap(SequenceNumber(from))));
 }
 
 /// A log older than its snapshot ends before it: what comes next follows the snapshot, not the log.
@@ -73,13 +73,13 @@
     let replica = replica(2, records);
     assert_eq!(
         (replica.state_machine(), replica.state().last),
-        (&Tally(40), Seq(40))
+        (&Tally(40), SequenceNumber(40))
     );
     assert!(
         replica
             .log
             .back()
-            .is_none_or(|newest| newest.seq == Seq(40)),
+            .is_none_or(|newest| newest.seq == SequenceNumber(40)),
         "its log ends at {:?}",
         replica.log.back()
     );
@@ -98,14 +98,14 @@
     );
     let from_tail = |behind: &mut Replica<Tally>, note: Note| {
         behind.step(
-            Moment(10_000),
+            MonotonicInstant(10_000),
             Input::Note {
                 from: Address::loopback(2),
                 note,
             },
         )
     };
-    let (last, stamp) = (Seq(40), ViewEpoch(1));
+    let (last, stamp) = (SequenceNumber(40), ViewNumber(1));
     from_tail(
         &mut behind,
         Note::SnapshotOffer {
@@ -143,21 +143,23 @@
         })
     };
     assert!(
-        !asks(behind.step(Moment(10_100), Input::ClockEvent)),
+        !asks(behind.step(MonotonicInstant(10_100), Input::ClockEvent)),
         "the snapshot isn't synced"
     );
     behind.step(
-        Moment(10_150),
+        MonotonicInstant(10_150),
         Input::Written {
             id: written.expect("it writes the snapshot"),
         },
     );
-    assert!(asks(behind.step(Moment(10_300), Input::ClockEvent)));
+    assert!(asks(
+        behind.step(MonotonicInstant(10_300), Input::ClockEvent)
+    ));
 }
 
 /// The same: its predecessor took the number of its last change for the change.
 #[parameterized(same_change = { 2, true }, another_change_of_that_number = { 1, false })]
-fn a_successor_is_level_only_on_the_same_history(stamp: u64, is_level: bool) {
+fn a_successor_is_level_only_on_the_same_history(stamp: u64, is_caught_up: bool) {
     let mut records = vec![Record::View {
         view: view(2, &[(1, true), (2, false)]),
     }];
@@ -165,21 +167,21 @@
         change: change(seq, 2),
     }));
     let mut head = replica(1, records);
-    let beat = Note::Beat {
+    let beat = Note::Heartbeat {
         disk: voter(2).disk,
-        view: ViewEpoch(2),
-        last: Seq(3),
-        stamp: ViewEpoch(stamp),
-        replied: Seq(0),
-        is_level: false,
-        is_sound: true,
+        view: ViewNumber(2),
+        last: SequenceNumber(3),
+        stamp: ViewNumber(stamp),
+        replied: SequenceNumber(0),
+        is_caught_up: false,
+        is_healthy: true,
         has_members: true,
     };
     let sent = tell(&mut head, 10_050, 2, beat);
     assert_eq!(
         sent.iter()
             .any(|(_, note)| matches!(note, Note::Level { .. })),
-        is_level
+        is_caught_up
     );
-    assert_eq!(head.has_diverged(&voter(2)), !is_level);
+    assert_eq!(head.has_diverged(&voter(2)), !is_caught_up);
 }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,4 +1,4 @@
-use types::{Address, DiskId, ViewEpoch, messages};
+use types::{Address, DiskId, ViewNumber, messages};
 
 messages! {
     /// Who votes: an address together with one disk's contents.
@@ -12,12 +12,12 @@
 
     /// One place in the chain.
     #[derive(Copy, Eq, Hash)]
-    pub struct Seat {
+    pub struct ChainPosition {
         /// Who sits there.
         pub voter: Voter,
         /// Whether it is agreed to hold every change that was ever replied. A newcomer's seat
         /// becomes level by a later view.
-        pub is_level: bool,
+        pub is_caught_up: bool,
     }
 
     /// Who forms the chain, in order from head to tail, and who votes on the next view.
@@ -28,9 +28,9 @@
     #[derive(Eq, Hash)]
     pub struct View {
         /// Its number.
-        pub epoch: ViewEpoch,
+        pub epoch: ViewNumber,
         /// From head to tail.
-        pub chain: Vec<Seat>,
+        pub chain: Vec<ChainPosition>,
         /// Whose majority decides the next view.
         pub voters: Vec<Voter>,
     }
@@ -40,26 +40,26 @@
     /// Before the founding: nobody.
     pub fn none() -> View {
         View {
-            epoch: ViewEpoch(0),
+            epoch: ViewNumber(0),
             chain: vec![],
             voters: vec![],
         }
     }
     /// Where changes enter.
     pub fn head(&self) -> Option<Voter> {
-        self.chain.first().map(|seat| seat.voter)
+        self.chain.first().map(|position| position.voter)
     }
     /// Where answers leave.
     pub fn tail(&self) -> Option<Voter> {
-        self.chain.last().map(|seat| seat.voter)
+        self.chain.last().map(|position| position.voter)
     }
     /// This voter's seat.
-    pub fn seat(&self, voter: &Voter) -> Option<&Seat> {
-        self.chain.iter().find(|seat| seat.voter == *voter)
+    pub fn position(&self, voter: &Voter) -> Option<&ChainPosition> {
+        self.chain.iter().find(|position| position.voter == *voter)
     }
     /// Whether this voter sits in the chain.
     pub fn seats(&self, voter: &Voter) -> bool {
-        self.seat(voter).is_some()
+        self.position(voter).is_some()
     }
     /// Whether this voter votes.
     pub fn has_voter(&self, voter: &Voter) -> bool {
@@ -67,13 +67,21 @@
     }
     /// Who comes after it in the chain.
     pub fn successor(&self, voter: &Voter) -> Option<Voter> {
-        let place = self.chain.iter().position(|seat| seat.voter == *voter)?;
-        self.chain.get(place + 1).map(|seat| seat.voter)
+        let place = self
+            .chain
+            .iter()
+            .position(|position| position.voter == *voter)?;
+        self.chain.get(place + 1).map(|position| position.voter)
     }
     /// Who comes before it in the chain.
     pub fn predecessor(&self, voter: &Voter) -> Option<Voter> {
-        let place = self.chain.iter().position(|seat| seat.voter == *voter)?;
-        self.chain.get(place.checked_sub(1)?).map(|seat| seat.voter)
+        let place = self
+            .chain
+            .iter()
+            .position(|position| position.voter == *voter)?;
+        self.chain
+            .get(place.checked_sub(1)?)
+            .map(|position| position.voter)
     }
     /// How many voters are more than half.
     pub fn majority(&self) -> usize {
@@ -96,12 +104,12 @@
         let has_level = next
             .chain
             .iter()
-            .any(|s| self.seat(&s.voter).is_some_and(|old| old.is_level));
+            .any(|s| self.position(&s.voter).is_some_and(|old| old.is_caught_up));
         let are_newcomers_last = next
             .chain
             .iter()
             .skip(kept.len())
-            .all(|s| !self.seats(&s.voter) && !s.is_level);
+            .all(|s| !self.seats(&s.voter) && !s.is_caught_up);
         let is_each_once = next
             .chain
             .iter()
--- a/crates/replication/src/view/tests.rs
+++ b/crates/replication/src/view/tests.rs
@@ -1,5 +1,5 @@
-use crate::view::{Seat, View, Voter};
-use types::{Address, DiskId, ViewEpoch};
+use crate::view::{ChainPosition, View, Voter};
+use types::{Address, DiskId, ViewNumber};
 use yare::parameterized;
 
 fn voter(n: u16) -> Voter {
@@ -10,12 +10,12 @@
 }
 fn view(epoch: u64, chain: &[(u16, bool)], voters: &[u16]) -> View {
     View {
-        epoch: ViewEpoch(epoch),
+        epoch: ViewNumber(epoch),
         chain: chain
             .iter()
-            .map(|(n, is_level)| Seat {
+            .map(|(n, is_caught_up)| ChainPosition {
                 voter: voter(*n),
-                is_level: *is_level,
+                is_caught_up: *is_caught_up,
             })
             .collect(),
         voters: voters.iter().map(|n| voter(*n)).collect(),
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -4,8 +4,10 @@
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
 
-use replication::{Ballot, Change, LeaseStatus, Record, Round, Seat, Ticket, Timing, View, Voter};
-use types::{Address, DiskId, Seq, ViewEpoch};
+use replication::{
+    Ballot, ChainPosition, Change, LeaseStatus, Record, Round, Ticket, Timing, View, Voter,
+};
+use types::{Address, DiskId, SequenceNumber, ViewNumber};
 
 variant_names!(ALL_RECORDS, record_name(Record) {
     Record::Promised { .. } => "Promised",
@@ -20,13 +22,17 @@
         address: Address::loopback(port),
         disk: DiskId(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f00 + u128::from(port)),
     };
-    let seat = |port: u16, is_level: bool| Seat {
+    let position = |port: u16, is_caught_up: bool| ChainPosition {
         voter: voter(port),
-        is_level,
+        is_caught_up,
     };
     View {
-        epoch: ViewEpoch(7),
-        chain: vec![seat(7101, true), seat(7102, true), seat(7103, false)],
+        epoch: ViewNumber(7),
+        chain: vec![
+            position(7101, true),
+            position(7102, true),
+            position(7103, false),
+        ],
         voters: vec![voter(7101), voter(7102), voter(7103)],
     }
 }
@@ -38,7 +44,7 @@
     };
     vec![
         Record::Promised {
-            instance: ViewEpoch(8),
+            instance: ViewNumber(8),
             round,
         },
         Record::Accepted {
@@ -50,8 +56,8 @@
         Record::View { view: view() },
         Record::Change {
             change: Change {
-                seq: Seq(13),
-                stamp: ViewEpoch(7),
+                seq: SequenceNumber(13),
+                stamp: ViewNumber(7),
                 ticket: Ticket {
                     origin: Address::loopback(7104),
                     number: 0x1122_3344_5566_7788,
@@ -60,8 +66,8 @@
             },
         },
         Record::Snapshot {
-            last: Seq(12),
-            stamp: ViewEpoch(6),
+            last: SequenceNumber(12),
+            stamp: ViewNumber(6),
             body: b"the state machine's own snapshot".to_vec(),
         },
     ]
--- a/crates/router/src/errand.rs
+++ b/crates/router/src/attempts.rs
@@ -1,12 +1,12 @@
-use crate::chart::{Chart, ChartInput, ChartOutput, Failure};
-use crate::node::{Denial, Placing};
-use types::{ResultCode, ServerName, Span};
+use crate::node::{Placement, Rejection};
+use crate::request_state::{Failure, RequestInput, RequestOutput, RequestStateMachine};
+use types::{Milliseconds, ResultCode, ServerName};
 
 /// What an errand is told.
 #[derive(Debug, Clone)]
-pub enum ErrandInput {
+pub enum AttemptInput {
     /// The scheduler's word on where it goes.
-    Scheduler(Result<Placing, Denial>),
+    Scheduler(Result<Placement, Rejection>),
     /// The node may not act at this moment.
     LoseLease,
     /// A newer epoch is in force than the one under which it was placed; no byte has left.
@@ -21,7 +21,7 @@
 
 /// What an errand wants done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ErrandOutput {
+pub enum AttemptOutput {
     /// Ask the scheduler for a server.
     AskScheduler {
         /// Zero the first time.
@@ -32,11 +32,11 @@
         may_have_run: bool,
     },
     /// Ask this server.
-    AskServer(Placing),
+    AskServer(Placement),
     /// A server has it: carry its answer.
-    Carry(Placing),
+    Carry(Placement),
     /// Tell the client this, at once, as the final answer.
-    Tell(Denial),
+    Tell(Rejection),
     /// Cut the client's connection: it must not take the answer for whole.
     Cut(String),
 }
@@ -46,105 +46,105 @@
 ///
 /// Invariants: those of its [`Chart`]. Each server is asked at most once.
 #[derive(Debug, Clone)]
-pub struct Errand {
-    chart: Chart,
-    placed: Option<Placing>,
+pub struct AttemptSequence {
+    request_state: RequestStateMachine,
+    placed: Option<Placement>,
     tried: Vec<ServerName>,
     why: String,
-    retry_after: Span,
+    retry_after: Milliseconds,
 }
 
-impl Errand {
+impl AttemptSequence {
     /// For a request that was read; says what is to be done first.
-    pub fn begin() -> (Errand, ErrandOutput) {
-        Self::begin_with(Chart::default())
+    pub fn begin() -> (AttemptSequence, AttemptOutput) {
+        Self::begin_with(RequestStateMachine::default())
     }
     /// For one that at most this many servers may get.
-    pub fn begin_bounded(most: u32) -> (Errand, ErrandOutput) {
-        Self::begin_with(Chart::bounded(most))
+    pub fn begin_bounded(most: u32) -> (AttemptSequence, AttemptOutput) {
+        Self::begin_with(RequestStateMachine::bounded(most))
     }
-    fn begin_with(mut chart: Chart) -> (Errand, ErrandOutput) {
-        chart.step(ChartInput::Admit);
-        let errand = Errand {
-            chart,
+    fn begin_with(mut request_state: RequestStateMachine) -> (AttemptSequence, AttemptOutput) {
+        request_state.step(RequestInput::Admit);
+        let attempts = AttemptSequence {
+            request_state,
             placed: None,
             tried: vec![],
             why: String::new(),
-            retry_after: Span(0),
+            retry_after: Milliseconds(0),
         };
-        let first = errand.ask_scheduler();
-        (errand, first)
+        let first = attempts.ask_scheduler();
+        (attempts, first)
     }
     /// Its chart.
-    pub fn chart(&self) -> &Chart {
-        &self.chart
+    pub fn request_state(&self) -> &RequestStateMachine {
+        &self.request_state
     }
     /// What happens to the answer that a server gives.
-    pub fn carried(&mut self, input: ChartInput) -> ChartOutput {
-        self.chart.step(input)
+    pub fn carried(&mut self, input: RequestInput) -> RequestOutput {
+        self.request_state.step(input)
     }
 
     /// Takes an input in; gives what is to be done.
-    pub fn step(&mut self, input: ErrandInput) -> ErrandOutput {
+    pub fn step(&mut self, input: AttemptInput) -> AttemptOutput {
         let output = match input {
-            ErrandInput::Scheduler(Ok(placing)) => {
+            AttemptInput::Scheduler(Ok(placing)) => {
                 let may_repeat = placing.may_repeat;
                 self.placed = Some(placing);
-                self.chart.step(ChartInput::Place { may_repeat })
+                self.request_state.step(RequestInput::Place { may_repeat })
             }
-            ErrandInput::Scheduler(Err(denial)) => {
+            AttemptInput::Scheduler(Err(rejection)) => {
                 // The first word on why counts: that no further server was found says less.
                 if self.why.is_empty() {
-                    self.why = denial.why;
+                    self.why = rejection.why;
                 }
-                self.retry_after = denial.retry_after;
-                self.chart.step(ChartInput::Deny(denial.code))
+                self.retry_after = rejection.retry_after;
+                self.request_state.step(RequestInput::Deny(rejection.code))
             }
-            ErrandInput::LoseLease => {
+            AttemptInput::LoseLease => {
                 self.why = "this node's lease ran out before the request was sent".into();
-                self.chart.step(ChartInput::LoseLease)
+                self.request_state.step(RequestInput::LoseLease)
             }
-            ErrandInput::Supersede => self.chart.step(ChartInput::Supersede),
-            ErrandInput::Open => self.chart.step(ChartInput::Open),
-            ErrandInput::Fail(failure, why) => {
+            AttemptInput::Supersede => self.request_state.step(RequestInput::Supersede),
+            AttemptInput::Open => self.request_state.step(RequestInput::Open),
+            AttemptInput::Fail(failure, why) => {
                 self.why = why;
                 self.tried
                     .extend(self.placed.as_ref().map(|placing| placing.server.clone()));
-                self.chart.step(ChartInput::Fail(failure))
+                self.request_state.step(RequestInput::Fail(failure))
             }
-            ErrandInput::Tear(why) => {
+            AttemptInput::Tear(why) => {
                 self.why = why;
                 self.tried
                     .extend(self.placed.as_ref().map(|placing| placing.server.clone()));
-                self.chart.step(ChartInput::Tear)
+                self.request_state.step(RequestInput::Tear)
             }
         };
         match (output, &self.placed) {
-            (ChartOutput::AskScheduler, _) => self.ask_scheduler(),
-            (ChartOutput::AskServer, Some(placing)) => ErrandOutput::AskServer(placing.clone()),
-            (ChartOutput::Carry, Some(placing)) => ErrandOutput::Carry(placing.clone()),
-            (ChartOutput::Tell(code), _) => self.tell(code),
-            (ChartOutput::Cut, _) => ErrandOutput::Cut(self.why.clone()),
+            (RequestOutput::AskScheduler, _) => self.ask_scheduler(),
+            (RequestOutput::AskServer, Some(placing)) => AttemptOutput::AskServer(placing.clone()),
+            (RequestOutput::Carry, Some(placing)) => AttemptOutput::Carry(placing.clone()),
+            (RequestOutput::Tell(code), _) => self.tell(code),
+            (RequestOutput::Cut, _) => AttemptOutput::Cut(self.why.clone()),
             // Nothing else comes of these inputs; were it so, nobody could say what ran.
             _ => self.tell(ResultCode::Unknown),
         }
     }
 
-    fn ask_scheduler(&self) -> ErrandOutput {
+    fn ask_scheduler(&self) -> AttemptOutput {
         let (round, tried, may_have_run) = (
-            self.chart.rounds(),
+            self.request_state.rounds(),
             self.tried.clone(),
-            self.chart.may_have_run(),
+            self.request_state.may_have_run(),
         );
-        ErrandOutput::AskScheduler {
+        AttemptOutput::AskScheduler {
             round,
             tried,
             may_have_run,
         }
     }
 
-    fn tell(&self, code: ResultCode) -> ErrandOutput {
-        ErrandOutput::Tell(Denial {
+    fn tell(&self, code: ResultCode) -> AttemptOutput {
+        AttemptOutput::Tell(Rejection {
             code,
             why: self.why.clone(),
             retry_after: self.retry_after,
--- a/crates/router/src/authorization.rs
+++ b/crates/router/src/authorization.rs
@@ -1,10 +1,10 @@
 //! Which tenant a request is of: by its API key, under the plan in force.
 
-use crate::node::Denial;
+use crate::node::Rejection;
 use config::{KeyDigest, QuotaUnit, TenantPlan, TenantTable};
-use placement::Demand;
+use placement::RequestCost;
 use quota::{Amount, QuotaLimit};
-use types::{ApiKey, ResultCode, Span};
+use types::{ApiKey, Milliseconds, ResultCode};
 
 /// What of a tenant is needed to let a request in.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     tenants: &TenantTable,
     is_public: bool,
     key: Option<&ApiKey>,
-) -> Result<Option<Credentials>, Denial> {
+) -> Result<Option<Credentials>, Rejection> {
     if tenants.is_empty() || is_public {
         return Ok(None);
     }
@@ -35,12 +35,12 @@
 }
 
 /// The final answer to a request whose key the plan in force doesn't know.
-pub(crate) fn unauthorized() -> Denial {
+pub(crate) fn unauthorized() -> Rejection {
     let why = "no tenant of the plan in force has this API key".to_owned();
-    Denial {
+    Rejection {
         code: ResultCode::Unauthorized,
         why,
-        retry_after: Span(0),
+        retry_after: Milliseconds(0),
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 /// What a request takes of its tenant's quota.
-pub(crate) fn quota_amount(tenant: &TenantPlan, demand: &Demand) -> Amount {
+pub(crate) fn quota_amount(tenant: &TenantPlan, demand: &RequestCost) -> Amount {
     let told = u64::from(demand.prompt_tokens) + u64::from(demand.output_tokens);
     match tenant.quota_unit {
         QuotaUnit::Request => Amount::units(1),
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,9 +1,9 @@
-use crate::judgement::{AnswerClaim, AnswerIdentity};
-use crate::node::Denial;
+use crate::node::Rejection;
+use crate::response_validation::{AnswerIdentity, ClaimedIdentity};
 use bytes::Bytes;
-use placement::{Demand, PrefixHash, ServerEntry};
+use placement::{PrefixHash, RequestCost, ServerEntry};
 use transport::{Request, Response};
-use types::{ApiKey, RequestId, ServerName, Span, TenantName};
+use types::{ApiKey, Milliseconds, RequestId, ServerName, TenantName};
 
 /// A client's request as the product knows it, whatever it was spoken in.
 #[derive(Debug, Clone)]
@@ -23,13 +23,13 @@
     /// The body, whole.
     pub body: Bytes,
     /// How long the client waits from now on.
-    pub left: Span,
+    pub left: Milliseconds,
     /// A stream is to go on behind this piece.
     pub after: Option<u64>,
     /// Hashes of the prompt's parts, each with all before it.
     pub hashes: Vec<PrefixHash>,
     /// What it asks of a server.
-    pub demand: Demand,
+    pub demand: RequestCost,
 }
 
 impl Call {
@@ -45,7 +45,7 @@
     /// To this one; another one at its address must not run it.
     pub server: &'a ServerName,
     /// What is left of the client's patience.
-    pub left: Span,
+    pub left: Milliseconds,
     /// A stream is to go on behind this piece.
     pub after: Option<u64>,
     /// Its class among those that wait there: 0 goes first, 9 last.
@@ -80,15 +80,15 @@
 /// keeps nothing.
 pub trait CallDialect: Send + Sync + 'static {
     /// A client's request.
-    fn read(&self, request: Request) -> Result<Call, Denial>;
+    fn read(&self, request: Request) -> Result<Call, Rejection>;
     /// Tells a client that its request goes nowhere.
-    fn refuse(&self, id: Option<&RequestId>, denial: &Denial) -> Response;
+    fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response;
     /// The request to a server.
     fn request(&self, call: &Call, sending: &Sending<'_>) -> http::Request<Bytes>;
     /// Whose answer a server's head says that it is.
     fn identity(&self, call: &Call, head: &http::response::Parts) -> AnswerIdentity;
     /// What a server's head claims, whoever the answer belongs to.
-    fn claim(&self, head: &http::response::Parts) -> AnswerClaim;
+    fn claim(&self, head: &http::response::Parts) -> ClaimedIdentity;
     /// The load that a head tells, if it does.
     fn load(&self, head: &http::response::Parts) -> Option<ServerLoad>;
     /// What of a server's head goes on to the client.
--- a/crates/router/src/call_limits.rs
+++ b/crates/router/src/call_limits.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use transport::{GateLimiter, GateLimits, Lines, RequestLimits};
-use types::{ServiceName, Span};
+use transport::{ConnectionPool, HttpServerLimiter, HttpServerLimits, RequestLimits};
+use types::{Milliseconds, ServiceName};
 
 /// Connections of one node to one server, idle ones among them, whatever a plan allows.
 pub(crate) const MOST_TO_ONE_SERVER: usize = 64;
@@ -19,8 +19,8 @@
 /// Invariant: this node has no more connections open to a server, idle ones included, than its share, but
 /// for those that were in use when the share became smaller; they are closed once they are free.
 pub(crate) struct CallLimits {
-    limiter: GateLimiter,
-    lines: Lines,
+    limiter: HttpServerLimiter,
+    lines: ConnectionPool,
     members: AtomicUsize,
     held: Mutex<Held>,
     #[cfg(test)]
@@ -60,7 +60,7 @@
 
 impl CallLimits {
     /// For a gate of clients and the connections to servers.
-    pub fn new(limiter: GateLimiter, lines: Lines) -> Self {
+    pub fn new(limiter: HttpServerLimiter, lines: ConnectionPool) -> Self {
         CallLimits {
             limiter,
             lines,
@@ -78,13 +78,13 @@
     /// Another plan is in force.
     pub fn take_plan(&self, plan: &Plan) {
         let bounds = &plan.bounds;
-        self.limiter.set(GateLimits {
+        self.limiter.set(HttpServerLimits {
             request: RequestLimits {
                 header_bytes: bounds.max_header_bytes as usize,
                 body_bytes: bounds.max_body_bytes as usize,
             },
-            head_span: Span(bounds.header_read_ms),
-            idle_span: Span(bounds.idle_timeout_ms),
+            head_span: Milliseconds(bounds.header_read_ms),
+            idle_span: Milliseconds(bounds.idle_timeout_ms),
         });
         let accepted = |(name, service): (&String, &ServicePlan)| {
             (name.as_str().into(), service.connections as usize)
--- a/crates/router/src/call_limits/tests.rs
+++ b/crates/router/src/call_limits/tests.rs
@@ -1,12 +1,15 @@
 use super::*;
 use bytes::Bytes;
 use config::{Plan, parse_plan};
-use transport::{Gate, GateBounds, Line, LineError, Lines, LinesBounds, Response, Waits};
-use types::{Address, Clock, Span};
+use transport::{
+    ConnectionError, ConnectionPool, ConnectionPoolBounds, HttpServer, HttpServerBounds, Line,
+    Response, Waits,
+};
+use types::{Address, Clock, Milliseconds};
 use yare::parameterized;
 
 /// Nothing is judged by it: it ends a test that would hang.
-const GUARD: Span = Span::seconds(30);
+const GUARD: Milliseconds = Milliseconds::seconds(30);
 
 #[parameterized(
     small_site = { 650, 12 },
@@ -50,15 +53,16 @@
 
 impl Server {
     fn start() -> Server {
-        let bounds = GateBounds {
+        let bounds = HttpServerBounds {
             keep_alive: true,
-            ..GateBounds::default()
+            ..HttpServerBounds::default()
         };
-        let gate = Gate::open("127.0.0.1:0".parse().expect("an address"), bounds).expect("a port");
-        let address = gate.address().0;
+        let http_server =
+            HttpServer::open("127.0.0.1:0".parse().expect("an address"), bounds).expect("a port");
+        let address = http_server.address().0;
         let (work, at_work) = flume::unbounded();
         std::thread::spawn(move || {
-            gate.serve(move |_| {
+            http_server.serve(move |_| {
                 let (release, released) = flume::bounded::<()>(1);
                 let _ = work.send(release);
                 let _ = released.recv_timeout(GUARD.duration());
@@ -69,7 +73,7 @@
     }
 }
 
-fn ask(lines: &Lines, address: SocketAddr) -> Result<Line, LineError> {
+fn ask(lines: &ConnectionPool, address: SocketAddr) -> Result<Line, ConnectionError> {
     let request = http::Request::builder()
         .uri("/")
         .header("host", "a")
@@ -89,13 +93,13 @@
     parse_plan(plan.to_string().as_bytes()).expect("a good plan")
 }
 
-fn limits(mutant: Option<LimitsMutant>) -> (CallLimits, Lines) {
-    let gate = Gate::open(
+fn limits(mutant: Option<LimitsMutant>) -> (CallLimits, ConnectionPool) {
+    let http_server = HttpServer::open(
         "127.0.0.1:0".parse().expect("an address"),
-        GateBounds::default(),
+        HttpServerBounds::default(),
     )
     .expect("a port");
-    let lines = Lines::new(LinesBounds {
+    let lines = ConnectionPool::new(ConnectionPoolBounds {
         per_address: 64,
         idle_per_address: 32,
         idle_span: GUARD,
@@ -103,14 +107,18 @@
     (
         CallLimits {
             mutant,
-            ..CallLimits::new(gate.limiter(), lines.clone())
+            ..CallLimits::new(http_server.limiter(), lines.clone())
         },
         lines,
     )
 }
 
 /// Asks so often at the same time; the requests are answered once all that could be sent have come.
-fn ask_at_once(lines: &Lines, server: &Server, count: usize) -> Vec<Result<Line, LineError>> {
+fn ask_at_once(
+    lines: &ConnectionPool,
+    server: &Server,
+    count: usize,
+) -> Vec<Result<Line, ConnectionError>> {
     let asking: Vec<_> = (0..count)
         .map(|_| {
             let (lines, address) = (lines.clone(), server.address);
@@ -143,7 +151,8 @@
     limits.hold(server.address, &"s".into());
     // 15 over 4 members and one that may be joining.
     let outcomes = ask_at_once(&lines, &server, 8);
-    let is_full = |outcome: &&Result<Line, LineError>| matches!(outcome, Err(LineError::Full));
+    let is_full =
+        |outcome: &&Result<Line, ConnectionError>| matches!(outcome, Err(ConnectionError::Full));
     outcomes.iter().filter(is_full).count() == 5 && lines.open_count(server.address) == 3
 }
 
--- a/crates/router/src/carrier.rs
+++ b/crates/router/src/carrier.rs
@@ -1,13 +1,13 @@
 //! Carries one request from its client to a server and the answer back.
 
-use crate::chart::Failure;
+use crate::attempts::AttemptOutput;
 use crate::control_event::ControlEvent;
-use crate::errand::ErrandOutput;
 use crate::interface::{ClientRequest, LIFE_HEADER, ResumeRequest, RunRequest};
-use crate::node::{NodeInput, Placing, resume_id};
-use crate::piece_reader::{Passed, PieceReader};
+use crate::metrics::Metrics;
+use crate::node::{NodeInput, Placement, resume_id};
+use crate::piece_reader::{ChunkReader, Passed};
+use crate::request_state::Failure;
 use crate::shared::{Place, Shared, silence};
-use crate::tallies::Tallies;
 use crate::token::Token;
 use crate::trip::{Gone, NotTaken, Trip, Wanted};
 use config::ServiceKind;
@@ -17,23 +17,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use transport::{
-    Ask, AskError, Heard, PieceSource, Pull, Response, ask_delete, read_all, read_page,
+    Ask, Heard, HttpClientError, PieceSource, Pull, Response, http_delete, read_all, read_page,
 };
-use types::{ApiKey, RequestId, ResultCode, RunId, ServerName, ServiceName, Span};
+use types::{ApiKey, Milliseconds, RequestId, ResultCode, RunId, ServerName, ServiceName};
 
-const CONNECT: Span = Span(400);
+const CONNECT: Milliseconds = Milliseconds(400);
 /// A server that has a run begins to give it within this.
-const RESUME_HEAD: Span = Span(2000);
+const RESUME_HEAD: Milliseconds = Milliseconds(2000);
 const LINE: u64 = 1 << 20;
 
 /// What asking servers came to.
 enum Asked<T> {
-    Opened(Placing, T),
+    RecoveredStorage(Placement, T),
     Told(Response),
 }
 
 /// What became of asking one server: what it gave, or how that failed and why.
-fn opened(placing: &Placing, outcome: Result<Heard, AskError>) -> Result<Heard, NotTaken> {
+fn opened(placing: &Placement, outcome: Result<Heard, HttpClientError>) -> Result<Heard, NotTaken> {
     let why = |reason: String| format!("server {}: {reason}", placing.server);
     match outcome {
         Ok(response) if response.status() == 200 => Ok(response),
@@ -45,27 +45,33 @@
                 Refusal::Unclear => NotTaken::Failed(Failure::Unknown, reason),
             })
         }
-        Err(AskError::Withheld) => Err(NotTaken::Withheld),
-        Err(AskError::Unsent(reason)) => Err(NotTaken::Failed(Failure::Unsent, why(reason))),
-        Err(AskError::Unknown(reason)) => Err(NotTaken::Failed(Failure::Unknown, why(reason))),
+        Err(HttpClientError::Withheld) => Err(NotTaken::Withheld),
+        Err(HttpClientError::Unsent(reason)) => Err(NotTaken::Failed(Failure::Unsent, why(reason))),
+        Err(HttpClientError::Unknown(reason)) => {
+            Err(NotTaken::Failed(Failure::Unknown, why(reason)))
+        }
     }
 }
 
 /// Finds a server that takes the request, going on to others as far as the errand allows.
 fn ask_servers<T>(
     trip: &mut Trip,
-    first: ErrandOutput,
-    ask: impl Fn(&Placing) -> Result<T, NotTaken>,
+    first: AttemptOutput,
+    ask: impl Fn(&Placement) -> Result<T, NotTaken>,
 ) -> Asked<T> {
     match trip.go(first, |placing, _| ask(placing)) {
-        Gone::Opened(placing, heard) => Asked::Opened(placing, heard),
-        Gone::Told(denial) => Asked::Told(trip.shared.refusal(
-            denial.code,
-            denial.why,
-            denial.retry_after,
+        Gone::RecoveredStorage(placing, heard) => Asked::RecoveredStorage(placing, heard),
+        Gone::Told(rejection) => Asked::Told(trip.shared.refusal(
+            rejection.code,
+            rejection.why,
+            rejection.retry_after,
         )),
         // Only a stream that was carried is ever cut.
-        Gone::Cut(why) => Asked::Told(trip.shared.refusal(ResultCode::Unknown, why, Span(0))),
+        Gone::Cut(why) => Asked::Told(trip.shared.refusal(
+            ResultCode::Unknown,
+            why,
+            Milliseconds(0),
+        )),
     }
 }
 
@@ -95,42 +101,46 @@
     body: &[u8],
     api_key: Option<&ApiKey>,
 ) -> Response {
-    Tallies::more(&shared.tallies.received);
+    Metrics::more(&shared.metrics.received);
     let request: ClientRequest = match serde_json::from_slice(body) {
         Ok(request) => request,
-        Err(fault) => return shared.refusal(ResultCode::BadRequest, fault.to_string(), Span(0)),
+        Err(fault) => {
+            return shared.refusal(ResultCode::BadRequest, fault.to_string(), Milliseconds(0));
+        }
     };
-    if !request.id.is_sound() || !request.service.is_sound() || request.max_pieces == 0 {
+    if !request.id.is_healthy() || !request.service.is_healthy() || request.max_pieces == 0 {
         let why =
             "id and service are 1 to 64 letters, digits or any of -_.:, max_pieces is at least 1";
-        return shared.refusal(ResultCode::BadRequest, why.into(), Span(0));
+        return shared.refusal(ResultCode::BadRequest, why.into(), Milliseconds(0));
     }
     let key = match shared.authorize(api_key) {
         Ok(key) => key,
-        Err(denial) => return shared.refusal(denial.code, denial.why, denial.retry_after),
+        Err(rejection) => {
+            return shared.refusal(rejection.code, rejection.why, rejection.retry_after);
+        }
     };
     let Some(place) = shared.take_place(request.id.clone(), shared.next_number()) else {
         return shared.refusal(
             ResultCode::Busy,
             "this node is at its bound of requests".into(),
-            Span(1000),
+            Milliseconds(1000),
         );
     };
     let hashes = block_hashes(request.prompt.as_bytes(), shared.block_bytes, 256);
     let wanted = Wanted::of_service(request.service.clone(), ServiceKind::Stream, key, hashes);
     let (mut trip, first) = Trip::new(place, wanted, None);
     let (stall, prompt) = (shared.stall, request.prompt);
-    let ask = |placing: &Placing| {
+    let ask = |placing: &Placement| {
         let run = RunRequest {
             run: placing.run.clone(),
             service: request.service.clone(),
             prompt: prompt.clone(),
             max_pieces: request.max_pieces,
             keep: placing.token.is_some(),
-            life: placing.life,
+            incarnation: placing.incarnation,
         };
         let body = serde_json::to_vec(&run).expect("a run request is JSON");
-        let patience = Span(stall.0.min(placing.first_token.0 * 2 + 1000));
+        let patience = Milliseconds(stall.0.min(placing.first_token.0 * 2 + 1000));
         let (sharing, epoch) = (shared.clone(), placing.epoch);
         let asked = Ask::post(body)
             .connect(CONNECT)
@@ -143,14 +153,14 @@
     };
     match ask_servers(&mut trip, first, ask) {
         Asked::Told(answer) => answer,
-        Asked::Opened(placing, response) => {
+        Asked::RecoveredStorage(placing, response) => {
             let mut head = serde_json::json!({"request": request.id, "run": placing.run});
             let is_resumable = placing.token.is_some();
             if let Some(token) = placing.token {
                 head["token"] = token.into();
             }
             let (server, run) = (placing.server, placing.run);
-            let reading = Reading {
+            let reading = Query {
                 request: request.id,
                 server,
                 run,
@@ -167,17 +177,19 @@
 pub(crate) fn resume(shared: &Arc<Shared>, body: &[u8], api_key: Option<&ApiKey>) -> Response {
     let request: ResumeRequest = match serde_json::from_slice(body) {
         Ok(request) => request,
-        Err(fault) => return shared.refusal(ResultCode::BadRequest, fault.to_string(), Span(0)),
+        Err(fault) => {
+            return shared.refusal(ResultCode::BadRequest, fault.to_string(), Milliseconds(0));
+        }
     };
-    if let Err(denial) = shared.authorize(api_key) {
-        return shared.refusal(denial.code, denial.why, denial.retry_after);
+    if let Err(rejection) = shared.authorize(api_key) {
+        return shared.refusal(rejection.code, rejection.why, rejection.retry_after);
     }
     let number = shared.next_number();
     let Some(place) = shared.take_place(resume_id(number), number) else {
         return shared.refusal(
             ResultCode::Busy,
             "this node is at its bound of requests".into(),
-            Span(1000),
+            Milliseconds(1000),
         );
     };
     let input = NodeInput::Resume {
@@ -189,13 +201,15 @@
         .unwrap_or_else(|| Err(silence()))
     {
         Ok(token) => token,
-        Err(denial) => return shared.refusal(denial.code, denial.why, denial.retry_after),
+        Err(rejection) => {
+            return shared.refusal(rejection.code, rejection.why, rejection.retry_after);
+        }
     };
     let url = format!(
         "http://{}/runs/{}?from={}",
         token.server, token.run, request.from
     );
-    let out_of_reach = |why: String| shared.refusal(ResultCode::OutOfReach, why, Span(0));
+    let out_of_reach = |why: String| shared.refusal(ResultCode::OutOfReach, why, Milliseconds(0));
     // A server that has the run begins at once; only its pieces may be long in coming.
     let (heard, inbox) = flume::bounded(1);
     let stall = shared.stall;
@@ -211,7 +225,7 @@
     };
     match asked {
         Ok(response) if response.status() == 200 => {
-            Tallies::more(&shared.tallies.resumed);
+            Metrics::more(&shared.metrics.resumed);
             let head = serde_json::json!({"request": token.request, "run": token.run, "from": request.from, "token": request.token});
             let Token {
                 request: id,
@@ -220,7 +234,7 @@
                 ..
             } = token;
             let from = request.from;
-            let reading = Reading {
+            let reading = Query {
                 request: id,
                 server,
                 run,
@@ -236,7 +250,7 @@
                 token.server,
                 response.status()
             );
-            shared.refusal(ResultCode::ResumeFailed, why, Span(0))
+            shared.refusal(ResultCode::ResumeFailed, why, Milliseconds(0))
         }
         Ok(response) => out_of_reach(format!(
             "server {} replied {}",
@@ -255,19 +269,21 @@
     id: Option<&str>,
     api_key: Option<&ApiKey>,
 ) -> Response {
-    Tallies::more(&shared.tallies.received);
+    Metrics::more(&shared.metrics.received);
     let number = shared.next_number();
     let request = id.map(RequestId::from);
     let service = ServiceName::from(service);
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-    let is_sound = request.as_ref().is_none_or(RequestId::is_sound) && service.is_sound();
-    if !is_sound || path.len() > 1024 || !path.chars().all(is_plain) {
+    let is_healthy = request.as_ref().is_none_or(RequestId::is_healthy) && service.is_healthy();
+    if !is_healthy || path.len() > 1024 || !path.chars().all(is_plain) {
         let why = "id, service and path are made of letters, digits and -_.:, a path also of / and at most 1024 long";
-        return shared.refusal(ResultCode::BadRequest, why.into(), Span(0));
+        return shared.refusal(ResultCode::BadRequest, why.into(), Milliseconds(0));
     }
     let key = match shared.authorize(api_key) {
         Ok(key) => key,
-        Err(denial) => return shared.refusal(denial.code, denial.why, denial.retry_after),
+        Err(rejection) => {
+            return shared.refusal(rejection.code, rejection.why, rejection.retry_after);
+        }
     };
     // No client's id has a slash.
     let request = request.unwrap_or_else(|| RequestId(format!("page/{number}")));
@@ -275,7 +291,7 @@
         return shared.refusal(
             ResultCode::Busy,
             "this node is at its bound of requests".into(),
-            Span(1000),
+            Milliseconds(1000),
         );
     };
     let (mut trip, first) = Trip::new(
@@ -283,16 +299,19 @@
         Wanted::of_service(service, ServiceKind::Fetch, key, vec![]),
         None,
     );
-    let ask = |placing: &Placing| {
-        let patience = Span(shared.stall.0.min(placing.first_token.0 * 2 + 1000));
+    let ask = |placing: &Placement| {
+        let patience = Milliseconds(shared.stall.0.min(placing.first_token.0 * 2 + 1000));
         let (sharing, epoch) = (shared.clone(), placing.epoch);
         let asked = Ask::get()
             .connect(CONNECT)
             .read(patience)
             .only_if(move || sharing.may_leave(epoch));
-        let asked = placing.life.into_iter().fold(asked, |asked, life| {
-            asked.header(LIFE_HEADER, life.to_string())
-        });
+        let asked = placing
+            .incarnation
+            .into_iter()
+            .fold(asked, |asked, incarnation| {
+                asked.header(LIFE_HEADER, incarnation.to_string())
+            });
         let response = opened(
             placing,
             asked.send(&format!("http://{}/pages/{path}", placing.server)),
@@ -302,16 +321,16 @@
     };
     match ask_servers(&mut trip, first, ask) {
         Asked::Told(answer) => answer,
-        Asked::Opened(_, (content_type, body)) => {
+        Asked::RecoveredStorage(_, (content_type, body)) => {
             shared.tell_ended(&request, Outcome::Complete);
-            Tallies::more(&shared.tallies.complete);
+            Metrics::more(&shared.metrics.complete);
             Response::whole(200, &content_type, body)
         }
     }
 }
 
 /// What is being read, and from where.
-struct Reading {
+struct Query {
     request: RequestId,
     server: ServerName,
     run: RunId,
@@ -352,12 +371,12 @@
             Ok(Carried::Line(line)) => Pull::Piece(line.into_bytes().into()),
             Ok(Carried::End(line)) => {
                 self.is_over = true;
-                Tallies::more(&self.shared.tallies.complete);
+                Metrics::more(&self.shared.metrics.complete);
                 Pull::Piece(line.into_bytes().into())
             }
             Ok(Carried::Cut) | Err(flume::RecvTimeoutError::Disconnected) => {
                 self.is_cut = true;
-                Tallies::more(&self.shared.tallies.broken);
+                Metrics::more(&self.shared.metrics.broken);
                 Pull::Cut
             }
             Err(flume::RecvTimeoutError::Timeout) => Pull::Nothing,
@@ -372,10 +391,10 @@
         }
         // The client has gone. A run that may be read on goes on without it.
         self.has_gone.store(true, Ordering::SeqCst);
-        Tallies::more(&self.shared.tallies.gone);
+        Metrics::more(&self.shared.metrics.gone);
         if self.does_cancel {
             let url = format!("http://{}/runs/{}", self.server, self.run);
-            if let Err(fault) = ask_delete(&url, CONNECT, Span(1000)) {
+            if let Err(fault) = http_delete(&url, CONNECT, Milliseconds(1000)) {
                 tracing::debug!("carrier: run {} was not cancelled: {fault}.", self.run);
             }
         }
@@ -386,7 +405,7 @@
 fn stream(
     shared: &Arc<Shared>,
     place: Place,
-    reading: Reading,
+    reading: Query,
     head: serde_json::Value,
     response: Heard,
 ) -> Response {
@@ -419,13 +438,13 @@
 /// Reads the server's stream, piece by piece in order, until its explicit end.
 fn read(
     shared: &Shared,
-    reading: &Reading,
+    reading: &Query,
     response: Heard,
     outbox: &flume::Sender<Carried>,
     has_gone: &AtomicBool,
 ) {
     let request = &reading.request;
-    let mut reader = PieceReader::new(reading.run.clone(), reading.from);
+    let mut reader = ChunkReader::new(reading.run.clone(), reading.from);
     let mut is_first = reading.is_first_read;
     let mut lines = BufReader::new(response);
     let outcome = loop {
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -5,16 +5,18 @@
 use crate::ingress::Ingress;
 use crate::journal::Journal;
 use crate::list_reader;
-use crate::node::{Denial, KvTask, Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, Placing};
+use crate::metrics::Metrics;
+use crate::node::{
+    KvTask, Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, Rejection,
+};
 use crate::poller;
 use crate::replay::ReplayHead;
 use crate::server_list::ReadEffort;
 use crate::settings::Settings;
 use crate::shared::{NEVER, Shared};
-use crate::tallies::Tallies;
 use crate::token::Token;
 use config::{OwnPlans, PlanDialect, parse_addresses};
-use placement::{Decision, PlaceReason};
+use placement::{Decision, PlacementReason};
 use replication::LeaseStatus;
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -22,16 +24,18 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 use transport::{
-    Gate, GateBounds, PieceSource, Post, PostClass, Pull, Request, Response, ask_delete, ask_post,
+    HttpServer, HttpServerBounds, MessageTransport, PieceSource, PostClass, Pull, Request,
+    Response, http_delete, http_post,
 };
 use types::{
-    Address, ApiKey, Clock, Epoch, Moment, ResultCode, ServerName, Span, ZoneName, random_bytes,
+    Address, ApiKey, Clock, ConfigEpoch, Milliseconds, MonotonicInstant, ResultCode, ServerName,
+    ZoneName, random_bytes,
 };
 
 /// Between clock events, at most.
-const LONGEST_TICK: Span = Span(250);
+const LONGEST_TICK: Milliseconds = Milliseconds(250);
 /// Between readings of the settings' seeds, while there is no lease.
-const SETTINGS_PERIOD: Span = Span(1000);
+const SETTINGS_PERIOD: Milliseconds = Milliseconds(1000);
 /// What may wait for the control thread; whoever brings more waits.
 const QUEUE: usize = 8192;
 
@@ -61,7 +65,7 @@
 }
 
 /// Told to stop, a node lingers at least this long, since clients are handed out by what was true before.
-const QUIET_FROM: Span = Span(2500);
+const QUIET_FROM: Milliseconds = Milliseconds(2500);
 
 /// Runs a router until it's told to stop and has finished its streams; gives the exit code.
 pub fn run(settings: &Settings, dialects: Dialects) -> u8 {
@@ -86,18 +90,18 @@
     let listener =
         TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let connections = settings.requests as usize + 112;
-    let bounds = GateBounds {
+    let bounds = HttpServerBounds {
         connections,
         body_bytes: 4 << 20,
-        read_span: Span::seconds(10),
-        ..GateBounds::default()
+        read_span: Milliseconds::seconds(10),
+        ..HttpServerBounds::default()
     };
-    let gate =
-        Gate::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))?;
+    let http_server = HttpServer::open(listen.0, bounds)
+        .map_err(|fault| format!("listen = {listen}: {fault}"))?;
     let (sender, events) = flume::bounded::<ControlEvent>(QUEUE);
-    let take_letter = sender.clone();
-    let post = Post::open(listener, move |from, letter| {
-        let _ = take_letter.send(ControlEvent::Input(NodeInput::Letter { from, letter }));
+    let take_message = sender.clone();
+    let post = MessageTransport::open(listener, move |from, message| {
+        let _ = take_message.send(ControlEvent::Input(NodeInput::Message { from, message }));
     })
     .map_err(|fault| format!("inner = {inner}: {fault}"))?;
     let incarnation = new_life();
@@ -122,11 +126,11 @@
         control: sender.clone(),
         may_act_until: AtomicU64::new(0),
         epoch: AtomicU64::new(0),
-        tallies: Tallies::default(),
+        metrics: Metrics::default(),
         number: AtomicU64::new(1),
         bound: settings.requests,
         block_bytes: settings.block_bytes as usize,
-        stall: Span(settings.stall_ms),
+        stall: Milliseconds(settings.stall_ms),
         plan: RwLock::default(),
         is_ready: AtomicBool::new(false),
         ends_at: AtomicU64::new(NEVER),
@@ -163,13 +167,14 @@
         events: Journal::new(settings.journal_lines as usize),
         head: serde_json::to_string(&head).expect("a head is JSON"),
     });
-    let (closer, open_count) = (gate.closer(), gate.open_count());
+    let (closer, open_count) = (http_server.closer(), http_server.open_count());
     let gate_door = door.clone();
-    let gate_thread = move || gate.serve(move |request| gate_door.clone().respond(&request));
-    let gate_thread = std::thread::Builder::new()
+    let http_server_thread =
+        move || http_server.serve(move |request| gate_door.clone().respond(&request));
+    let http_server_thread = std::thread::Builder::new()
         .name("gate".into())
-        .spawn(gate_thread);
-    let gate_thread = gate_thread.map_err(|fault| fault.to_string())?;
+        .spawn(http_server_thread);
+    let http_server_thread = http_server_thread.map_err(|fault| fault.to_string())?;
 
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -191,7 +196,7 @@
         plans: dialects.plans,
         waiting: HashMap::new(),
         resuming: HashMap::new(),
-        is_leaving: false,
+        is_draining: false,
     };
     let mut next_tick = Clock::now();
     let mut next_reading = now + SETTINGS_PERIOD;
@@ -200,11 +205,11 @@
         let now = Clock::now();
         if now >= next_tick {
             control.take(ControlEvent::Input(NodeInput::ClockEvent));
-            if stop.load(Ordering::Relaxed) && !control.is_leaving {
+            if stop.load(Ordering::Relaxed) && !control.is_draining {
                 tracing::info!(
                     "router: not ready any more; takes what is still sent to it for a moment."
                 );
-                control.is_leaving = true;
+                control.is_draining = true;
                 ingress.iter().for_each(Ingress::leave);
                 leaving = Some(LeavingSchedule::new(now, settings, has_calls));
             }
@@ -232,9 +237,9 @@
             if control.node.is_drained() {
                 // Whoever has connected by now still gets a response, and every response its last byte.
                 closer.close();
-                let _ = gate_thread.join();
+                let _ = http_server_thread.join();
                 ingress.iter().for_each(Ingress::close);
-                let deadline = Clock::now() + Span::seconds(if has_calls { 1 } else { 2 });
+                let deadline = Clock::now() + Milliseconds::seconds(if has_calls { 1 } else { 2 });
                 let is_open = || {
                     open_count.load(Ordering::SeqCst) > 0
                         || ingress
@@ -259,7 +264,7 @@
         next_tick = control
             .node
             .next_timer()
-            .max(now + Span(1))
+            .max(now + Milliseconds(1))
             .min(now + LONGEST_TICK);
         if let Ok(event) = events.recv_timeout(now.until(next_tick).duration()) {
             control.take(event);
@@ -270,30 +275,30 @@
 /// What a process that was told to stop takes when.
 struct LeavingSchedule {
     /// From then on only what will have ended before `end`.
-    short_from: Moment,
+    short_from: MonotonicInstant,
     /// From then on nothing, if no request came for a while.
-    quiet_from: Moment,
+    quiet_from: MonotonicInstant,
     /// From then on nothing.
-    none_from: Moment,
+    none_from: MonotonicInstant,
     /// The process ends, whatever is in hand.
-    end: Moment,
+    end: MonotonicInstant,
 }
 
 impl LeavingSchedule {
     /// For a process that was told to stop now. How long a request may last is known of calls alone: where there are
     /// others, nothing is taken that might not end in time.
-    fn new(now: Moment, settings: &Settings, has_calls: bool) -> Self {
-        let short_from = now + Span(settings.linger_ms);
+    fn new(now: MonotonicInstant, settings: &Settings, has_calls: bool) -> Self {
+        let short_from = now + Milliseconds(settings.linger_ms);
         let short_for = if has_calls {
-            Span(settings.drain_ms * 2 / 3)
+            Milliseconds(settings.drain_ms * 2 / 3)
         } else {
-            Span(0)
+            Milliseconds(0)
         };
         LeavingSchedule {
             short_from,
             quiet_from: now + QUIET_FROM,
             none_from: short_from + short_for,
-            end: short_from + Span(settings.drain_ms),
+            end: short_from + Milliseconds(settings.drain_ms),
         }
     }
 }
@@ -305,16 +310,16 @@
 
 struct Control {
     node: Node,
-    post: Post,
+    post: MessageTransport,
     door: Arc<Door>,
     kv: flume::Sender<KvTask>,
     /// Has the platform's list read.
     list: Option<flume::Sender<ReadEffort>>,
     plans: Arc<dyn PlanDialect>,
-    waiting: HashMap<u64, flume::Sender<Result<Placing, Denial>>>,
-    resuming: HashMap<u64, flume::Sender<Result<Token, Denial>>>,
+    waiting: HashMap<u64, flume::Sender<Result<Placement, Rejection>>>,
+    resuming: HashMap<u64, flume::Sender<Result<Token, Rejection>>>,
     /// Whether it was told to stop: clients are to be sent elsewhere.
-    is_leaving: bool,
+    is_draining: bool,
 }
 
 impl Control {
@@ -330,7 +335,7 @@
         let input = match event {
             ControlEvent::Input(input) => input,
             ControlEvent::Place(input, response) => {
-                if let NodeInput::Place(PlaceAsk { number, .. }) = &input {
+                if let NodeInput::Place(PlacementRequest { number, .. }) = &input {
                     self.waiting.insert(*number, response);
                 }
                 input
@@ -348,7 +353,7 @@
         };
         let outputs = self.node.step(now, input);
         // Before anyone is told that a request is placed: they ask whether it may leave.
-        let tallies = &self.door.shared.tallies;
+        let metrics = &self.door.shared.metrics;
         let until = self.node.may_act_until(now);
         // First the epoch: whoever sees the longer lease is to see what it was given for.
         self.door
@@ -359,7 +364,7 @@
             .shared
             .may_act_until
             .store(until.0, Ordering::SeqCst);
-        let is_ready = self.node.is_ready(now) && !self.is_leaving;
+        let is_ready = self.node.is_ready(now) && !self.is_draining;
         self.door.is_ready.store(is_ready, Ordering::SeqCst);
         self.door.shared.is_ready.store(is_ready, Ordering::SeqCst);
         // First the members: a plan is put into force for as many as there are.
@@ -367,8 +372,8 @@
         self.door
             .shared
             .take_plan(self.node.plan(), self.node.tenants());
-        tallies.epoch.store(self.node.epoch().0, Ordering::Relaxed);
-        tallies
+        metrics.epoch.store(self.node.epoch().0, Ordering::Relaxed);
+        metrics
             .may_act
             .store(u64::from(now < until), Ordering::Relaxed);
         for output in outputs {
@@ -376,10 +381,10 @@
                 NodeOutput::Send {
                     to,
                     is_bulk,
-                    letter,
+                    message,
                 } => {
-                    let class = PostClass::of(&letter, is_bulk);
-                    self.post.send(to, class, letter);
+                    let class = PostClass::of(&message, is_bulk);
+                    self.post.send(to, class, message);
                 }
                 NodeOutput::Place { number, outcome } => {
                     if let Some(response) = self.waiting.remove(&number) {
@@ -393,7 +398,7 @@
                 }
                 NodeOutput::Read { plan_epoch, bytes } => self.read_plan(plan_epoch, bytes),
                 NodeOutput::Kv(task) => {
-                    Tallies::more(&self.door.shared.tallies.copies);
+                    Metrics::more(&self.door.shared.metrics.copies);
                     if self.kv.try_send(task).is_err() {
                         tracing::warn!("kv: too many requests wait; one is dropped.");
                     }
@@ -416,7 +421,7 @@
     }
 
     /// A large plan takes long to read; leases must not wait for it.
-    fn read_plan(&self, plan_epoch: Epoch, bytes: Arc<Vec<u8>>) {
+    fn read_plan(&self, plan_epoch: ConfigEpoch, bytes: Arc<Vec<u8>>) {
         let (control, plans) = (self.door.shared.control.clone(), self.plans.clone());
         let read = move || {
             let input = NodeInput::Plan {
@@ -431,13 +436,13 @@
         }
     }
 
-    fn note(&self, at: Moment, decision: &Decision) {
-        let tallies = &self.door.shared.tallies;
+    fn note(&self, at: MonotonicInstant, decision: &Decision) {
+        let metrics = &self.door.shared.metrics;
         if let Decision::Placed { reason, .. } = decision {
-            Tallies::more(match reason {
-                PlaceReason::Warm => &tallies.placed_warm,
-                PlaceReason::CacheMatch => &tallies.placed_match,
-                _ => &tallies.placed_other,
+            Metrics::more(match reason {
+                PlacementReason::Warm => &metrics.placed_warm,
+                PlacementReason::CacheMatch => &metrics.placed_match,
+                _ => &metrics.placed_other,
             });
         }
         self.door.decisions.add(|number| {
@@ -448,7 +453,7 @@
         });
     }
 
-    fn believes(&self, now: Moment) -> serde_json::Value {
+    fn believes(&self, now: MonotonicInstant) -> serde_json::Value {
         let lease_state = self.node.lease_state();
         let scheduler = self.node.scheduler();
         let servers: serde_json::Map<String, serde_json::Value> = scheduler
@@ -457,7 +462,7 @@
             .map(|(name, server)| {
                 let state = if !server.is_listed {
                     "unlisted"
-                } else if server.is_leaving {
+                } else if server.is_draining {
                     "leaving"
                 } else if self.node.withdrawn().contains(&server.zone) {
                     "withdrawn"
@@ -517,7 +522,7 @@
 /// Orders the holder to export and the target to import. Both say whether they take the order, not
 /// whether the copy was made.
 fn do_kv(task: KvTask) -> Option<placement::Event> {
-    const PATIENCE: Span = Span(500);
+    const PATIENCE: Milliseconds = Milliseconds(500);
     match task {
         KvTask::Copy {
             prefix,
@@ -528,7 +533,7 @@
                 let body = serde_json::json!({"prefix": prefix, "peer": other})
                     .to_string()
                     .into_bytes();
-                let outcome = ask_post(
+                let outcome = http_post(
                     &format!("http://{server}/kv/{way}"),
                     body,
                     PATIENCE,
@@ -552,7 +557,7 @@
             })
         }
         KvTask::Drop { prefix, server } => {
-            let _ = ask_delete(
+            let _ = http_delete(
                 &format!("http://{server}/kv/{}", prefix.0),
                 PATIENCE,
                 PATIENCE,
@@ -595,7 +600,7 @@
                 }
             }
             ("GET", ["metrics"]) => {
-                Response::whole(200, "text/plain; version=0.0.4", self.shared.tallies.text())
+                Response::whole(200, "text/plain; version=0.0.4", self.shared.metrics.text())
             }
             ("GET", ["v1", "believes"]) => {
                 let (response, inbox) = flume::bounded(1);
--- a/crates/router/src/dissemination.rs
+++ b/crates/router/src/dissemination.rs
@@ -1,35 +1,35 @@
 use placement::{Digest, DigestChange};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use types::{Address, Moment, Span, ZoneName};
-use wire::{DigestLeg, Letter, Member};
+use types::{Address, Milliseconds, MonotonicInstant, ZoneName};
+use wire::{DigestLeg, Member, Message};
 
 /// The spans that digests go by.
 #[derive(Debug, Clone, Copy)]
 pub struct DigestTiming {
     /// Between two letters on a leg, at least; what changes after a quiet while leaves at once.
-    pub pause: Span,
+    pub pause: Milliseconds,
     /// And so many bytes a millisecond at most.
     pub bytes_a_ms: u64,
     /// What is not empty is told again after this though nothing changed.
-    pub refresh: Span,
+    pub refresh: Milliseconds,
     /// What is not empty and was not told again for this long counts no more.
-    pub life: Span,
+    pub incarnation: Milliseconds,
     /// A collector that has not answered for this long is passed over,
-    pub patience: Span,
+    pub patience: Milliseconds,
     /// for so long.
-    pub suspicion: Span,
+    pub suspicion: Milliseconds,
 }
 
 impl Default for DigestTiming {
     fn default() -> Self {
         DigestTiming {
-            pause: Span(250),
+            pause: Milliseconds(250),
             bytes_a_ms: 4,
-            refresh: Span(1000),
-            life: Span(3000),
-            patience: Span(800),
-            suspicion: Span(15_000),
+            refresh: Milliseconds(1000),
+            incarnation: Milliseconds(3000),
+            patience: Milliseconds(800),
+            suspicion: Milliseconds(15_000),
         }
     }
 }
@@ -47,26 +47,26 @@
 pub struct Dissemination {
     own: Address,
     zone: ZoneName,
-    life: u64,
+    incarnation: u64,
     timing: DigestTiming,
-    now: Moment,
+    now: MonotonicInstant,
     /// Members by zone, in order.
     zones: BTreeMap<ZoneName, BTreeSet<Address>>,
     zone_of: BTreeMap<Address, ZoneName>,
-    suspects: BTreeMap<Address, Moment>,
+    suspects: BTreeMap<Address, MonotonicInstant>,
     seen: Digest,
     outgoing: BTreeMap<(DigestLeg, Address), Outgoing>,
     /// What was told here, by leg and teller.
     incoming: BTreeMap<(DigestLeg, Address), Incoming>,
     /// When silent members were last asked to report, and how often since they were heard.
-    asked: BTreeMap<Address, (Moment, u32)>,
+    asked: BTreeMap<Address, (MonotonicInstant, u32)>,
     /// When another node last reported to this one, or another zone told its sum.
-    collected: Option<Moment>,
-    next_collect: Moment,
+    collected: Option<MonotonicInstant>,
+    next_collect: MonotonicInstant,
     sum: Option<(u64, u64, Digest)>,
     /// The newest of this node's own sums, and when it was made.
-    own_sum: (u64, Digest, Moment),
-    letters: Vec<(Address, Letter)>,
+    own_sum: (u64, Digest, MonotonicInstant),
+    messages: Vec<(Address, Message)>,
     nothing: Arc<Digest>,
 }
 
@@ -111,29 +111,35 @@
     /// As the other has it, if all letters came. Shared by all to whom the same was told.
     held: Arc<Digest>,
     number: u64,
-    sent: Moment,
-    next: Moment,
+    sent: MonotonicInstant,
+    next: MonotonicInstant,
     /// Since when an answer is awaited.
-    awaited: Option<Moment>,
+    awaited: Option<MonotonicInstant>,
     is_whole_wanted: bool,
 }
 
 /// A digest that another node keeps up to date here.
 #[derive(Debug, Clone)]
 struct Incoming {
-    life: u64,
+    incarnation: u64,
     number: u64,
     digest: Digest,
-    heard: Moment,
+    heard: MonotonicInstant,
 }
 
 impl Dissemination {
     /// At the start of a node's life.
-    pub fn new(own: Address, zone: ZoneName, life: u64, timing: DigestTiming, now: Moment) -> Self {
+    pub fn new(
+        own: Address,
+        zone: ZoneName,
+        incarnation: u64,
+        timing: DigestTiming,
+        now: MonotonicInstant,
+    ) -> Self {
         Dissemination {
             own,
             zone,
-            life,
+            incarnation,
             timing,
             now,
             zones: BTreeMap::new(),
@@ -146,8 +152,8 @@
             collected: None,
             next_collect: now,
             sum: None,
-            own_sum: (0, Digest::default(), Moment(0)),
-            letters: vec![],
+            own_sum: (0, Digest::default(), MonotonicInstant(0)),
+            messages: vec![],
             nothing: Arc::default(),
         }
     }
@@ -205,7 +211,7 @@
     }
 
     /// Time has passed, and this is what the node sees now. Gives letters to be sent.
-    pub fn on_clock(&mut self, now: Moment, seen: Digest) -> Vec<(Address, Letter)> {
+    pub fn on_clock(&mut self, now: MonotonicInstant, seen: Digest) -> Vec<(Address, Message)> {
         self.now = self.now.max(now);
         self.seen = seen;
         if self.zone_of.contains_key(&self.own) {
@@ -218,21 +224,21 @@
                 self.collect();
             }
         }
-        std::mem::take(&mut self.letters)
+        std::mem::take(&mut self.messages)
     }
 
     /// A digest came.
     #[allow(clippy::too_many_arguments)]
     pub fn on_digest(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         from: Address,
         leg: DigestLeg,
-        life: u64,
+        incarnation: u64,
         number: u64,
         is_whole: bool,
         change: &DigestChange,
-    ) -> Vec<(Address, Letter)> {
+    ) -> Vec<(Address, Message)> {
         self.now = self.now.max(now);
         let is_own_zone = self.zone_of.get(&from) == Some(&self.zone);
         let is_known = self.zone_of.contains_key(&from) && self.zone_of.contains_key(&self.own);
@@ -242,44 +248,46 @@
         let heard = self.now;
         let slot = self.incoming.entry((leg, from));
         let slot = slot.or_insert(Incoming {
-            life: 0,
+            incarnation: 0,
             number: 0,
             digest: Digest::default(),
             heard,
         });
-        let follows = slot.life == life && number == slot.number + 1 && slot.number > 0;
-        if slot.life == life && number <= slot.number && number > 0 {
+        let follows =
+            slot.incarnation == incarnation && number == slot.number + 1 && slot.number > 0;
+        if slot.incarnation == incarnation && number <= slot.number && number > 0 {
             // An older one, late.
             return vec![];
         }
         if !is_whole && !follows {
-            self.letters
-                .push((from, Letter::DigestAck { leg, number: 0 }));
-            return std::mem::take(&mut self.letters);
+            self.messages
+                .push((from, Message::DigestAck { leg, number: 0 }));
+            return std::mem::take(&mut self.messages);
         }
         if is_whole {
             slot.digest = Digest::default();
         }
         slot.digest.apply(change);
-        (slot.life, slot.number, slot.heard) = (life, number, heard);
+        (slot.incarnation, slot.number, slot.heard) = (incarnation, number, heard);
         match leg {
             DigestLeg::Fleet => self.take_sum(from),
             DigestLeg::Report | DigestLeg::Zone => {
                 self.collected = Some(self.now);
-                self.letters.push((from, Letter::DigestAck { leg, number }));
+                self.messages
+                    .push((from, Message::DigestAck { leg, number }));
             }
         }
-        std::mem::take(&mut self.letters)
+        std::mem::take(&mut self.messages)
     }
 
     /// An answer to a digest came, or a collector wants one.
     pub fn on_ack(
         &mut self,
-        now: Moment,
+        now: MonotonicInstant,
         from: Address,
         leg: DigestLeg,
         number: u64,
-    ) -> Vec<(Address, Letter)> {
+    ) -> Vec<(Address, Message)> {
         self.now = self.now.max(now);
         let is_own_zone = self.zone_of.get(&from) == Some(&self.zone);
         if let Some(outgoing) = self.outgoing.get_mut(&(leg, from)) {
@@ -293,17 +301,17 @@
             let seen = self.seen.clone();
             self.tell(leg, from, &seen, &mut vec![]);
         }
-        std::mem::take(&mut self.letters)
+        std::mem::take(&mut self.messages)
     }
 
     /// The sum of all other nodes, if it's new: the life and the number of it, for the scheduler.
-    pub fn take_news(&mut self) -> Option<(u64, u64, Digest)> {
+    pub fn take_update(&mut self) -> Option<(u64, u64, Digest)> {
         self.sum.take()
     }
 
     /// Those that have not answered are passed over.
     fn give_up(&mut self) {
-        let is_late = |at: Moment| self.now.since(at) >= self.timing.patience;
+        let is_late = |at: MonotonicInstant| self.now.since(at) >= self.timing.patience;
         let late = self
             .outgoing
             .iter()
@@ -317,11 +325,11 @@
     }
 
     fn expire(&mut self) {
-        let (now, life) = (self.now, self.timing.life);
+        let (now, incarnation) = (self.now, self.timing.incarnation);
         // One that is empty lasts: it says that its teller has nothing, until the teller says otherwise, or
         // another tells the same zone's sum.
         let zone_of = &self.zone_of;
-        let mut tellers: BTreeMap<&ZoneName, Moment> = BTreeMap::new();
+        let mut tellers: BTreeMap<&ZoneName, MonotonicInstant> = BTreeMap::new();
         for ((_, from), incoming) in self
             .incoming
             .iter()
@@ -338,9 +346,9 @@
                 }
                 DigestLeg::Fleet => false,
             };
-            is_idle || now.since(incoming.heard) < life
+            is_idle || now.since(incoming.heard) < incarnation
         });
-        let is_over = |at: Moment| now.since(at) >= Span(life.0 * 4);
+        let is_over = |at: MonotonicInstant| now.since(at) >= Milliseconds(incarnation.0 * 4);
         if self.collected.is_some_and(is_over) {
             self.collected = None;
         }
@@ -364,7 +372,7 @@
     fn collect(&mut self) {
         // The more there is to sum up, the less often.
         self.next_collect =
-            self.now + Span(self.timing.pause.0 * (1 + self.reporters() as u64 / 32));
+            self.now + Milliseconds(self.timing.pause.0 * (1 + self.reporters() as u64 / 32));
         let is_collector = self.collector(&self.zone) == Some(self.own);
         let mut zone_sum = if is_collector {
             self.seen.clone()
@@ -429,7 +437,7 @@
         if is_collector && (fleet != *old || self.now.since(*at) >= self.timing.refresh) {
             self.own_sum = (number + 1, fleet.clone(), self.now);
             fleet.subtract(&self.seen);
-            self.sum = Some((self.life, self.own_sum.0, fleet));
+            self.sum = Some((self.incarnation, self.own_sum.0, fleet));
         }
     }
 
@@ -437,13 +445,17 @@
     fn ask_missing(&mut self, missing: &BTreeSet<Address>) {
         self.asked.retain(|member, _| missing.contains(member));
         for member in missing {
-            let (at, times) = self.asked.get(member).copied().unwrap_or((Moment(0), 0));
-            let pause = Span(self.timing.refresh.0 << times.min(5));
+            let (at, times) = self
+                .asked
+                .get(member)
+                .copied()
+                .unwrap_or((MonotonicInstant(0), 0));
+            let pause = Milliseconds(self.timing.refresh.0 << times.min(5));
             if times == 0 || self.now.since(at) >= pause {
                 self.asked.insert(*member, (self.now, times + 1));
-                self.letters.push((
+                self.messages.push((
                     *member,
-                    Letter::DigestAck {
+                    Message::DigestAck {
                         leg: DigestLeg::Report,
                         number: 0,
                     },
@@ -464,7 +476,7 @@
         if let Some(out) = self.outgoing.get(&(DigestLeg::Report, from)) {
             others.subtract(&out.held);
         }
-        self.sum = Some((incoming.life, incoming.number, others));
+        self.sum = Some((incoming.incarnation, incoming.number, others));
     }
 
     /// Tells another what changed, if something has and it's time. `told`: what was worked out for others
@@ -506,7 +518,7 @@
         out.number += 1;
         out.sent = now;
         out.next = now
-            + Span(
+            + Milliseconds(
                 self.timing
                     .pause
                     .0
@@ -515,14 +527,14 @@
         if leg != DigestLeg::Fleet {
             out.awaited = out.awaited.or(Some(now));
         }
-        let letter = Letter::Digest {
+        let message = Message::Digest {
             leg,
-            life: self.life,
+            incarnation: self.incarnation,
             number: out.number,
             is_whole,
             change: Box::new(change),
         };
-        self.letters.push((to, letter));
+        self.messages.push((to, message));
     }
 }
 
--- a/crates/router/src/dissemination/tests.rs
+++ b/crates/router/src/dissemination/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::dissemination::{DigestTiming, Dissemination};
 use placement::{Digest, DigestKey, PrefixHash, mix};
-use types::{Address, Moment, ZoneName};
-use wire::{Letter, Member, seal};
+use types::{Address, MonotonicInstant, ZoneName};
+use wire::{Member, Message, seal};
 
 /// Nodes with a wire between them on which each letter takes 5 ms.
 struct Wire {
@@ -11,9 +11,9 @@
     seen: BTreeMap<Address, Digest>,
     sums: BTreeMap<Address, Digest>,
     dead: BTreeSet<Address>,
-    under_way: Vec<(u64, Address, Address, Letter)>,
+    under_way: Vec<(u64, Address, Address, Message)>,
     bytes: BTreeMap<Address, u64>,
-    letters: u64,
+    messages: u64,
     longest: u64,
 }
 
@@ -34,14 +34,14 @@
             })
             .collect();
         let fresh = |member: &Member| {
-            let life = u64::from(member.address.0.port());
+            let incarnation = u64::from(member.address.0.port());
             let zone = member.zone.clone();
             let mut one = Dissemination::new(
                 member.address,
                 zone,
-                life,
+                incarnation,
                 DigestTiming::default(),
-                Moment(1000),
+                MonotonicInstant(1000),
             );
             one.set_members(&members);
             (member.address, one)
@@ -54,7 +54,7 @@
             dead: BTreeSet::new(),
             under_way: vec![],
             bytes: BTreeMap::new(),
-            letters: 0,
+            messages: 0,
             longest: 0,
         }
     }
@@ -65,15 +65,19 @@
         self.seen.insert(at, digest);
     }
 
-    fn send(&mut self, from: Address, letters: Vec<(Address, Letter)>) {
-        for (to, letter) in letters {
-            let bytes = seal(from, &letter).expect("sealed").len() as u64;
+    fn send(&mut self, from: Address, messages: Vec<(Address, Message)>) {
+        for (to, message) in messages {
+            let bytes = seal(from, &message).expect("sealed").len() as u64;
             *self.bytes.entry(from).or_default() += bytes;
-            self.letters += 1;
+            self.messages += 1;
             self.longest = self.longest.max(bytes);
-            self.under_way.push((self.now + 5, from, to, letter));
+            self.under_way.push((self.now + 5, from, to, message));
         }
-        if let Some((_, _, sum)) = self.nodes.get_mut(&from).and_then(Dissemination::take_news) {
+        if let Some((_, _, sum)) = self
+            .nodes
+            .get_mut(&from)
+            .and_then(Dissemination::take_update)
+        {
             self.sums.insert(from, sum);
         }
     }
@@ -87,26 +91,36 @@
                 .into_iter()
                 .partition(|(at, ..)| *at <= now);
             self.under_way = later;
-            let deadline: Vec<(u64, Address, Address, Letter)> = deadline;
-            for (_, from, to, letter) in deadline {
+            let deadline: Vec<(u64, Address, Address, Message)> = deadline;
+            for (_, from, to, message) in deadline {
                 if self.dead.contains(&to) || self.dead.contains(&from) {
                     continue;
                 }
                 let Some(one) = self.nodes.get_mut(&to) else {
                     continue;
                 };
-                let letters = match letter {
-                    Letter::Digest {
+                let messages = match message {
+                    Message::Digest {
                         leg,
-                        life,
+                        incarnation,
                         number,
                         is_whole,
                         change,
-                    } => one.on_digest(Moment(now), from, leg, life, number, is_whole, &change),
-                    Letter::DigestAck { leg, number } => one.on_ack(Moment(now), from, leg, number),
+                    } => one.on_digest(
+                        MonotonicInstant(now),
+                        from,
+                        leg,
+                        incarnation,
+                        number,
+                        is_whole,
+                        &change,
+                    ),
+                    Message::DigestAck { leg, number } => {
+                        one.on_ack(MonotonicInstant(now), from, leg, number)
+                    }
                     _ => vec![],
                 };
-                self.send(to, letters);
+                self.send(to, messages);
             }
             let all: Vec<Address> = self.nodes.keys().copied().collect();
             for (place, address) in all.into_iter().enumerate() {
@@ -115,12 +129,12 @@
                     continue;
                 }
                 let seen = self.seen.get(&address).cloned().unwrap_or_default();
-                let letters = self
+                let messages = self
                     .nodes
                     .get_mut(&address)
-                    .map(|one| one.on_clock(Moment(now), seen))
+                    .map(|one| one.on_clock(MonotonicInstant(now), seen))
                     .unwrap_or_default();
-                self.send(address, letters);
+                self.send(address, messages);
             }
         }
     }
@@ -136,15 +150,15 @@
 fn nothing_in_hand_is_nothing_said_and_after_work_there_is_silence_again() {
     let mut wire = Wire::new(3, 4);
     wire.run(20_000);
-    assert_eq!(wire.letters, 0);
+    assert_eq!(wire.messages, 0);
     wire.see(node(203), 4);
     wire.run(5000);
-    assert!(wire.letters > 0);
+    assert!(wire.messages > 0);
     wire.seen.clear();
     wire.run(20_000);
-    let before = wire.letters;
+    let before = wire.messages;
     wire.run(60_000);
-    assert_eq!(wire.letters - before, 0, "letters in a quiet minute");
+    assert_eq!(wire.messages - before, 0, "letters in a quiet minute");
     assert_eq!(wire.load_at(node(101)), 0);
 }
 
@@ -206,7 +220,7 @@
         "zone-2".into(),
         9999,
         DigestTiming::default(),
-        Moment(wire.now),
+        MonotonicInstant(wire.now),
     );
     let members: Vec<Member> = all
         .iter()
@@ -254,7 +268,7 @@
             for _ in 0..80 {
                 random = mix(random);
                 digest.more(DigestKey::Load((random % 880) as u32), 1);
-                digest.more(DigestKey::Hot(PrefixHash(mix(random) % 2000)), 1);
+                digest.more(DigestKey::HotPrefix(PrefixHash(mix(random) % 2000)), 1);
             }
             wire.seen.insert(*one, digest);
         }
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -3,33 +3,34 @@
 
 pub(crate) mod detached;
 
+use crate::attempts::{AttemptInput, AttemptOutput};
 use crate::authorization::authorize;
 use crate::call::{Call, CallDialect, Sending};
-use crate::chart::{Chart, ChartInput, Failure};
-use crate::errand::{ErrandInput, ErrandOutput};
 use crate::event_splitter::{EventSplitter, StreamEvent};
-use crate::judgement::{AnswerIdentity, AnswerPlace, Judgement};
-use crate::node::{Denial, NodeInput, Placing};
+use crate::metrics::Metrics;
+use crate::node::{NodeInput, Placement, Rejection};
+use crate::request_state::{Failure, RequestInput, RequestStateMachine};
+use crate::response_validation::{AnswerIdentity, AnswerPlace, ResponseValidation};
 use crate::shared::Shared;
-use crate::tallies::Tallies;
 use crate::trip::{Gone, NotTaken, Trip, Wanted};
 use bytes::Bytes;
 use config::{RouteKind, ServiceKind};
-use placement::{Demand, Event, Outcome};
+use placement::{Event, Outcome, RequestCost};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use transport::{
-    Client, Line, LineError, LinePull, Lines, PieceSource, Pull, Request, Response, Waits,
+    Client, ConnectionError, ConnectionPool, Line, LinePull, PieceSource, Pull, Request, Response,
+    Waits,
 };
-use types::{Clock, Moment, RequestId, ResultCode, ServiceName, Span};
+use types::{Clock, Milliseconds, MonotonicInstant, RequestId, ResultCode, ServiceName};
 
 /// What forwarding threads share.
 pub(crate) struct Forwarder {
     pub shared: Arc<Shared>,
     pub dialect: Arc<dyn CallDialect>,
-    pub lines: Lines,
+    pub lines: ConnectionPool,
     #[cfg(test)]
     pub mutant: Option<Mutant>,
 }
@@ -52,11 +53,11 @@
 }
 
 /// A connection to a server comes up within this, or it's tried elsewhere.
-const CONNECT: Span = Span(250);
+const CONNECT: Milliseconds = Milliseconds(250);
 /// A whole answer is no longer than this.
 const ANSWER_MOST: usize = 8 << 20;
 /// A server that is this late with a first piece may be given up for another one.
-const OVERDUE: Span = Span(300);
+const OVERDUE: Milliseconds = Milliseconds(300);
 
 /// By these an answer says that the request was not run. A server that may have run it can't say so through us.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
@@ -90,18 +91,18 @@
             .arrived
             .store(arrived.0, std::sync::atomic::Ordering::Relaxed);
         let client = request.client.clone();
-        Tallies::more(&self.shared.tallies.received);
+        Metrics::more(&self.shared.metrics.received);
         let call = match self.dialect.read(request) {
             Ok(call) => call,
-            Err(denial) => return self.refuse(None, &denial),
+            Err(rejection) => return self.refuse(None, &rejection),
         };
         let deny = |code: ResultCode, why: &str, after: u64| {
-            let denial = Denial {
+            let rejection = Rejection {
                 code,
                 why: why.to_owned(),
-                retry_after: Span(after),
+                retry_after: Milliseconds(after),
             };
-            self.refuse(Some(&call.id), &denial)
+            self.refuse(Some(&call.id), &rejection)
         };
         let Some(plan) = self
             .shared
@@ -119,7 +120,7 @@
         };
         let credentials = match authorize(&plan.tenants, route.public, call.api_key.as_ref()) {
             Ok(credentials) => credentials,
-            Err(denial) => return self.refuse(Some(&call.id), &denial),
+            Err(rejection) => return self.refuse(Some(&call.id), &rejection),
         };
         let key = u64::from_be_bytes(
             blake3::hash(call.id.as_str().as_bytes()).as_bytes()[..8]
@@ -129,7 +130,7 @@
         let Some(service) = route.service_for(key).map(ServiceName::from) else {
             return deny(ResultCode::UnknownService, "the route leads nowhere", 0);
         };
-        let left = Span(call.left.0.min(route.deadline_ms));
+        let left = Milliseconds(call.left.0.min(route.deadline_ms));
         if !self.shared.ends_in_time(arrived + left) {
             return deny(
                 ResultCode::Draining,
@@ -150,9 +151,9 @@
         let priority = credentials
             .and_then(|tenant| tenant.priority)
             .unwrap_or(route.priority);
-        let demand = Demand {
+        let demand = RequestCost {
             rank: priority as u8,
-            target: Span(route.target_ms),
+            target: Milliseconds(route.target_ms),
             deadline: left,
             ..call.demand.clone()
         };
@@ -177,8 +178,8 @@
         let way = Way {
             forwarder: self.clone(),
             does_stream,
-            target: Span(route.target_ms),
-            gap: Span(route.gap_target_ms),
+            target: Milliseconds(route.target_ms),
+            gap: Milliseconds(route.gap_target_ms),
             urgency,
             client,
             deadline: arrived + left,
@@ -199,9 +200,9 @@
         false
     }
 
-    fn refuse(&self, id: Option<&RequestId>, denial: &Denial) -> Response {
-        self.shared.tallies.refuse(denial.code);
-        self.dialect.refuse(id, denial)
+    fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
+        self.shared.metrics.refuse(rejection.code);
+        self.dialect.refuse(id, rejection)
     }
 }
 
@@ -211,11 +212,11 @@
     call: Call,
     trip: Trip,
     does_stream: bool,
-    target: Span,
-    gap: Span,
+    target: Milliseconds,
+    gap: Milliseconds,
     urgency: u8,
     client: Client,
-    deadline: Moment,
+    deadline: MonotonicInstant,
     /// The last piece that the client has.
     last: Option<u64>,
     /// A server's own answer that stands for a failure.
@@ -223,12 +224,12 @@
 }
 
 impl Way {
-    fn respond(mut self, first: ErrandOutput) -> Response {
+    fn respond(mut self, first: AttemptOutput) -> Response {
         let (placing, opening) = match self.go(first) {
-            Gone::Opened(placing, opening) => (placing, opening),
-            Gone::Told(denial) => {
+            Gone::RecoveredStorage(placing, opening) => (placing, opening),
+            Gone::Told(rejection) => {
                 // A failure that a server owned up to is the server's to tell.
-                let is_refusal = denial.code.is_refusal();
+                let is_refusal = rejection.code.is_refusal();
                 return match self
                     .answer
                     .take()
@@ -238,16 +239,16 @@
                         let (status, headers, body) = *answer;
                         Response::passed(status, headers, body)
                     }
-                    None => self.forwarder.refuse(Some(&self.call.id), &denial),
+                    None => self.forwarder.refuse(Some(&self.call.id), &rejection),
                 };
             }
             Gone::Cut(why) => {
-                let denial = Denial {
+                let rejection = Rejection {
                     code: ResultCode::Unknown,
                     why,
-                    retry_after: Span(0),
+                    retry_after: Milliseconds(0),
                 };
-                return self.forwarder.refuse(Some(&self.call.id), &denial);
+                return self.forwarder.refuse(Some(&self.call.id), &rejection);
             }
         };
         let head = opening.line.head();
@@ -268,7 +269,7 @@
             let body = opening.body.clone();
             opening.line.keep();
             self.ended(Outcome::Complete);
-            Tallies::more(&self.forwarder.shared.tallies.complete);
+            Metrics::more(&self.forwarder.shared.metrics.complete);
             Response::passed(status, headers, body)
         }
     }
@@ -277,7 +278,7 @@
         self.forwarder.shared.tell_ended(&self.call.id, outcome);
     }
 
-    fn go(&mut self, first: ErrandOutput) -> Gone<Opening> {
+    fn go(&mut self, first: AttemptOutput) -> Gone<Opening> {
         let Way {
             forwarder,
             call,
@@ -305,9 +306,9 @@
                 *last
             },
         };
-        trip.go(first, |placing, chart| {
+        trip.go(first, |placing, request_state| {
             asking
-                .ask(placing, chart)
+                .ask(placing, request_state)
                 .map_err(|not_taken| match not_taken {
                     Ok(failed) => {
                         *answer = failed.answer;
@@ -332,16 +333,20 @@
     forwarder: &'a Arc<Forwarder>,
     call: &'a Call,
     does_stream: bool,
-    target: Span,
+    target: Milliseconds,
     urgency: u8,
     client: &'a Client,
-    deadline: Moment,
+    deadline: MonotonicInstant,
     last: Option<u64>,
 }
 
 impl Asking<'_> {
     /// Asks one server, up to the first piece of its answer, or the whole of it.
-    fn ask(&self, placing: &Placing, chart: &Chart) -> Result<Opening, Result<Failed, NotTaken>> {
+    fn ask(
+        &self,
+        placing: &Placement,
+        request_state: &RequestStateMachine,
+    ) -> Result<Opening, Result<Failed, NotTaken>> {
         let fail = |failure: Failure, why: String| {
             Ok(Failed {
                 failure,
@@ -370,8 +375,8 @@
         };
         let request = self.forwarder.dialect.request(self.call, &sending);
         // Where another server may take it up, a silent one is not waited for until the deadline.
-        let patience = Span(placing.expected.0 * 2 + self.target.0).max(OVERDUE);
-        let opened_by = if chart.may_go_on() {
+        let patience = Milliseconds(placing.expected.0 * 2 + self.target.0).max(OVERDUE);
+        let opened_by = if request_state.may_go_on() {
             self.deadline.min(now + patience)
         } else {
             self.deadline
@@ -398,21 +403,21 @@
             .map_err(|fault| not_taken(fault, placing))?;
         self.note_load(placing, line.head());
         match self.judge(&line) {
-            Judgement::Taken => {}
-            Judgement::NotRun => {
+            ResponseValidation::Taken => {}
+            ResponseValidation::NotRun => {
                 self.drain(&mut line)
                     .map(|_| line.keep())
                     .unwrap_or_default();
                 return Err(fail(Failure::Refused, "it did not run it".into()));
             }
-            Judgement::Elsewhere => {
+            ResponseValidation::Elsewhere => {
                 self.forwarder.lines.drop_idle(address);
                 return Err(Err(NotTaken::Elsewhere(format!(
                     "server {} has left its address",
                     placing.server
                 ))));
             }
-            Judgement::Failed => {
+            ResponseValidation::Failed => {
                 let (status, headers) = (
                     line.head().status.as_u16(),
                     self.forwarder.dialect.passed(line.head()),
@@ -424,8 +429,8 @@
                 }
                 return Err(failed);
             }
-            Judgement::Foreign if self.forwarder.is_mutant(Mutant::PassForeign) => {}
-            Judgement::Foreign => {
+            ResponseValidation::Foreign if self.forwarder.is_mutant(Mutant::PassForeign) => {}
+            ResponseValidation::Foreign => {
                 return Err(fail(Failure::Unknown, "that was no answer to this".into()));
             }
         }
@@ -474,7 +479,7 @@
         }
     }
 
-    fn judge(&self, line: &Line) -> Judgement {
+    fn judge(&self, line: &Line) -> ResponseValidation {
         let (dialect, head) = (&self.forwarder.dialect, line.head());
         let is_sole = line.is_sole_answer() || self.forwarder.is_mutant(Mutant::BelieveUnnamed);
         let place = if is_sole {
@@ -489,24 +494,24 @@
                 head.status
             );
         }
-        Judgement::of(identity, claim, place)
+        ResponseValidation::of(identity, claim, place)
     }
 
     fn drain(&self, line: &mut Line) -> Option<Bytes> {
         line.read_all(
-            self.deadline.min(Clock::now() + Span(500)),
+            self.deadline.min(Clock::now() + Milliseconds(500)),
             64 << 10,
             Some(self.client),
         )
         .ok()
     }
 
-    fn note_load(&self, placing: &Placing, head: &http::response::Parts) {
+    fn note_load(&self, placing: &Placement, head: &http::response::Parts) {
         if let Some(load) = self.forwarder.dialect.load(head) {
             self.forwarder.shared.tell(NodeInput::Event(Event::Load {
                 server: placing.server.clone(),
                 incarnation: 0,
-                up: Span(0),
+                up: Milliseconds(0),
                 running: load.running,
                 waiting: load.waiting,
                 slots: load.slots,
@@ -516,7 +521,7 @@
     }
 }
 
-fn not_taken(fault: LineError, placing: &Placing) -> Result<Failed, NotTaken> {
+fn not_taken(fault: ConnectionError, placing: &Placement) -> Result<Failed, NotTaken> {
     let fail = |failure: Failure, why: String| {
         Ok(Failed {
             failure,
@@ -525,11 +530,11 @@
         })
     };
     match fault {
-        LineError::Unsent(why) => fail(Failure::Unsent, why),
-        LineError::Full => fail(Failure::Unsent, "all connections to it are taken".into()),
-        LineError::Withheld => Err(NotTaken::Withheld),
-        LineError::ClientGone => Err(NotTaken::ClientGone),
-        LineError::Late(why) | LineError::Unknown(why) => fail(Failure::Unknown, why),
+        ConnectionError::Unsent(why) => fail(Failure::Unsent, why),
+        ConnectionError::Full => fail(Failure::Unsent, "all connections to it are taken".into()),
+        ConnectionError::Withheld => Err(NotTaken::Withheld),
+        ConnectionError::ClientGone => Err(NotTaken::ClientGone),
+        ConnectionError::Late(why) | ConnectionError::Unknown(why) => fail(Failure::Unknown, why),
     }
 }
 
@@ -539,12 +544,12 @@
 /// takes it up, it's cut.
 struct CarriedStream {
     way: Way,
-    placing: Placing,
+    placing: Placement,
     opening: Option<Opening>,
     ready: VecDeque<Bytes>,
     has_first: bool,
     is_over: bool,
-    last_bytes: Moment,
+    last_bytes: MonotonicInstant,
 }
 
 impl CarriedStream {
@@ -565,7 +570,7 @@
                     request: self.way.call.id.clone(),
                 }));
         }
-        self.way.trip.errand.carried(ChartInput::Give);
+        self.way.trip.attempts.carried(RequestInput::Give);
         self.ready.push_back(event.bytes);
     }
 
@@ -573,21 +578,21 @@
     fn tear(&mut self, why: String) -> Pull {
         self.opening = None;
         self.way.ended(Outcome::Failed);
-        let output = self.way.trip.errand.step(ErrandInput::Tear(why));
+        let output = self.way.trip.attempts.step(AttemptInput::Tear(why));
         let gone = match output {
-            ErrandOutput::Cut(why) => Gone::Cut(why),
+            AttemptOutput::Cut(why) => Gone::Cut(why),
             other => self.way.go(other),
         };
         match gone {
-            Gone::Opened(placing, opening) => {
-                Tallies::more(&self.way.forwarder.shared.tallies.resumed);
+            Gone::RecoveredStorage(placing, opening) => {
+                Metrics::more(&self.way.forwarder.shared.metrics.resumed);
                 self.placing = placing;
                 self.opening = Some(opening);
                 self.has_first = false;
                 self.last_bytes = Clock::now();
                 Pull::Nothing
             }
-            Gone::Told(denial) => self.cut(&denial.why),
+            Gone::Told(rejection) => self.cut(&rejection.why),
             Gone::Cut(why) => self.cut(&why),
         }
     }
@@ -599,7 +604,7 @@
             self.way.call.id
         );
         self.is_over = true;
-        Tallies::more(&self.way.forwarder.shared.tallies.broken);
+        Metrics::more(&self.way.forwarder.shared.metrics.broken);
         if self.way.forwarder.is_mutant(Mutant::EndTorn) {
             Pull::End
         } else {
@@ -638,9 +643,9 @@
                 opening.line.keep();
             }
             self.is_over = true;
-            self.way.trip.errand.carried(ChartInput::Finish);
+            self.way.trip.attempts.carried(RequestInput::Finish);
             self.way.ended(Outcome::Complete);
-            Tallies::more(&self.way.forwarder.shared.tallies.complete);
+            Metrics::more(&self.way.forwarder.shared.metrics.complete);
             return if rest.is_empty() {
                 Pull::End
             } else {
@@ -653,8 +658,8 @@
             return self.cut("the deadline has passed");
         }
         // A server that fell silent in mid-stream is left where another may take the stream up.
-        let silent_from = self.last_bytes + Span(self.way.gap.0.max(400) * 4);
-        let may_go_on = self.way.trip.errand.chart().may_go_on();
+        let silent_from = self.last_bytes + Milliseconds(self.way.gap.0.max(400) * 4);
+        let may_go_on = self.way.trip.attempts.request_state().may_go_on();
         if now >= silent_from && may_go_on {
             return self.tear("it fell silent in mid-stream".into());
         }
@@ -698,7 +703,7 @@
         if !self.is_over {
             // The client has gone; closing the line frees its server.
             self.way.ended(Outcome::Cancelled);
-            Tallies::more(&self.way.forwarder.shared.tallies.gone);
+            Metrics::more(&self.way.forwarder.shared.metrics.gone);
         }
     }
 }
--- a/crates/router/src/forward/detached.rs
+++ b/crates/router/src/forward/detached.rs
@@ -4,13 +4,13 @@
 use super::Forwarder;
 use crate::call::CallDialect;
 use crate::control_event::ControlEvent;
-use crate::node::{Denial, NodeInput, PlaceAsk, Placing};
+use crate::node::{NodeInput, Placement, PlacementRequest, Rejection};
 use crate::shared::Shared;
 use config::Plan;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
-use transport::{Lines, LinesBounds, Request, Response};
-use types::Epoch;
+use transport::{ConnectionPool, ConnectionPoolBounds, Request, Response};
+use types::ConfigEpoch;
 
 /// Requests that it takes at once.
 const BOUND: u64 = 64;
@@ -18,13 +18,13 @@
 /// The answer to the question where a request goes.
 pub struct Placed {
     /// To there, or nowhere.
-    pub outcome: Result<Placing, Denial>,
+    pub outcome: Result<Placement, Rejection>,
     /// The epoch that has come into force by the time the request would be sent.
-    pub in_force: Epoch,
+    pub in_force: ConfigEpoch,
 }
 
 /// Chooses the servers.
-pub type Placer = Box<dyn FnMut(&PlaceAsk) -> Placed + Send>;
+pub type Placer = Box<dyn FnMut(&PlacementRequest) -> Placed + Send>;
 
 /// A forwarder without a node.
 #[derive(Clone)]
@@ -37,7 +37,7 @@
     pub fn start(
         dialect: Arc<dyn CallDialect>,
         plan: &Arc<Plan>,
-        bounds: LinesBounds,
+        bounds: ConnectionPoolBounds,
         mut placer: Placer,
     ) -> std::io::Result<Self> {
         let (control, inbox) = flume::unbounded();
@@ -61,7 +61,7 @@
         let forwarder = Forwarder {
             shared,
             dialect,
-            lines: Lines::new(bounds),
+            lines: ConnectionPool::new(bounds),
             #[cfg(test)]
             mutant: None,
         };
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/forward/tests.rs
@@ -3,16 +3,18 @@
 use super::*;
 use crate::call::{Access, Call, CallDialect, Sending, ServerLoad};
 use crate::control_event::ControlEvent;
-use crate::judgement::{AnswerClaim, AnswerIdentity};
-use crate::node::{Denial, NodeInput, PlaceAsk, Placing};
+use crate::node::{NodeInput, Placement, PlacementRequest, Rejection};
+use crate::response_validation::{AnswerIdentity, ClaimedIdentity};
 use crate::token::run_id;
 use config::parse_plan;
-use placement::{Demand, Event, Outcome, ServerEntry};
+use placement::{Event, Outcome, RequestCost, ServerEntry};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
-use transport::{Gate, GateBounds, Lines, LinesBounds, Request, Response};
-use types::{ApiKey, Clock, Epoch, RequestId, ResultCode, ServerName, Span};
+use transport::{
+    ConnectionPool, ConnectionPoolBounds, HttpServer, HttpServerBounds, Request, Response,
+};
+use types::{ApiKey, Clock, ConfigEpoch, Milliseconds, RequestId, ResultCode, ServerName};
 use yare::parameterized;
 
 /// Nothing is judged by it: it ends a test that would hang.
@@ -23,11 +25,11 @@
 pub(crate) struct Plain;
 
 impl CallDialect for Plain {
-    fn read(&self, request: Request) -> Result<Call, Denial> {
-        let deny = |why: &str| Denial {
+    fn read(&self, request: Request) -> Result<Call, Rejection> {
+        let deny = |why: &str| Rejection {
             code: ResultCode::BadRequest,
             why: why.into(),
-            retry_after: Span(0),
+            retry_after: Milliseconds(0),
         };
         let number = |name: &str| request.header(name).and_then(|value| value.parse().ok());
         let id = RequestId::from(request.header("x-call").ok_or_else(|| deny("no id"))?);
@@ -35,12 +37,15 @@
         let request_key = request
             .header("authorization")
             .and_then(ApiKey::from_bearer);
-        let (left, after) = (Span(number("x-wait").unwrap_or(20_000)), number("x-after"));
+        let (left, after) = (
+            Milliseconds(number("x-wait").unwrap_or(20_000)),
+            number("x-after"),
+        );
         let (method, target, mut headers, body) = request.into_parts();
         for name in ["x-wait", "x-after", "connection", "content-length"] {
             headers.remove(name);
         }
-        let demand = Demand::default();
+        let demand = RequestCost::default();
         let api_key = request_key;
         Ok(Call {
             id,
@@ -56,15 +61,15 @@
             demand,
         })
     }
-    fn refuse(&self, id: Option<&RequestId>, denial: &Denial) -> Response {
+    fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
         let response = Response::passed(
-            denial.code.http_status(),
+            rejection.code.http_status(),
             http::HeaderMap::new(),
-            denial.code.word(),
+            rejection.code.word(),
         )
         .with_header("x-call", id.map_or("", RequestId::as_str));
-        if denial.code.comes_back().is_some() {
-            response.retry_after(denial.retry_after.max(Span(50)))
+        if rejection.code.comes_back().is_some() {
+            response.retry_after(rejection.retry_after.max(Milliseconds(50)))
         } else {
             response
         }
@@ -93,14 +98,14 @@
             _ => AnswerIdentity::Other,
         }
     }
-    fn claim(&self, head: &http::response::Parts) -> AnswerClaim {
+    fn claim(&self, head: &http::response::Parts) -> ClaimedIdentity {
         match head.status.as_u16() {
-            ..200 => AnswerClaim::Nothing,
-            421 => AnswerClaim::Elsewhere,
-            _ if head.headers.contains_key("x-unrun") => AnswerClaim::NotRun,
-            200..300 if head.headers.contains_key("x-mark") => AnswerClaim::Success,
-            200..300 => AnswerClaim::Nothing,
-            _ => AnswerClaim::Failure,
+            ..200 => ClaimedIdentity::Nothing,
+            421 => ClaimedIdentity::Elsewhere,
+            _ if head.headers.contains_key("x-unrun") => ClaimedIdentity::NotRun,
+            200..300 if head.headers.contains_key("x-mark") => ClaimedIdentity::Success,
+            200..300 => ClaimedIdentity::Nothing,
+            _ => ClaimedIdentity::Failure,
         }
     }
     fn load(&self, head: &http::response::Parts) -> Option<ServerLoad> {
@@ -206,17 +211,17 @@
             heard: flume::unbounded().1,
         }
     }
-    fn placing(&self, may_repeat: bool) -> Placing {
-        Placing {
+    fn placing(&self, may_repeat: bool) -> Placement {
+        Placement {
             server: self.name.into(),
             address: self.address.to_string(),
-            expected: Span(20_000),
+            expected: Milliseconds(20_000),
             run: run_id([7; 16]),
             token: None,
             may_repeat,
-            first_token: Span(2000),
-            epoch: Epoch(1),
-            life: None,
+            first_token: Milliseconds(2000),
+            epoch: ConfigEpoch(1),
+            incarnation: None,
             access: Access::Unrestricted,
         }
     }
@@ -318,7 +323,7 @@
         round: u32,
         tried: Vec<ServerName>,
         may_have_run: bool,
-        deadline: Span,
+        deadline: Milliseconds,
     },
     First,
     Ended(Outcome),
@@ -330,7 +335,7 @@
 }
 
 /// One answer of the scheduler; it may change what is shared before.
-type Word = Box<dyn FnOnce(&Shared) -> Result<Placing, Denial> + Send>;
+type Word = Box<dyn FnOnce(&Shared) -> Result<Placement, Rejection> + Send>;
 
 fn goes_to(server: &Server, may_repeat: bool) -> Word {
     let placing = server.placing(may_repeat);
@@ -338,10 +343,10 @@
 }
 fn denied(code: ResultCode, retry_after: u64) -> Word {
     Box::new(move |_| {
-        Err(Denial {
+        Err(Rejection {
             code,
             why: "scripted".into(),
-            retry_after: Span(retry_after),
+            retry_after: Milliseconds(retry_after),
         })
     })
 }
@@ -357,7 +362,7 @@
         for event in events {
             let one = match event {
                 ControlEvent::Place(NodeInput::Place(ask), response) => {
-                    let PlaceAsk {
+                    let PlacementRequest {
                         round,
                         tried,
                         may_have_run,
@@ -448,10 +453,10 @@
         let plan = parse_plan(plan.to_string().as_bytes()).expect("a good plan");
         shared.take_detached_plan(&Arc::new(plan));
         let told = control(&shared, inbox, words);
-        let lines = Lines::new(LinesBounds {
+        let lines = ConnectionPool::new(ConnectionPoolBounds {
             per_address: 8,
             idle_per_address: 4,
-            idle_span: Span::seconds(20),
+            idle_span: Milliseconds::seconds(20),
         });
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
@@ -459,13 +464,13 @@
             lines,
             mutant,
         });
-        let gate = Gate::open(
+        let http_server = HttpServer::open(
             "127.0.0.1:0".parse().expect("an address"),
-            GateBounds::default(),
+            HttpServerBounds::default(),
         )
         .expect("a gate");
-        let address = gate.address().0;
-        std::thread::spawn(move || gate.serve(move |request| forwarder.respond(request)));
+        let address = http_server.address().0;
+        std::thread::spawn(move || http_server.serve(move |request| forwarder.respond(request)));
         Stage {
             address,
             told,
@@ -719,7 +724,7 @@
             round,
             tried: tried(round),
             may_have_run: false,
-            deadline: Span(20_000),
+            deadline: Milliseconds(20_000),
         };
         assert!(told.contains(&asked), "{told:?} lacks {asked:?}");
     }
@@ -893,7 +898,7 @@
         round: 1,
         tried: vec!["a".into()],
         may_have_run: true,
-        deadline: Span(20_000),
+        deadline: Milliseconds(20_000),
     };
     assert!(told.contains(&second), "{told:?}");
 }
@@ -924,7 +929,7 @@
     let old = Server::start("a", vec![vec![whole("first")], vec![not_it]]);
     let well = Server::start("b", vec![vec![whole("well")]]);
     // The list gives the address to another server; the connection to the old one still rests.
-    let placing = Placing {
+    let placing = Placement {
         server: "c".into(),
         ..old.placing(false)
     };
@@ -993,8 +998,7 @@
         second <= first && first <= least && second > 0,
         "{first} {second}"
     );
-    let is_told =
-        |told: &Told| matches!(told, Told::Asked { deadline, .. } if *deadline == Span(least));
+    let is_told = |told: &Told| matches!(told, Told::Asked { deadline, .. } if *deadline == Milliseconds(least));
     assert_eq!(stage.told().iter().filter(|told| is_told(told)).count(), 2);
 }
 
@@ -1044,8 +1048,8 @@
         shared.epoch.store(2, Ordering::SeqCst);
         Ok(placing)
     });
-    let placing = Placing {
-        epoch: Epoch(2),
+    let placing = Placement {
+        epoch: ConfigEpoch(2),
         ..new.placing(false)
     };
     let route = Route {
@@ -1063,7 +1067,7 @@
         round: 0,
         tried: vec![],
         may_have_run: false,
-        deadline: Span(20_000),
+        deadline: Milliseconds(20_000),
     };
     let is_no_failure = told.iter().filter(|told| **told == anew).count() == 2;
     answer.body == "new" && old.count() == 0 && is_no_failure
@@ -1343,7 +1347,7 @@
     stage
         .shared
         .ends_at
-        .store((Clock::now() + Span(10_000)).0, Ordering::SeqCst);
+        .store((Clock::now() + Milliseconds(10_000)).0, Ordering::SeqCst);
     let answer = stage.ask(headers);
     assert_eq!(answer.status, if is_taken { 200 } else { 503 });
     assert_eq!(
@@ -1382,8 +1386,8 @@
         (401, "unauthorized", 0)
     );
     assert!(!answer.has("retry-after"));
-    assert_eq!(stage.shared.tallies.unauthorized.load(Ordering::Relaxed), 1);
-    assert!(!stage.shared.tallies.text().contains("s3cret"));
+    assert_eq!(stage.shared.metrics.unauthorized.load(Ordering::Relaxed), 1);
+    assert!(!stage.shared.metrics.text().contains("s3cret"));
 }
 
 #[test]
--- a/crates/router/src/ingress.rs
+++ b/crates/router/src/ingress.rs
@@ -7,21 +7,24 @@
 use crate::shared::Shared;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use transport::{Gate, GateBounds, GateCloser, Lines, LinesBounds, Request, Response};
-use types::{Address, Clock, ResultCode, Span};
+use transport::{
+    ConnectionPool, ConnectionPoolBounds, HttpServer, HttpServerBounds, HttpServerCloser, Request,
+    Response,
+};
+use types::{Address, Clock, Milliseconds, ResultCode};
 
 /// Open doors: one for clients, one for the question whether this node is ready.
 pub(crate) struct Ingress {
-    closers: Vec<GateCloser>,
+    closers: Vec<HttpServerCloser>,
     open_count: Arc<AtomicUsize>,
     /// Where clients reach it, and where its readiness is told.
     #[cfg(test)]
     pub addresses: (Address, Address),
 }
 
-const START_LOOK: Span = Span(5);
+const START_LOOK: Milliseconds = Milliseconds(5);
 
-fn await_ready(shared: &Shared, patience: Span) {
+fn await_ready(shared: &Shared, patience: Milliseconds) {
     let deadline = Clock::now() + patience;
     while !shared.is_ready.load(Ordering::SeqCst) && Clock::now() < deadline {
         std::thread::sleep(START_LOOK.duration());
@@ -37,34 +40,34 @@
     ) -> Result<Ingress, String> {
         let listen: Address = settings.ingress.parse()?;
         let probed: Address = settings.readiness.parse()?;
-        let bounds = GateBounds {
+        let bounds = HttpServerBounds {
             connections: settings.requests as usize * 2 + 64,
             body_bytes: 8 << 20,
-            read_span: Span::seconds(10),
+            read_span: Milliseconds::seconds(10),
             keep_alive: true,
-            idle_span: Span::seconds(30),
+            idle_span: Milliseconds::seconds(30),
             header_bytes: 64 << 10,
-            ..GateBounds::default()
+            ..HttpServerBounds::default()
         };
-        let gate =
-            Gate::open(listen.0, bounds).map_err(|fault| format!("ingress = {listen}: {fault}"))?;
-        let bounds = GateBounds {
+        let http_server = HttpServer::open(listen.0, bounds)
+            .map_err(|fault| format!("ingress = {listen}: {fault}"))?;
+        let bounds = HttpServerBounds {
             connections: 32,
             body_bytes: 1 << 10,
             ..bounds
         };
-        let probe_gate = Gate::open(probed.0, bounds)
+        let probe_gate = HttpServer::open(probed.0, bounds)
             .map_err(|fault| format!("readiness = {probed}: {fault}"))?;
-        let lines = Lines::new(LinesBounds {
+        let lines = ConnectionPool::new(ConnectionPoolBounds {
             per_address: MOST_TO_ONE_SERVER,
             idle_per_address: MOST_TO_ONE_SERVER / 2,
-            idle_span: Span::seconds(20),
+            idle_span: Milliseconds::seconds(20),
         });
-        let limits = CallLimits::new(gate.limiter(), lines.clone());
+        let limits = CallLimits::new(http_server.limiter(), lines.clone());
         if shared.limits.set(Arc::new(limits)).is_err() {
             return Err("a node has one gate of clients".into());
         }
-        let (shared_by_gate, patience) = (shared.clone(), Span(settings.start_wait_ms));
+        let (shared_by_gate, patience) = (shared.clone(), Milliseconds(settings.start_wait_ms));
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
             dialect: dialect.clone(),
@@ -72,11 +75,14 @@
             #[cfg(test)]
             mutant: None,
         });
-        let addresses = (gate.address(), probe_gate.address());
-        let (closers, open_count) = (vec![gate.closer(), probe_gate.closer()], gate.open_count());
+        let addresses = (http_server.address(), probe_gate.address());
+        let (closers, open_count) = (
+            vec![http_server.closer(), probe_gate.closer()],
+            http_server.open_count(),
+        );
         let serve = move || {
             await_ready(&shared_by_gate, patience);
-            gate.serve(move |request| forwarder.respond(request));
+            http_server.serve(move |request| forwarder.respond(request));
         };
         std::thread::Builder::new()
             .name("ingress".into())
@@ -113,7 +119,7 @@
     }
     /// No more connections are taken.
     pub fn close(&self) {
-        self.closers.iter().for_each(GateCloser::close);
+        self.closers.iter().for_each(HttpServerCloser::close);
     }
     /// How many connections of clients are open.
     pub fn open_count(&self) -> usize {
--- a/crates/router/src/ingress/tests.rs
+++ b/crates/router/src/ingress/tests.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Duration;
-use types::{Address, Moment, Span};
+use types::{Address, Milliseconds, MonotonicInstant};
 
 /// Nothing is judged by it: it ends a test that would hang.
 const GUARD: Duration = Duration::from_secs(30);
@@ -75,7 +75,7 @@
     send(&early, "/p/x");
     // Were it read now, it would be told that this node may not act.
     assert!(probe(&ingress, "/probe").starts_with("HTTP/1.1 503"));
-    assert_eq!(shared.tallies.received.load(SeqCst), 0);
+    assert_eq!(shared.metrics.received.load(SeqCst), 0);
     let plan = parse_plan(br#"{"services": {}}"#).expect("a plan");
     shared.take_detached_plan(&Arc::new(plan));
     shared.may_act_until.store(u64::MAX, SeqCst);
@@ -135,9 +135,12 @@
     let client = connect(ingress.addresses.0);
     send(&client, "/p/x");
     answer(&client);
-    let arrived = Moment(shared.arrived.load(SeqCst));
-    assert!(arrived > Moment(0));
-    assert!(!shared.is_quiet(arrived + Span(1000)) && shared.is_quiet(arrived + Span(1500)));
+    let arrived = MonotonicInstant(shared.arrived.load(SeqCst));
+    assert!(arrived > MonotonicInstant(0));
+    assert!(
+        !shared.is_quiet(arrived + Milliseconds(1000))
+            && shared.is_quiet(arrived + Milliseconds(1500))
+    );
 }
 
 /// Posts a body on a kept connection; gives the status.
--- a/crates/router/src/interface.rs
+++ b/crates/router/src/interface.rs
@@ -48,8 +48,8 @@
     /// Whether the run goes on, and its pieces are kept for a while, when nobody reads it.
     pub keep: bool,
     /// The life of the server that it's meant for: any other refuses it unrun. `None`: whichever has it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub life: Option<u64>,
+    #[serde(rename = "life", default, skip_serializing_if = "Option::is_none")]
+    pub incarnation: Option<u64>,
 }
 
 /// One line of a server's stream.
--- a/crates/router/src/journal.rs
+++ b/crates/router/src/journal.rs
@@ -7,12 +7,12 @@
 /// Invariant: each line has a number, from 1 without gaps; what is no more kept is told as a gap,
 /// never left out silently.
 pub struct Journal {
-    lines: Mutex<Lines>,
-    news: Condvar,
+    lines: Mutex<ConnectionPool>,
+    update: Condvar,
     bound: usize,
 }
 
-struct Lines {
+struct ConnectionPool {
     first: u64,
     kept: VecDeque<String>,
 }
@@ -21,11 +21,11 @@
     /// Keeps this many lines.
     pub fn new(bound: usize) -> Self {
         Journal {
-            lines: Mutex::new(Lines {
+            lines: Mutex::new(ConnectionPool {
                 first: 1,
                 kept: VecDeque::new(),
             }),
-            news: Condvar::new(),
+            update: Condvar::new(),
             bound,
         }
     }
@@ -38,7 +38,7 @@
             lines.kept.pop_front();
             lines.first += 1;
         }
-        self.news.notify_all();
+        self.update.notify_all();
     }
     /// Lines after this number, after waiting at most `patience` for one, and the new cursor.
     pub fn after(&self, cursor: u64, most: usize, patience: Duration) -> (Vec<String>, u64) {
@@ -53,7 +53,7 @@
                 break;
             }
             lines = self
-                .news
+                .update
                 .wait_timeout(lines, left)
                 .expect("no thread panics with it")
                 .0;
--- a/crates/router/src/list_reader.rs
+++ b/crates/router/src/list_reader.rs
@@ -6,11 +6,11 @@
 use placement::ServerEntry;
 use std::sync::Arc;
 use std::time::Duration;
-use transport::{Lines, LinesBounds, Waits};
-use types::{Address, Clock, Moment, Span};
+use transport::{ConnectionPool, ConnectionPoolBounds, Waits};
+use types::{Address, Clock, Milliseconds, MonotonicInstant};
 
 /// A page comes within this.
-const PATIENCE: Span = Span(700);
+const PATIENCE: Milliseconds = Milliseconds(700);
 const PAGE_MOST: usize = 8 << 20;
 const PAGES_MOST: usize = 100;
 /// What the platform answers to calls beyond its rate.
@@ -18,7 +18,7 @@
 /// A page that was refused for that is asked for again after this,
 const PAGE_PAUSE: Duration = Duration::from_millis(200);
 /// until the reading has taken so long.
-const PERSISTS_FOR: Span = Span(3000);
+const PERSISTS_FOR: Milliseconds = Milliseconds(3000);
 
 /// Starts the thread. It reads the list whenever it's asked to, and tells what came of it.
 pub(crate) fn start(
@@ -26,10 +26,10 @@
     dialect: Arc<dyn CallDialect>,
     tell: impl Fn(ListReading) + Send + 'static,
 ) -> std::io::Result<flume::Sender<ReadEffort>> {
-    let lines = Lines::new(LinesBounds {
+    let lines = ConnectionPool::new(ConnectionPoolBounds {
         per_address: 2,
         idle_per_address: 1,
-        idle_span: Span::seconds(20),
+        idle_span: Milliseconds::seconds(20),
     });
     let (sender, asks) = flume::bounded(1);
     let read = move || {
@@ -68,11 +68,11 @@
 
 /// Reads the list once, page by page.
 struct PageReader<'a> {
-    lines: &'a Lines,
+    lines: &'a ConnectionPool,
     list: Address,
     dialect: &'a dyn CallDialect,
     /// Until then a page that was refused for too many calls is asked for again.
-    give_up_at: Moment,
+    give_up_at: MonotonicInstant,
 }
 
 impl PageReader<'_> {
@@ -104,7 +104,7 @@
     fn ask(&self, page: Option<&str>) -> Result<(u16, Bytes), String> {
         let deadline = Clock::now() + PATIENCE;
         let waits = Waits {
-            connect: Span(300),
+            connect: Milliseconds(300),
             head_deadline: deadline,
             may_leave: &|| true,
             client: None,
--- a/crates/router/src/list_reader/tests.rs
+++ b/crates/router/src/list_reader/tests.rs
@@ -2,14 +2,15 @@
 use crate::forward::tests::Plain;
 use crate::server_list::{ListReading, ReadEffort};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use transport::{Gate, GateBounds, Request, Response};
+use transport::{HttpServer, HttpServerBounds, Request, Response};
 use types::Address;
 use yare::parameterized;
 
 /// A platform of two pages that refuses so many calls before it answers the second.
 fn platform(refusals: usize) -> (Address, Arc<AtomicUsize>) {
-    let gate = Gate::open(Address::loopback(0).0, GateBounds::default()).expect("a gate");
-    let address = gate.address();
+    let http_server =
+        HttpServer::open(Address::loopback(0).0, HttpServerBounds::default()).expect("a gate");
+    let address = http_server.address();
     let calls = Arc::new(AtomicUsize::new(0));
     let counted = calls.clone();
     let answer = move |request: Request| {
@@ -20,7 +21,7 @@
             _ => Response::whole(200, "text/plain", "two"),
         }
     };
-    std::thread::spawn(move || gate.serve(answer));
+    std::thread::spawn(move || http_server.serve(answer));
     (address, calls)
 }
 
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -4,8 +4,8 @@
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use transport::{AskError, Heard, ask_get, ask_post, read_all};
-use types::{Address, ResultCode, Span};
+use transport::{Heard, HttpClientError, http_get, http_post, read_all};
+use types::{Address, Milliseconds, ResultCode};
 
 /// The data plane of cobaltfall: takes clients' requests and carries their streams.
 #[derive(Debug, Parser)]
@@ -101,10 +101,10 @@
         Task::Decisions(tail) => copy_out(&tail, "decisions"),
         Task::Events(tail) => copy_out(&tail, "events"),
         Task::Push { at } => push(at),
-        Task::Believes { at } => show(ask_get(
+        Task::Believes { at } => show(http_get(
             &format!("http://{at}/v1/believes"),
-            Span(1000),
-            Span(6000),
+            Milliseconds(1000),
+            Milliseconds(6000),
         )),
         Task::Replay => replay(std::io::stdin().lock(), std::io::stdout().lock()),
     };
@@ -120,8 +120,8 @@
 fn copy_out(tail: &Tail, what: &str) -> Result<(), String> {
     let Tail { at, after, follow } = tail;
     let url = format!("http://{at}/v1/{what}?after={after}&follow={follow}");
-    let mut response =
-        ask_get(&url, Span(1000), Span::seconds(3600)).map_err(|fault| fault.to_string())?;
+    let mut response = http_get(&url, Milliseconds(1000), Milliseconds::seconds(3600))
+        .map_err(|fault| fault.to_string())?;
     let mut out = std::io::stdout().lock();
     let mut buffer = [0u8; 16 << 10];
     loop {
@@ -142,15 +142,15 @@
     std::io::stdin()
         .read_to_end(&mut body)
         .map_err(|fault| fault.to_string())?;
-    show(ask_post(
+    show(http_post(
         &format!("http://{at}/v1/events"),
         body,
-        Span(1000),
-        Span(6000),
+        Milliseconds(1000),
+        Milliseconds(6000),
     ))
 }
 
-fn show(outcome: Result<Heard, AskError>) -> Result<(), String> {
+fn show(outcome: Result<Heard, HttpClientError>) -> Result<(), String> {
     let response = outcome.map_err(|fault| fault.to_string())?;
     let is_good = response.status() == 200;
     let body = read_all(response, 16 << 20).map_err(|fault| fault.to_string())?;
--- a/crates/router/src/tallies.rs
+++ b/crates/router/src/metrics.rs
@@ -1,15 +1,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use types::ResultCode;
 
-macro_rules! tallies {
+macro_rules! metrics {
     ($($(#[$meta:meta])* $name:ident: $kind:literal,)*) => {
         /// What a router counts.
         #[derive(Debug, Default)]
-        pub struct Tallies {
+        pub struct Metrics {
             $($(#[$meta])* pub $name: AtomicU64,)*
         }
 
-        impl Tallies {
+        impl Metrics {
             /// As metrics text.
             pub fn text(&self) -> String {
                 let mut text = String::new();
@@ -23,7 +23,7 @@
     };
 }
 
-tallies! {
+metrics! {
     /// Requests read.
     received: "counter",
     /// Streams and pages that ended whole.
@@ -62,18 +62,18 @@
     gone: "counter",
 }
 
-impl Tallies {
+impl Metrics {
     /// A request is turned away, or its fate is unknown.
     pub fn refuse(&self, code: ResultCode) {
-        Tallies::more(if code.is_refusal() {
+        Metrics::more(if code.is_refusal() {
             &self.refused
         } else {
             &self.unknown
         });
         match code {
-            ResultCode::Unauthorized => Tallies::more(&self.unauthorized),
-            ResultCode::OverQuota => Tallies::more(&self.over_quota),
-            ResultCode::QuotaUnknown => Tallies::more(&self.quota_unknown),
+            ResultCode::Unauthorized => Metrics::more(&self.unauthorized),
+            ResultCode::OverQuota => Metrics::more(&self.over_quota),
+            ResultCode::QuotaUnknown => Metrics::more(&self.quota_unknown),
             _ => {}
         }
     }
