--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,42 +1,47 @@
 use crate::dissemination::{DigestTiming, Dissemination};
 use crate::server_list::{ListOutput, ListPeers, ListTiming, ServerList};
 use config::{KeyHasher, Plan, TenantTable};
-use placement::{Dated, Decision, Digest, Event, FLEET, Scheduler, SchedulerRules, ServerEntry};
-use quota::{CreditHolder, HeldCredit};
+use placement::{
+    Decision, Digest, Event, FLEET, Scheduler, SchedulerRules, ServerEntry, Timestamped,
+};
+use quota::{QuotaClient, ReservedCredit};
 use replication::{LeaseState, LeaseStatus};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use types::{Address, Epoch, Moment, RequestId, ServerName, Span, TokenKey, ViewEpoch, ZoneName};
-use wire::{Letter, Member, News};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName, TokenKey,
+    ViewNumber, ZoneName,
+};
+use wire::{ConfigUpdate, Member, Message};
 
+mod config_updates;
 mod credit;
 mod messages;
-mod news;
 mod placing;
 mod polling;
 
-pub use messages::{Denial, KvTask, NodeInput, NodeOutput, PlaceAsk, Placing};
+pub use messages::{KvTask, NodeInput, NodeOutput, Placement, PlacementRequest, Rejection};
 pub use placing::resume_id;
 
 /// The spans that a node goes by.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeTiming {
     /// Between polls.
-    pub poll: Span,
+    pub poll: Milliseconds,
     /// With less than this left of the lease, members are checked.
-    pub peer_check_from: Span,
+    pub peer_check_from: Milliseconds,
     /// Between peer checks.
-    pub peer_check: Span,
+    pub peer_check: Milliseconds,
     /// Between peer checks of one that is alone, at most.
-    pub peer_check_alone: Span,
+    pub peer_check_alone: Milliseconds,
     /// A peer counts as checked for this long.
-    pub peer_check_life: Span,
+    pub peer_check_life: Milliseconds,
     /// Between the scheduler's ticks.
-    pub tick: Span,
+    pub tick: Milliseconds,
     /// A poll without an answer is given up after this.
-    pub poll_deadline: Span,
+    pub poll_deadline: Milliseconds,
     /// Without a clock event for this long, the machine slept.
-    pub slept: Span,
+    pub slept: Milliseconds,
     /// Of digests.
     pub digest: DigestTiming,
 }
@@ -44,14 +49,14 @@
 impl Default for NodeTiming {
     fn default() -> Self {
         NodeTiming {
-            poll: Span(1000),
-            peer_check_from: Span(600),
-            peer_check: Span(400),
-            peer_check_alone: Span(1600),
-            peer_check_life: Span(1000),
-            tick: Span(250),
-            poll_deadline: Span(400),
-            slept: Span(1000),
+            poll: Milliseconds(1000),
+            peer_check_from: Milliseconds(600),
+            peer_check: Milliseconds(400),
+            peer_check_alone: Milliseconds(1600),
+            peer_check_life: Milliseconds(1000),
+            tick: Milliseconds(250),
+            poll_deadline: Milliseconds(400),
+            slept: Milliseconds(1000),
             digest: DigestTiming::default(),
         }
     }
@@ -68,52 +73,52 @@
     zone: ZoneName,
     incarnation: u64,
     timing: NodeTiming,
-    now: Moment,
+    now: MonotonicInstant,
     lease_state: LeaseState,
     scheduler: Scheduler,
     plan: Option<Arc<Plan>>,
     plan_bytes: Arc<Vec<u8>>,
-    plan_epoch: Epoch,
+    plan_epoch: ConfigEpoch,
     /// Stands for keys in this life.
     key_hasher: KeyHasher,
     /// Of the plan held.
     tenants: Arc<TenantTable>,
     /// What may be let in of each tenant.
-    credit: CreditHolder,
+    credit: QuotaClient,
     /// Requests that wait for credit, by their numbers.
-    waiting_for_credit: BTreeMap<u64, PlaceAsk>,
+    waiting_for_credit: BTreeMap<u64, PlacementRequest>,
     withdrawn: Vec<ZoneName>,
     members: Vec<Member>,
     /// The epoch at which they became these.
-    members_since: Epoch,
+    members_since: ConfigEpoch,
     /// How long leases run.
-    lease_span: Span,
+    lease_span: Milliseconds,
     seeds: Vec<Address>,
     voters: Vec<Address>,
     /// Whose voters they are.
-    view: ViewEpoch,
+    view: ViewNumber,
     target: usize,
     tail: Option<Address>,
     poll_round: u64,
-    polled: Option<Moment>,
-    next_poll: Moment,
+    polled: Option<MonotonicInstant>,
+    next_poll: MonotonicInstant,
     fetching: Option<Fetching>,
     peer_check_round: u64,
-    peer_checks: VecDeque<(u64, Moment)>,
-    next_peer_check: Moment,
-    peer_check_pause: Span,
+    peer_checks: VecDeque<(u64, MonotonicInstant)>,
+    next_peer_check: MonotonicInstant,
+    peer_check_pause: Milliseconds,
     /// When others were last heard.
-    heard: BTreeMap<Address, Moment>,
-    news_asked: Moment,
+    heard: BTreeMap<Address, MonotonicInstant>,
+    news_asked: MonotonicInstant,
     dissemination: Dissemination,
-    next_tick: Moment,
-    last_event: Moment,
+    next_tick: MonotonicInstant,
+    last_event: MonotonicInstant,
     has_server_list: bool,
     /// How the platform's list is known, unless it comes as [`Event::ServerList`].
     server_list: Option<ServerList>,
     /// Where the listed servers are reached whose names are not their addresses.
     addresses: BTreeMap<ServerName, String>,
-    list_awaited_until: Option<Moment>,
+    list_awaited_until: Option<MonotonicInstant>,
     is_draining: bool,
     /// What tokens are sealed and opened with.
     key: Option<TokenKey>,
@@ -129,11 +134,11 @@
 /// News whose plan is still coming.
 #[derive(Clone)]
 struct Fetching {
-    news: News,
-    lease_deadline: Option<Moment>,
+    update: ConfigUpdate,
+    lease_deadline: Option<MonotonicInstant>,
     from: Address,
     bytes: Vec<u8>,
-    asked: Moment,
+    asked: MonotonicInstant,
     /// Whether all of it has come and is being read.
     is_whole: bool,
 }
@@ -147,7 +152,7 @@
         incarnation: u64,
         timing: NodeTiming,
         scheduler_rules: SchedulerRules,
-        now: Moment,
+        now: MonotonicInstant,
     ) -> Self {
         let mut scheduler = Scheduler::new(own, incarnation, scheduler_rules);
         scheduler.set_zone(zone.clone());
@@ -162,18 +167,18 @@
             scheduler,
             plan: None,
             plan_bytes: Arc::default(),
-            plan_epoch: Epoch(0),
+            plan_epoch: ConfigEpoch(0),
             tenants: Arc::new(TenantTable::new(&[], key_hasher.clone())),
             key_hasher,
-            credit: CreditHolder::new(incarnation, now),
+            credit: QuotaClient::new(incarnation, now),
             waiting_for_credit: BTreeMap::new(),
             withdrawn: vec![],
             members: vec![],
-            members_since: Epoch(0),
-            lease_span: Span(0),
+            members_since: ConfigEpoch(0),
+            lease_span: Milliseconds(0),
             seeds,
             voters: vec![],
-            view: ViewEpoch(0),
+            view: ViewNumber(0),
             target: own.0.port() as usize,
             tail: None,
             poll_round: incarnation,
@@ -185,7 +190,7 @@
             next_peer_check: now,
             peer_check_pause: timing.peer_check,
             heard: BTreeMap::new(),
-            news_asked: Moment(0),
+            news_asked: MonotonicInstant(0),
             dissemination: Dissemination::new(own, zone, incarnation, timing.digest, now),
             next_tick: now,
             last_event: now,
@@ -218,10 +223,10 @@
     }
 
     /// Takes an input in; gives what is to be done.
-    pub fn step(&mut self, now: Moment, input: NodeInput) -> Vec<NodeOutput> {
+    pub fn step(&mut self, now: MonotonicInstant, input: NodeInput) -> Vec<NodeOutput> {
         self.now = self.now.max(now);
         match input {
-            NodeInput::Letter { from, letter } => self.on_letter(from, letter),
+            NodeInput::Message { from, message } => self.on_message(from, message),
             NodeInput::Event(Event::ServerList { servers }) => {
                 self.list_awaited_until = None;
                 self.take_server_list(servers);
@@ -262,7 +267,7 @@
     }
 
     /// Until when requests that are placed may be sent; asked again right before each is sent.
-    pub fn may_act_until(&self, now: Moment) -> Moment {
+    pub fn may_act_until(&self, now: MonotonicInstant) -> MonotonicInstant {
         let is_whole = self.plan.is_some()
             && self.key.is_some()
             && self.has_server_list
@@ -272,11 +277,11 @@
         match self.lease_state.may_act_until(now) {
             // Never beyond what the control thread could take back if it's alive.
             Some(deadline) if is_whole => deadline.min(now + self.timing.slept),
-            _ => Moment(0),
+            _ => MonotonicInstant(0),
         }
     }
     /// Whether clients should be sent here.
-    pub fn is_ready(&self, now: Moment) -> bool {
+    pub fn is_ready(&self, now: MonotonicInstant) -> bool {
         !self.is_draining && now < self.may_act_until(now)
     }
     /// Whether it's stopping and nothing is in hand.
@@ -288,11 +293,11 @@
         &self.scheduler
     }
     /// The newest epoch held whole.
-    pub fn epoch(&self) -> Epoch {
+    pub fn epoch(&self) -> ConfigEpoch {
         self.lease_state.epoch()
     }
     /// The epoch of the plan held.
-    pub fn plan_epoch(&self) -> Epoch {
+    pub fn plan_epoch(&self) -> ConfigEpoch {
         self.plan_epoch
     }
     /// The plan held.
@@ -304,7 +309,7 @@
         &self.tenants
     }
     /// Tenants with a quota, and what this node has let in of them.
-    pub fn held_credit(&self) -> Vec<HeldCredit> {
+    pub fn held_credit(&self) -> Vec<ReservedCredit> {
         self.credit.tenants()
     }
     /// How many nodes share the servers, as far as known here.
@@ -324,12 +329,12 @@
         self.open.len()
     }
 
-    fn send(&mut self, to: Address, letter: Letter) {
-        let is_bulk = matches!(letter, Letter::PlanPiece { .. });
+    fn send(&mut self, to: Address, message: Message) {
+        let is_bulk = matches!(message, Message::PlanChunk { .. });
         self.outputs.push(NodeOutput::Send {
             to,
             is_bulk,
-            letter,
+            message,
         });
     }
 
@@ -344,7 +349,7 @@
 
     fn step_list(
         &mut self,
-        step: impl FnOnce(&mut ServerList, Moment, ListPeers) -> Vec<ListOutput>,
+        step: impl FnOnce(&mut ServerList, MonotonicInstant, ListPeers) -> Vec<ListOutput>,
     ) {
         let Some(list) = &mut self.server_list else {
             return;
@@ -363,7 +368,7 @@
         for output in outputs {
             match output {
                 ListOutput::Read(effort) => self.outputs.push(NodeOutput::ReadList(effort)),
-                ListOutput::Send { to, letter } => self.send(to, letter),
+                ListOutput::Send { to, message } => self.send(to, message),
                 ListOutput::Servers(servers) => self.take_server_list(servers),
                 ListOutput::Unheard(collector) => {
                     // One that is there and can't read the list collects digests all the same.
@@ -380,7 +385,7 @@
     }
 
     fn tell_scheduler(&mut self, event: Event) {
-        let dated = Dated {
+        let dated = Timestamped {
             at: self.now,
             event,
         };
@@ -418,7 +423,7 @@
     fn on_clock_event(&mut self) {
         if self.now.since(self.last_event) >= self.timing.slept {
             // What the server list said before may have changed while this machine slept.
-            self.list_awaited_until = Some(self.now + Span(1500));
+            self.list_awaited_until = Some(self.now + Milliseconds(1500));
             self.outputs.push(NodeOutput::Log(
                 "node: the machine slept; the server list is read anew".into(),
             ));
@@ -432,8 +437,8 @@
             self.next_tick = self.now + self.timing.tick;
             self.tell_scheduler(Event::Tick);
             let sketch = self.scheduler.sketch(self.now);
-            let letters = self.dissemination.on_clock(self.now, Digest::of(&sketch));
-            self.send_digests(letters);
+            let messages = self.dissemination.on_clock(self.now, Digest::of(&sketch));
+            self.send_digests(messages);
         }
         let reason = self.lease_state.reason(self.now);
         if reason != self.last_reason {
@@ -448,7 +453,7 @@
     }
 
     /// When the next clock event is due at the latest.
-    pub fn next_timer(&self) -> Moment {
+    pub fn next_timer(&self) -> MonotonicInstant {
         let poll = self
             .polled
             .map_or(self.next_poll, |sent| sent + self.timing.poll_deadline);
@@ -467,11 +472,11 @@
             .min(self.next_tick)
     }
 
-    fn send_digests(&mut self, letters: Vec<(Address, Letter)>) {
-        letters
+    fn send_digests(&mut self, messages: Vec<(Address, Message)>) {
+        messages
             .into_iter()
-            .for_each(|(to, letter)| self.send(to, letter));
-        let Some((life, number, sum)) = self.dissemination.take_news() else {
+            .for_each(|(to, message)| self.send(to, message));
+        let Some((incarnation, number, sum)) = self.dissemination.take_update() else {
             return;
         };
         let servers = self
@@ -479,7 +484,7 @@
             .servers()
             .iter()
             .map(|(name, server)| (name, server.incarnation.unwrap_or(0)));
-        let sketch = sum.sketch(life, number, servers);
+        let sketch = sum.sketch(incarnation, number, servers);
         self.tell_scheduler(Event::PeerSketch {
             from: FLEET,
             sketch,
@@ -491,113 +496,119 @@
         &self.dissemination
     }
 
-    fn on_letter(&mut self, from: Address, letter: Letter) {
+    fn on_message(&mut self, from: Address, message: Message) {
         self.heard.insert(from, self.now);
-        match letter {
-            Letter::PollResponse { round, response } => {
+        match message {
+            Message::LeaseResponse { round, response } => {
                 self.on_poll_response(from, round, *response)
             }
-            Letter::PlanAsk { epoch, offset, .. } => {
-                let piece = Letter::plan_piece(epoch, &self.plan_bytes, offset)
+            Message::PlanRequest { epoch, offset, .. } => {
+                let piece = Message::plan_chunk(epoch, &self.plan_bytes, offset)
                     .filter(|_| epoch == self.plan_epoch);
-                piece.into_iter().for_each(|letter| self.send(from, letter));
+                piece
+                    .into_iter()
+                    .for_each(|message| self.send(from, message));
             }
-            Letter::PlanPiece {
+            Message::PlanChunk {
                 epoch,
                 offset,
                 length,
                 bytes,
             } => {
-                self.on_plan_piece(from, epoch, offset, length, &bytes);
+                self.on_plan_chunk(from, epoch, offset, length, &bytes);
             }
-            Letter::PlanSplice {
-                epoch,
-                base,
-                splice,
-            } => self.on_plan_splice(from, epoch, base, &splice),
-            Letter::News { news } => {
+            Message::PlanDelta { epoch, base, delta } => {
+                self.on_plan_delta(from, epoch, base, &delta)
+            }
+            Message::ConfigUpdate { update } => {
                 if self.lease_state.lease_deadline().is_some() {
-                    self.on_news(from, *news, None);
+                    self.on_config_update(from, *update, None);
                 }
             }
-            Letter::NewsAsk => {
-                if let Some(news) = self.news() {
+            Message::ConfigUpdateRequest => {
+                if let Some(update) = self.update() {
                     self.send(
                         from,
-                        Letter::News {
-                            news: Box::new(news),
+                        Message::ConfigUpdate {
+                            update: Box::new(update),
                         },
                     );
                 }
             }
-            Letter::PeerCheckRequest { round, epoch } => {
+            Message::PeerCheckRequest { round, epoch } => {
                 let known = if self.lease_state.lease_deadline().is_some() {
                     self.lease_state.epoch()
                 } else {
-                    Epoch(0)
+                    ConfigEpoch(0)
                 };
                 self.send(
                     from,
-                    Letter::PeerCheckResponse {
+                    Message::PeerCheckResponse {
                         echo: round,
                         epoch: known,
                     },
                 );
                 self.lease_state.hear(from, epoch);
-                self.ask_news(from, epoch);
+                self.request_config_update(from, epoch);
             }
-            Letter::PeerCheckResponse { echo, epoch } => {
+            Message::PeerCheckResponse { echo, epoch } => {
                 // Counted from when our own letter left that this one answers, so that a letter long
                 // under way proves nothing about now.
                 if let Some((_, sent)) = self
                     .peer_checks
                     .iter()
                     .find(|(own_round, _)| *own_round == echo)
-                    && epoch > Epoch(0)
+                    && epoch > ConfigEpoch(0)
                 {
                     self.lease_state.note_peer_check(from, epoch, *sent);
                 }
                 self.lease_state.hear(from, epoch);
-                self.ask_news(from, epoch);
+                self.request_config_update(from, epoch);
             }
-            Letter::Digest {
+            Message::Digest {
                 leg,
-                life,
+                incarnation,
                 number,
                 is_whole,
                 change,
             } => {
-                let letters = self
-                    .dissemination
-                    .on_digest(self.now, from, leg, life, number, is_whole, &change);
-                self.send_digests(letters);
+                let messages = self.dissemination.on_digest(
+                    self.now,
+                    from,
+                    leg,
+                    incarnation,
+                    number,
+                    is_whole,
+                    &change,
+                );
+                self.send_digests(messages);
             }
-            Letter::DigestAck { leg, number } => {
-                let letters = self.dissemination.on_ack(self.now, from, leg, number);
-                self.send_digests(letters);
+            Message::DigestAck { leg, number } => {
+                let messages = self.dissemination.on_ack(self.now, from, leg, number);
+                self.send_digests(messages);
             }
-            Letter::ListFresh { .. }
-            | Letter::ListChange { .. }
-            | Letter::ListAsk { .. }
-            | Letter::ListPiece { .. } => {
-                self.step_list(|list, now, _| list.on_letter(now, from, &letter))
+            Message::ListFresh { .. }
+            | Message::ListChange { .. }
+            | Message::ServerListRequest { .. }
+            | Message::ServerListChunk { .. } => {
+                self.step_list(|list, now, _| list.on_message(now, from, &message))
             }
-            Letter::CoreLocation { location, .. } => self.on_core_location(from, *location),
-            Letter::CreditGrant { grant } => self.on_credit_grant(from, &grant),
-            Letter::CreditAsk { .. }
-            | Letter::Note { .. }
-            | Letter::Poll { .. }
-            | Letter::Ask { .. }
-            | Letter::Told { .. } => {}
+            Message::CoreLocation { location, .. } => self.on_core_location(from, *location),
+            Message::CreditGrant { grant } => self.on_credit_grant(from, &grant),
+            Message::CreditAsk { .. }
+            | Message::Note { .. }
+            | Message::LeaseRequest { .. }
+            | Message::Ask { .. }
+            | Message::Told { .. } => {}
         }
     }
 }
 
 /// News that was told of, and whose plan has not come, is waited for this long after it was last told of. A
 /// core in reach tells again within it: each poll asks another of its machines.
-const TOLD_FOR: Span = Span(3000);
+const TOLD_FOR: Milliseconds = Milliseconds(3000);
 /// Others that were heard within this time are told of to the core.
-const HEARD_FOR: Span = Span(2000);
+const HEARD_FOR: Milliseconds = Milliseconds(2000);
 
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/node/news.rs
+++ b/crates/router/src/node/config_updates.rs
@@ -4,16 +4,16 @@
 use crate::node::{Node, NodeOutput};
 use config::{Fault, Plan};
 use placement::Event;
-use types::{Address, Epoch, Moment, ResultCode, Span, Splice};
-use wire::{Letter, News};
+use types::{Address, ConfigEpoch, Delta, Milliseconds, MonotonicInstant, ResultCode};
+use wire::{ConfigUpdate, Message};
 
 impl Node {
     /// What is known here, whole.
-    pub(super) fn news(&self) -> Option<News> {
+    pub(super) fn update(&self) -> Option<ConfigUpdate> {
         self.lease_state.lease_deadline()?;
         let (epoch, plan_epoch) = (self.lease_state.epoch(), self.plan_epoch);
         let (withdrawn, members) = (self.withdrawn.clone(), Some(self.members.clone()));
-        Some(News {
+        Some(ConfigUpdate {
             epoch,
             plan_epoch,
             withdrawn,
@@ -23,33 +23,33 @@
     }
 
     /// Asks a peer that knows more, once in a while.
-    pub(super) fn ask_news(&mut self, from: Address, epoch: Epoch) {
+    pub(super) fn request_config_update(&mut self, from: Address, epoch: ConfigEpoch) {
         let is_newer =
             epoch > self.lease_state.epoch() && self.lease_state.lease_deadline().is_some();
-        if is_newer && self.now.since(self.news_asked) >= Span(100) {
+        if is_newer && self.now.since(self.news_asked) >= Milliseconds(100) {
             self.news_asked = self.now;
-            self.send(from, Letter::NewsAsk);
+            self.send(from, Message::ConfigUpdateRequest);
         }
     }
 
-    pub(super) fn on_news(
+    pub(super) fn on_config_update(
         &mut self,
         from: Address,
-        mut news: News,
-        lease_deadline: Option<Moment>,
+        mut update: ConfigUpdate,
+        lease_deadline: Option<MonotonicInstant>,
     ) {
-        if news.epoch < self.lease_state.epoch() {
+        if update.epoch < self.lease_state.epoch() {
             return;
         }
-        self.lease_state.tell(news.epoch, self.now + TOLD_FOR);
-        if news.members.is_none() {
+        self.lease_state.tell(update.epoch, self.now + TOLD_FOR);
+        if update.members.is_none() {
             let under_way = self
                 .fetching
                 .as_ref()
-                .filter(|fetching| fetching.news.epoch >= news.members_since);
-            news.members = match under_way {
-                Some(fetching) => fetching.news.members.clone(),
-                None if self.lease_state.epoch() >= news.members_since => {
+                .filter(|fetching| fetching.update.epoch >= update.members_since);
+            update.members = match under_way {
+                Some(fetching) => fetching.update.members.clone(),
+                None if self.lease_state.epoch() >= update.members_since => {
                     Some(self.members.clone())
                 }
                 // Earlier news was lost on the way.
@@ -59,27 +59,27 @@
                 }
             };
         }
-        if news.plan_epoch == self.plan_epoch {
-            return self.take_up(news, lease_deadline);
+        if update.plan_epoch == self.plan_epoch {
+            return self.take_up(update, lease_deadline);
         }
         // Withdrawals don't wait for a large plan.
-        if news.epoch > self.lease_state.epoch() {
-            self.withdrawn = news.withdrawn.clone();
+        if update.epoch > self.lease_state.epoch() {
+            self.withdrawn = update.withdrawn.clone();
             self.push_rules();
         }
-        self.next_poll = self.now + Span(400);
+        self.next_poll = self.now + Milliseconds(400);
         match &mut self.fetching {
-            Some(fetching) if fetching.news.plan_epoch == news.plan_epoch => {
-                if news.epoch >= fetching.news.epoch {
+            Some(fetching) if fetching.update.plan_epoch == update.plan_epoch => {
+                if update.epoch >= fetching.update.epoch {
                     fetching.lease_deadline = lease_deadline.max(fetching.lease_deadline);
-                    fetching.news = news;
+                    fetching.update = update;
                 }
             }
-            Some(fetching) if fetching.news.plan_epoch > news.plan_epoch => {}
+            Some(fetching) if fetching.update.plan_epoch > update.plan_epoch => {}
             _ => {
-                let epoch = news.plan_epoch;
+                let epoch = update.plan_epoch;
                 self.fetching = Some(Fetching {
-                    news,
+                    update,
                     lease_deadline,
                     from,
                     bytes: vec![],
@@ -88,7 +88,7 @@
                 });
                 self.send(
                     from,
-                    Letter::PlanAsk {
+                    Message::PlanRequest {
                         epoch,
                         offset: 0,
                         have: self.plan_epoch,
@@ -98,10 +98,10 @@
         }
     }
 
-    pub(super) fn on_plan_piece(
+    pub(super) fn on_plan_chunk(
         &mut self,
         from: Address,
-        epoch: Epoch,
+        epoch: ConfigEpoch,
         offset: u64,
         length: u64,
         bytes: &[u8],
@@ -111,7 +111,7 @@
         };
         let is_next = !fetching.is_whole
             && fetching.from == from
-            && fetching.news.plan_epoch == epoch
+            && fetching.update.plan_epoch == epoch
             && offset == fetching.bytes.len() as u64
             && offset + bytes.len() as u64 <= length;
         if !is_next {
@@ -123,7 +123,7 @@
         if have < length {
             return self.send(
                 from,
-                Letter::PlanAsk {
+                Message::PlanRequest {
                     epoch,
                     offset: have,
                     have: self.plan_epoch,
@@ -134,22 +134,22 @@
     }
 
     /// A plan came as what differs from the one held.
-    pub(super) fn on_plan_splice(
+    pub(super) fn on_plan_delta(
         &mut self,
         from: Address,
-        epoch: Epoch,
-        base: Epoch,
-        splice: &Splice,
+        epoch: ConfigEpoch,
+        base: ConfigEpoch,
+        delta: &Delta,
     ) {
         let Some(fetching) = &mut self.fetching else {
             return;
         };
         let is_awaited =
-            !fetching.is_whole && fetching.from == from && fetching.news.plan_epoch == epoch;
+            !fetching.is_whole && fetching.from == from && fetching.update.plan_epoch == epoch;
         if !is_awaited || !fetching.bytes.is_empty() || base != self.plan_epoch {
             return;
         }
-        if let Some(bytes) = splice.apply(&self.plan_bytes) {
+        if let Some(bytes) = delta.apply(&self.plan_bytes) {
             fetching.bytes = bytes;
             self.on_whole_plan();
         }
@@ -161,7 +161,7 @@
             return;
         };
         let (plan_epoch, bytes) = (
-            fetching.news.plan_epoch,
+            fetching.update.plan_epoch,
             Arc::new(std::mem::take(&mut fetching.bytes)),
         );
         fetching.is_whole = true;
@@ -170,13 +170,13 @@
 
     pub(super) fn on_plan(
         &mut self,
-        plan_epoch: Epoch,
+        plan_epoch: ConfigEpoch,
         plan: Result<Arc<Plan>, Vec<Fault>>,
         bytes: Arc<Vec<u8>>,
     ) {
         let Some(fetching) = self
             .fetching
-            .take_if(|f| f.is_whole && f.news.plan_epoch == plan_epoch)
+            .take_if(|f| f.is_whole && f.update.plan_epoch == plan_epoch)
         else {
             return;
         };
@@ -187,10 +187,10 @@
                 self.plan_epoch = plan_epoch;
                 self.take_tenants();
                 self.next_poll = self.now;
-                self.take_up(fetching.news, fetching.lease_deadline);
+                self.take_up(fetching.update, fetching.lease_deadline);
             }
             Err(faults) => {
-                let code = ResultCode::BadLetter;
+                let code = ResultCode::BadMessage;
                 let line = format!(
                     "node: {code} the plan of epoch {plan_epoch} can't be read: {faults:?}"
                 );
@@ -200,25 +200,29 @@
     }
 
     /// News is whole here: it's in force.
-    pub(super) fn take_up(&mut self, news: News, lease_deadline: Option<Moment>) {
-        let is_newer = news.epoch > self.lease_state.epoch();
+    pub(super) fn take_up(
+        &mut self,
+        update: ConfigUpdate,
+        lease_deadline: Option<MonotonicInstant>,
+    ) {
+        let is_newer = update.epoch > self.lease_state.epoch();
         // Filled in when it came.
-        let listed_members = news.members.unwrap_or_default();
-        let since = news.members_since;
+        let listed_members = update.members.unwrap_or_default();
+        let since = update.members_since;
         let has_other_members = listed_members != self.members || since > self.members_since;
         let members: Vec<Address> = listed_members.iter().map(|member| member.address).collect();
         match lease_deadline {
             Some(deadline) => self
                 .lease_state
-                .lease(deadline, news.epoch, members.clone()),
-            None => self.lease_state.learn(news.epoch, members.clone()),
+                .lease(deadline, update.epoch, members.clone()),
+            None => self.lease_state.learn(update.epoch, members.clone()),
         }
         if is_newer {
-            self.withdrawn = news.withdrawn;
+            self.withdrawn = update.withdrawn;
             self.push_rules();
             let line = format!(
                 "node: epoch {} is in force, plan {}",
-                news.epoch, self.plan_epoch
+                update.epoch, self.plan_epoch
             );
             self.outputs.push(NodeOutput::Log(line));
             // The core is to know that it's in force here.
--- a/crates/router/src/node/credit.rs
+++ b/crates/router/src/node/credit.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::authorization::{quota_amount, quota_limit, unauthorized};
 use crate::call::Access;
-use crate::node::{Denial, Node, NodeOutput, PlaceAsk};
+use crate::node::{Node, NodeOutput, PlacementRequest, Rejection};
 use config::{KeyDigest, Plan, TenantPlan, TenantTable};
-use quota::{Admission, CreditGrant, QuotaDenial, Settlement};
+use quota::{Admission, CreditGrant, QuotaRejection, Settlement};
 use quota::{Amount, QuotaLimit};
-use types::{Address, ResultCode, Span, TenantName};
-use wire::Letter;
+use types::{Address, Milliseconds, ResultCode, TenantName};
+use wire::Message;
 
 impl Node {
     /// The plan was replaced: its tenants and their limits are taken up.
@@ -32,7 +32,7 @@
         plan: &Plan,
         route: Option<&str>,
         key: Option<&KeyDigest>,
-    ) -> Result<Access, Denial> {
+    ) -> Result<Access, Rejection> {
         if self.tenants.is_empty() {
             return Ok(Access::Unrestricted);
         }
@@ -43,10 +43,10 @@
         let Some(key) = key else {
             // The plan had no tenants, or the route was public, when the request came.
             let why = "the plan in force wants an API key for this".to_owned();
-            return Err(Denial {
+            return Err(Rejection {
                 code: ResultCode::NotReady,
                 why,
-                retry_after: Span(50),
+                retry_after: Milliseconds(50),
             });
         };
         let tenant = self.tenants.tenant(key).ok_or_else(unauthorized)?;
@@ -54,19 +54,19 @@
     }
 
     /// A request wants a server: it gets one once its tenant's quota has room for it.
-    pub(super) fn on_place(&mut self, ask: PlaceAsk) {
+    pub(super) fn on_place(&mut self, ask: PlacementRequest) {
         let number = ask.number;
         match self.admit(&ask) {
             Admission::Admitted => self.place_admitted(ask),
             Admission::Waits => drop(self.waiting_for_credit.insert(number, ask)),
-            Admission::Denied(denial) => {
-                let outcome = Err(refusal(denial));
+            Admission::Denied(rejection) => {
+                let outcome = Err(refusal(rejection));
                 self.outputs.push(NodeOutput::Place { number, outcome });
             }
         }
     }
 
-    fn admit(&mut self, ask: &PlaceAsk) -> Admission {
+    fn admit(&mut self, ask: &PlacementRequest) -> Admission {
         let Some((tenant, amount)) = self.quota_of(ask) else {
             return Admission::Admitted;
         };
@@ -81,7 +81,7 @@
     }
 
     /// Whose quota a request takes from, and how much of it.
-    fn quota_of(&self, ask: &PlaceAsk) -> Option<(TenantName, Amount)> {
+    fn quota_of(&self, ask: &PlacementRequest) -> Option<(TenantName, Amount)> {
         let tenant = self
             .tenants
             .tenant(ask.key.as_ref()?)
@@ -92,7 +92,7 @@
         ))
     }
 
-    fn place_admitted(&mut self, ask: PlaceAsk) {
+    fn place_admitted(&mut self, ask: PlacementRequest) {
         let (number, round, taken) = (ask.number, ask.round, self.quota_of(&ask));
         let outcome = self.place(ask);
         if let (Err(_), 0, Some((tenant, amount))) = (&outcome, round, taken) {
@@ -110,9 +110,9 @@
             };
             match settlement.outcome {
                 Ok(()) => self.place_admitted(ask),
-                Err(denial) => self.outputs.push(NodeOutput::Place {
+                Err(rejection) => self.outputs.push(NodeOutput::Place {
                     number,
-                    outcome: Err(refusal(denial)),
+                    outcome: Err(refusal(rejection)),
                 }),
             }
         }
@@ -138,21 +138,21 @@
     /// Asks the tail for credit, where some is wanted.
     pub(super) fn ask_for_credit(&mut self) {
         if let Some((tail, ask)) = self.credit.ask(self.now, self.tail) {
-            self.send(tail, Letter::CreditAsk { ask: Box::new(ask) });
+            self.send(tail, Message::CreditAsk { ask: Box::new(ask) });
         }
     }
 }
 
-fn refusal(denial: QuotaDenial) -> Denial {
-    match denial {
-        QuotaDenial::OverQuota { retry_after } => Denial {
+fn refusal(rejection: QuotaRejection) -> Rejection {
+    match rejection {
+        QuotaRejection::OverQuota { retry_after } => Rejection {
             code: ResultCode::OverQuota,
             why: "the tenant is beyond its quota".into(),
             retry_after,
         },
-        QuotaDenial::Unknown { retry_after } => {
+        QuotaRejection::Unknown { retry_after } => {
             let why = "the core did not tell in time whether the tenant's quota has room".into();
-            Denial {
+            Rejection {
                 code: ResultCode::QuotaUnknown,
                 why,
                 retry_after,
--- a/crates/router/src/node/messages.rs
+++ b/crates/router/src/node/messages.rs
@@ -5,13 +5,16 @@
 use crate::server_list::{ListReading, ReadEffort};
 use crate::token::Token;
 use config::{Fault, KeyDigest, Plan, ServiceKind};
-use placement::{Dated, Decision, Demand, Event, PrefixHash};
-use types::{Address, Epoch, Moment, RequestId, ResultCode, RunId, ServerName, ServiceName, Span};
-use wire::Letter;
+use placement::{Decision, Event, PrefixHash, RequestCost, Timestamped};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, RunId, ServerName,
+    ServiceName,
+};
+use wire::Message;
 
 /// A request that wants a server.
 #[derive(Debug, Clone)]
-pub struct PlaceAsk {
+pub struct PlacementRequest {
     /// The number, the same for all rounds of a request and no other's.
     pub number: u64,
     /// The request.
@@ -27,7 +30,7 @@
     /// The prompt's hashes.
     pub hashes: Vec<PrefixHash>,
     /// What it asks of a server.
-    pub demand: Demand,
+    pub demand: RequestCost,
     /// Zero the first time.
     pub round: u32,
     /// Servers not to be asked again.
@@ -42,16 +45,16 @@
 #[derive(Debug, Clone)]
 pub enum NodeInput {
     /// A letter came.
-    Letter {
+    Message {
         /// From there.
         from: Address,
         /// It.
-        letter: Letter,
+        message: Message,
     },
     /// Something for the scheduler, seen here.
     Event(Event),
     /// A request wants a server; the answer comes as [`NodeOutput::Place`] with its number.
-    Place(PlaceAsk),
+    Place(PlacementRequest),
     /// Whom to ask first, anew.
     Seeds(Vec<Address>),
     /// A client wants a stream read on; the answer comes as [`NodeOutput::Resume`] with this number.
@@ -73,7 +76,7 @@
     /// A plan was read, as asked for by [`NodeOutput::Read`].
     Plan {
         /// The epoch that it was accepted as.
-        plan_epoch: Epoch,
+        plan_epoch: ConfigEpoch,
         /// It.
         plan: Result<Arc<Plan>, Vec<Fault>>,
         /// As bytes.
@@ -89,13 +92,13 @@
 
 /// Where a request goes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placing {
+pub struct Placement {
     /// The server.
     pub server: ServerName,
     /// Where it's reached.
     pub address: String,
     /// When its first piece is expected.
-    pub expected: Span,
+    pub expected: Milliseconds,
     /// The run's id.
     pub run: RunId,
     /// With which a broken stream may be read on, if it may.
@@ -103,24 +106,24 @@
     /// Whether the plan in force lets it go to a second server although the first may have run it.
     pub may_repeat: bool,
     /// Within which the first piece is due.
-    pub first_token: Span,
+    pub first_token: Milliseconds,
     /// The epoch under which it was placed.
-    pub epoch: Epoch,
+    pub epoch: ConfigEpoch,
     /// The server's life by which it was judged, if it told one: another one is to refuse the request.
-    pub life: Option<u64>,
+    pub incarnation: Option<u64>,
     /// By whose right, under that epoch.
     pub access: Access,
 }
 
 /// Why a request goes nowhere.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Denial {
+pub struct Rejection {
     /// The code.
     pub code: ResultCode,
     /// More about it.
     pub why: String,
     /// When to come back.
-    pub retry_after: Span,
+    pub retry_after: Milliseconds,
 }
 
 /// A KV order for a server.
@@ -154,26 +157,26 @@
         /// On the bulk line.
         is_bulk: bool,
         /// It.
-        letter: Letter,
+        message: Message,
     },
     /// The answer to a [`NodeInput::Place`].
     Place {
         /// Its number.
         number: u64,
         /// Where, or why not.
-        outcome: Result<Placing, Denial>,
+        outcome: Result<Placement, Rejection>,
     },
     /// The answer to a [`NodeInput::Resume`].
     Resume {
         /// Its number.
         number: u64,
         /// Which run, or why not.
-        outcome: Result<Token, Denial>,
+        outcome: Result<Token, Rejection>,
     },
     /// Read this plan, on another thread, and say [`NodeInput::Plan`].
     Read {
         /// The epoch that it was accepted as.
-        plan_epoch: Epoch,
+        plan_epoch: ConfigEpoch,
         /// It.
         bytes: Arc<Vec<u8>>,
     },
@@ -182,9 +185,9 @@
     /// Order servers to copy or drop KV.
     Kv(KvTask),
     /// For the journal of events.
-    Event(Dated),
+    Event(Timestamped),
     /// For the journal of decisions.
-    Decision(Moment, Decision),
+    Decision(MonotonicInstant, Decision),
     /// A log line.
     Log(String),
 }
--- a/crates/router/src/node/placing.rs
+++ b/crates/router/src/node/placing.rs
@@ -1,17 +1,17 @@
 //! Where a request goes, and which ids are in hand.
 
-use crate::node::{Denial, Node, NodeOutput, PlaceAsk, Placing};
+use crate::node::{Node, NodeOutput, Placement, PlacementRequest, Rejection};
 use crate::token::Token;
 use config::ServicePlan;
 use placement::{Decision, Event};
-use types::{RequestId, ResultCode, ServerName, Span};
+use types::{Milliseconds, RequestId, ResultCode, ServerName};
 
 /// Ids of ended requests that are remembered.
 pub(super) const ENDED_IDS: usize = 8192;
 
 impl Node {
-    pub(super) fn place(&mut self, ask: PlaceAsk) -> Result<Placing, Denial> {
-        let PlaceAsk {
+    pub(super) fn place(&mut self, ask: PlacementRequest) -> Result<Placement, Rejection> {
+        let PlacementRequest {
             number,
             request,
             service,
@@ -26,10 +26,10 @@
             run,
         } = ask;
         let deny = |code: ResultCode, why: &str, retry_after: u64| {
-            Err(Denial {
+            Err(Rejection {
                 code,
                 why: why.to_owned(),
-                retry_after: Span(retry_after),
+                retry_after: Milliseconds(retry_after),
             })
         };
         if self.is_draining {
@@ -116,7 +116,7 @@
                         .find(|candidate| candidate.server == *server);
                     Some(Ok((
                         server.clone(),
-                        expected.map_or(Span(0), |candidate| candidate.expected),
+                        expected.map_or(Milliseconds(0), |candidate| candidate.expected),
                     )))
                 }
                 NodeOutput::Decision(
@@ -131,7 +131,7 @@
                 ) if *refused == request => {
                     let code = ResultCode::ALL.iter().find(|known| known.number() == *code);
                     let code = code.copied().unwrap_or(ResultCode::NoServer);
-                    Some(Err(Denial {
+                    Some(Err(Rejection {
                         code,
                         why: why.clone(),
                         retry_after: *retry_after,
@@ -155,13 +155,16 @@
             }
             .seal(&token_key)
         });
-        let (epoch, first_token) = (self.lease_state.epoch(), Span(of_service.first_token_ms));
-        let life = self
+        let (epoch, first_token) = (
+            self.lease_state.epoch(),
+            Milliseconds(of_service.first_token_ms),
+        );
+        let incarnation = self
             .scheduler
             .servers()
             .get(&server)
             .and_then(|state| state.incarnation);
-        Ok(Placing {
+        Ok(Placement {
             server,
             address,
             run,
@@ -170,19 +173,19 @@
             expected,
             first_token,
             epoch,
-            life,
+            incarnation,
             access,
         })
     }
 
     /// Which run a token is good for, if it is one of this fleet's and names a server that is known
     /// here. Reading on is no new work: it needs no lease, and a withdrawn zone's runs end well.
-    pub(super) fn resume(&mut self, number: u64, token: &str) -> Result<Token, Denial> {
+    pub(super) fn resume(&mut self, number: u64, token: &str) -> Result<Token, Rejection> {
         let deny = |code: ResultCode, why: String| {
-            Err(Denial {
+            Err(Rejection {
                 code,
                 why,
-                retry_after: Span(0),
+                retry_after: Milliseconds(0),
             })
         };
         if self.is_draining {
@@ -229,11 +232,11 @@
     RequestId(format!("resume/{number}"))
 }
 
-fn deny_no_decision() -> Result<(ServerName, Span), Denial> {
+fn deny_no_decision() -> Result<(ServerName, Milliseconds), Rejection> {
     let why = "the scheduler decided nothing".to_owned();
-    Err(Denial {
+    Err(Rejection {
         code: ResultCode::NoServer,
         why,
-        retry_after: Span(1000),
+        retry_after: Milliseconds(1000),
     })
 }
--- a/crates/router/src/node/polling.rs
+++ b/crates/router/src/node/polling.rs
@@ -4,11 +4,11 @@
 use crate::node::Node;
 use placement::Event;
 use replication::LeaseStatus;
-use types::{Address, Epoch, Span};
-use wire::{CoreLocation, Letter, Member, Poll, PollResponse};
+use types::{Address, ConfigEpoch, Milliseconds};
+use wire::{CoreLocation, LeaseRequest, LeaseResponse, Member, Message};
 
 /// A piece of a plan that has not come by then is given up.
-const FETCH_DEADLINE: Span = Span(700);
+const FETCH_DEADLINE: Milliseconds = Milliseconds(700);
 
 impl Node {
     /// Those whom news may be asked of: the tail first, then voters, then seeds.
@@ -54,23 +54,23 @@
         );
         self.heard.retain(|_, at| now.since(*at) < HEARD_FOR);
         let has_key = self.key.is_some();
-        let hears = self
+        let reachable_peers = self
             .heard
             .keys()
             .copied()
             .filter(|one| self.lease_state.members().contains(one))
             .collect();
-        let poll = Poll {
+        let poll = LeaseRequest {
             member,
             round: self.poll_round,
             epoch: self.lease_state.epoch(),
             view: self.view,
             has_key,
-            hears,
+            reachable_peers,
         };
         self.send(
             to,
-            Letter::Poll {
+            Message::LeaseRequest {
                 poll: Box::new(poll),
             },
         );
@@ -87,25 +87,25 @@
         self.poll();
     }
 
-    pub(super) fn on_poll_response(&mut self, from: Address, round: u64, response: PollResponse) {
+    pub(super) fn on_poll_response(&mut self, from: Address, round: u64, response: LeaseResponse) {
         let Some(sent) = self.polled.filter(|_| round == self.poll_round) else {
             return;
         };
         self.polled = None;
         match response {
-            PollResponse::Elsewhere { view, tail, voters } => {
+            LeaseResponse::Elsewhere { view, tail, voters } => {
                 // One that was away may name machines that are all gone: what is known here is newer.
                 if view >= self.view && !voters.is_empty() {
                     (self.view, self.voters) = (view, voters);
                     self.tail = tail.filter(|tail| *tail != from);
                 }
                 self.target += 1;
-                self.next_poll = self.now + Span(60);
+                self.next_poll = self.now + Milliseconds(60);
             }
-            PollResponse::Lease {
+            LeaseResponse::Lease {
                 span,
                 epoch,
-                news,
+                update,
                 view,
                 voters,
                 key,
@@ -118,10 +118,10 @@
                 let lease_deadline = Some(sent + span);
                 self.lease_span = self.lease_span.max(span);
                 self.lease_state.tell(epoch, self.now + TOLD_FOR);
-                match news {
-                    Some(news) => self.on_news(from, news, lease_deadline),
+                match update {
+                    Some(update) => self.on_config_update(from, update, lease_deadline),
                     // Nothing is newer there than what is here, whole.
-                    None if epoch == self.lease_state.epoch() && epoch > Epoch(0) => {
+                    None if epoch == self.lease_state.epoch() && epoch > ConfigEpoch(0) => {
                         self.lease_state.lease(
                             sent + span,
                             epoch,
@@ -152,7 +152,7 @@
         }
         let is_alone = self.lease_state.reason(self.now) == LeaseStatus::Alone;
         self.peer_check_pause = match is_alone {
-            true => Span((self.peer_check_pause.0 * 2).min(self.timing.peer_check_alone.0)),
+            true => Milliseconds((self.peer_check_pause.0 * 2).min(self.timing.peer_check_alone.0)),
             false => self.timing.peer_check,
         };
         self.next_peer_check = self.now + self.peer_check_pause;
@@ -172,6 +172,6 @@
         let (round, epoch) = (self.peer_check_round, self.lease_state.epoch());
         peers
             .into_iter()
-            .for_each(|peer| self.send(peer, Letter::PeerCheckRequest { round, epoch }));
+            .for_each(|peer| self.send(peer, Message::PeerCheckRequest { round, epoch }));
     }
 }
--- a/crates/router/src/node/tests.rs
+++ b/crates/router/src/node/tests.rs
@@ -1,15 +1,20 @@
 use super::placing::ENDED_IDS;
 use super::*;
 use crate::call::Access;
-use crate::node::{Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, Placing, resume_id};
+use crate::node::{
+    Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, resume_id,
+};
 use crate::server_list::{ListReading, ListTiming};
 use crate::token::{Token, run_id};
 use config::{ServiceKind, parse_plan};
-use placement::{Demand, Event, Outcome, SchedulerRules, ServerEntry};
+use placement::{Event, Outcome, RequestCost, SchedulerRules, ServerEntry};
 use quota::Amount;
 use replication::LeaseStatus;
-use types::{Address, Epoch, Moment, RequestId, ResultCode, Span, TokenKey, ViewEpoch, ZoneName};
-use wire::{CoreLocation, Letter, Member, News, PollResponse, seal};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, TokenKey,
+    ViewNumber, ZoneName,
+};
+use wire::{ConfigUpdate, CoreLocation, LeaseResponse, Member, Message, seal};
 
 const PLAN: &[u8] = br#"{"services":{"drafts":{"slots":8}}}"#;
 
@@ -36,7 +41,7 @@
             incarnation,
             timing,
             scheduler,
-            Moment(1_000_000),
+            MonotonicInstant(1_000_000),
         );
         Played {
             node,
@@ -45,10 +50,10 @@
         }
     }
     fn step(&mut self, input: NodeInput) -> Vec<NodeOutput> {
-        let outputs = self.node.step(Moment(self.at), input);
+        let outputs = self.node.step(MonotonicInstant(self.at), input);
         for output in &outputs {
             if let NodeOutput::Send {
-                letter: Letter::CreditAsk { ask },
+                message: Message::CreditAsk { ask },
                 ..
             } = output
             {
@@ -57,10 +62,10 @@
         }
         outputs
     }
-    fn tell(&mut self, from: u16, letter: Letter) -> Vec<NodeOutput> {
-        self.step(NodeInput::Letter {
+    fn tell(&mut self, from: u16, message: Message) -> Vec<NodeOutput> {
+        self.step(NodeInput::Message {
             from: Address::loopback(from),
-            letter,
+            message,
         })
     }
     /// The core responds to the poll that is under way, or to the next.
@@ -70,17 +75,17 @@
         self.lease_of(self.node.poll_round, epoch, plan_epoch)
     }
     fn lease_of(&mut self, round: u64, epoch: u64, plan_epoch: u64) -> Vec<NodeOutput> {
-        let response = PollResponse::Lease {
-            span: Span(2000),
-            epoch: Epoch(epoch),
-            news: (epoch > self.node.epoch().0).then(|| news(epoch, plan_epoch, vec![])),
-            view: ViewEpoch(1),
+        let response = LeaseResponse::Lease {
+            span: Milliseconds(2000),
+            epoch: ConfigEpoch(epoch),
+            update: (epoch > self.node.epoch().0).then(|| update(epoch, plan_epoch, vec![])),
+            view: ViewNumber(1),
             voters: vec![Address::loopback(1)],
             key: Some(KEY),
         };
         self.tell(
             1,
-            Letter::PollResponse {
+            Message::LeaseResponse {
                 round,
                 response: Box::new(response),
             },
@@ -88,8 +93,8 @@
     }
     fn plan(&mut self, epoch: u64) {
         let length = PLAN.len() as u64;
-        let piece = Letter::PlanPiece {
-            epoch: Epoch(epoch),
+        let piece = Message::PlanChunk {
+            epoch: ConfigEpoch(epoch),
             offset: 0,
             length,
             bytes: PLAN.to_vec(),
@@ -110,15 +115,15 @@
             server: name.into(),
             zone: "east".into(),
             pool: "model".into(),
-            is_leaving: false,
+            is_draining: false,
             ..ServerEntry::default()
         };
         let servers = (0..9).map(|n| entry(&format!("s{n}"))).collect();
         self.step(NodeInput::Event(Event::ServerList { servers }));
-        (0..9).for_each(|n| self.report(&format!("s{n}"), 1, Span::seconds(60)));
+        (0..9).for_each(|n| self.report(&format!("s{n}"), 1, Milliseconds::seconds(60)));
     }
     /// A server tells its life, and for how long it has been up.
-    fn report(&mut self, server: &str, incarnation: u64, up: Span) {
+    fn report(&mut self, server: &str, incarnation: u64, up: Milliseconds) {
         self.step(NodeInput::Event(Event::Load {
             server: server.into(),
             incarnation,
@@ -129,7 +134,7 @@
             weights: "w1".into(),
         }));
     }
-    fn place(&mut self, number: u64, id: &str, service: &str) -> Result<Placing, ResultCode> {
+    fn place(&mut self, number: u64, id: &str, service: &str) -> Result<Placement, ResultCode> {
         self.place_again(number, id, service, 0, false)
     }
     fn place_again(
@@ -139,8 +144,8 @@
         service: &str,
         round: u32,
         may_have_run: bool,
-    ) -> Result<Placing, ResultCode> {
-        let place = NodeInput::Place(PlaceAsk {
+    ) -> Result<Placement, ResultCode> {
+        let place = NodeInput::Place(PlacementRequest {
             number,
             request: id.into(),
             service: service.into(),
@@ -148,7 +153,7 @@
             route: None,
             key: None,
             hashes: vec![],
-            demand: Demand::default(),
+            demand: RequestCost::default(),
             round,
             tried: vec![],
             may_have_run,
@@ -161,7 +166,9 @@
                 NodeOutput::Place { outcome, .. } => Some(outcome),
                 _ => None,
             });
-        outcome.expect("a response").map_err(|denial| denial.code)
+        outcome
+            .expect("a response")
+            .map_err(|rejection| rejection.code)
     }
     fn serving() -> Self {
         let mut played = Played::new();
@@ -172,16 +179,16 @@
     }
 }
 
-fn news(epoch: u64, plan_epoch: u64, withdrawn: Vec<ZoneName>) -> News {
+fn update(epoch: u64, plan_epoch: u64, withdrawn: Vec<ZoneName>) -> ConfigUpdate {
     let member = |port| Member {
         address: Address::loopback(port),
         zone: "east".into(),
     };
     let members = Some([9, 8, 7].map(member).to_vec());
-    let members_since = Epoch(1);
-    News {
-        epoch: Epoch(epoch),
-        plan_epoch: Epoch(plan_epoch),
+    let members_since = ConfigEpoch(1);
+    ConfigUpdate {
+        epoch: ConfigEpoch(epoch),
+        plan_epoch: ConfigEpoch(plan_epoch),
         withdrawn,
         members,
         members_since,
@@ -192,12 +199,12 @@
 fn news_without_members_counts_only_where_the_members_are_known() {
     let mut played = Played::serving();
     let brief = |epoch: u64, since: u64| {
-        let (members, members_since) = (None, Epoch(since));
-        Letter::News {
-            news: Box::new(News {
+        let (members, members_since) = (None, ConfigEpoch(since));
+        Message::ConfigUpdate {
+            update: Box::new(ConfigUpdate {
                 members,
                 members_since,
-                ..news(epoch, 2, vec!["east".into()])
+                ..update(epoch, 2, vec!["east".into()])
             }),
         }
     };
@@ -207,12 +214,12 @@
             played.node.epoch(),
             played.node.lease_state().members().len()
         ),
-        (Epoch(4), 3)
+        (ConfigEpoch(4), 3)
     );
     played.tell(1, brief(6, 5));
     assert_eq!(
         played.node.epoch(),
-        Epoch(4),
+        ConfigEpoch(4),
         "the membership of epoch 5 never came"
     );
     assert!(played.node.polled.is_some(), "the core is asked for it");
@@ -229,13 +236,19 @@
     played.lease_of(earlier.node.poll_round, 3, 2);
     played.plan(2);
     assert_eq!(
-        played.node.lease_state().reason(Moment(played.at)),
+        played
+            .node
+            .lease_state()
+            .reason(MonotonicInstant(played.at)),
         LeaseStatus::Unheard
     );
     played.lease(3, 2);
     played.plan(2);
     assert_eq!(
-        played.node.lease_state().reason(Moment(played.at)),
+        played
+            .node
+            .lease_state()
+            .reason(MonotonicInstant(played.at)),
         LeaseStatus::Leased
     );
     for (echoes_earlier, reason) in [(true, LeaseStatus::Alone), (false, LeaseStatus::Together)] {
@@ -251,13 +264,19 @@
             };
             played.tell(
                 8,
-                Letter::PeerCheckResponse {
+                Message::PeerCheckResponse {
                     echo,
-                    epoch: Epoch(3),
+                    epoch: ConfigEpoch(3),
                 },
             );
         }
-        assert_eq!(played.node.lease_state().reason(Moment(played.at)), reason);
+        assert_eq!(
+            played
+                .node
+                .lease_state()
+                .reason(MonotonicInstant(played.at)),
+            reason
+        );
     }
 }
 
@@ -303,8 +322,8 @@
     let (length, bytes) = (plan.len() as u64, plan.to_vec());
     for output in played.tell(
         1,
-        Letter::PlanPiece {
-            epoch: Epoch(2),
+        Message::PlanChunk {
+            epoch: ConfigEpoch(2),
             offset: 0,
             length,
             bytes,
@@ -371,19 +390,19 @@
 #[test]
 fn older_news_changes_nothing_and_newer_news_of_a_peer_stops_one_without_a_lease() {
     let mut played = Played::serving();
-    let told = |epoch: u64, plan_epoch: u64| Letter::News {
-        news: Box::new(news(epoch, plan_epoch, vec!["east".into()])),
+    let told = |epoch: u64, plan_epoch: u64| Message::ConfigUpdate {
+        update: Box::new(update(epoch, plan_epoch, vec!["east".into()])),
     };
-    let response = |epoch: u64, echo: u64| Letter::PeerCheckResponse {
+    let response = |epoch: u64, echo: u64| Message::PeerCheckResponse {
         echo,
-        epoch: Epoch(epoch),
+        epoch: ConfigEpoch(epoch),
     };
     let asks_news = |outputs: Vec<NodeOutput>| {
         outputs.iter().any(|output| {
             matches!(
                 output,
                 NodeOutput::Send {
-                    letter: Letter::NewsAsk,
+                    message: Message::ConfigUpdateRequest,
                     ..
                 }
             )
@@ -392,7 +411,7 @@
     played.tell(8, told(2, 2));
     assert_eq!(
         (played.node.epoch(), played.node.withdrawn().len()),
-        (Epoch(3), 0)
+        (ConfigEpoch(3), 0)
     );
     // A core that lags behind what is known here: its plan is not even asked for.
     let asks = played.lease(2, 1);
@@ -400,7 +419,7 @@
         !asks.iter().any(|o| matches!(
             o,
             NodeOutput::Send {
-                letter: Letter::PlanAsk { .. },
+                message: Message::PlanRequest { .. },
                 ..
             }
         )),
@@ -409,7 +428,7 @@
     played.plan(1);
     assert_eq!(
         (played.node.epoch(), played.node.plan_epoch()),
-        (Epoch(3), Epoch(2))
+        (ConfigEpoch(3), ConfigEpoch(2))
     );
     // The lease runs out; two of three answer checks, and all know the same.
     for _ in 0..60 {
@@ -420,7 +439,10 @@
         played.server_list();
     }
     assert_eq!(
-        played.node.lease_state().reason(Moment(played.at)),
+        played
+            .node
+            .lease_state()
+            .reason(MonotonicInstant(played.at)),
         LeaseStatus::Together
     );
     assert!(played.place(5, "together", "drafts").is_ok());
@@ -435,7 +457,7 @@
     played.tell(8, told(4, 2));
     assert_eq!(
         (played.node.epoch(), played.node.withdrawn()),
-        (Epoch(4), &["east".into()][..])
+        (ConfigEpoch(4), &["east".into()][..])
     );
     assert_eq!(
         played.place(6, "withdrawn", "drafts").err(),
@@ -451,7 +473,7 @@
 }
 
 /// Letters that leave within this span, without an answer to any, clock events as they are due.
-fn sent_within(played: &mut Played, span: u64) -> Vec<(u64, Address, Letter)> {
+fn sent_within(played: &mut Played, span: u64) -> Vec<(u64, Address, Message)> {
     let until = played.at + span;
     let mut sent = vec![];
     loop {
@@ -463,7 +485,7 @@
         let at = played.at;
         sent.extend(played.step(NodeInput::ClockEvent).into_iter().filter_map(
             |output| match output {
-                NodeOutput::Send { to, letter, .. } => Some((at, to, letter)),
+                NodeOutput::Send { to, message, .. } => Some((at, to, message)),
                 _ => None,
             },
         ));
@@ -473,12 +495,12 @@
 #[test]
 fn an_idle_node_with_a_lease_only_polls_once_a_second_and_wakes_four_times() {
     let mut played = Played::serving();
-    let is_poll = |letter: &Letter| matches!(letter, Letter::Poll { .. });
+    let is_poll = |message: &Message| matches!(message, Message::LeaseRequest { .. });
     for _ in 0..10 {
         played.lease(3, 2);
         let sent = sent_within(&mut played, 390);
         assert!(
-            sent.iter().all(|(_, _, letter)| is_poll(letter)),
+            sent.iter().all(|(_, _, message)| is_poll(message)),
             "{sent:?}"
         );
     }
@@ -508,8 +530,8 @@
     let sent = sent_within(&mut played, 20_000);
     let asks: Vec<u64> = sent
         .iter()
-        .filter(|(_, to, letter)| {
-            matches!(letter, Letter::PeerCheckRequest { .. }) && *to == Address::loopback(8)
+        .filter(|(_, to, message)| {
+            matches!(message, Message::PeerCheckRequest { .. }) && *to == Address::loopback(8)
         })
         .map(|(at, ..)| *at)
         .collect();
@@ -524,7 +546,10 @@
         asks.len()
     );
     assert_eq!(
-        played.node.lease_state().reason(Moment(played.at)),
+        played
+            .node
+            .lease_state()
+            .reason(MonotonicInstant(played.at)),
         LeaseStatus::Alone
     );
     assert_eq!(
@@ -533,9 +558,9 @@
     );
     let sealed = sent
         .iter()
-        .filter(|(.., letter)| matches!(letter, Letter::PeerCheckRequest { .. }));
-    for (_, _, letter) in sealed {
-        let bytes = seal(Address::loopback(9), letter).expect("sealed").len();
+        .filter(|(.., message)| matches!(message, Message::PeerCheckRequest { .. }));
+    for (_, _, message) in sealed {
+        let bytes = seal(Address::loopback(9), message).expect("sealed").len();
         assert!(bytes < 100, "{bytes} bytes");
     }
 }
@@ -546,25 +571,25 @@
     let asked = sent_within(&mut played, 1500);
     let poll = asked
         .iter()
-        .find(|(_, _, letter)| matches!(letter, Letter::Poll { .. }))
+        .find(|(_, _, message)| matches!(message, Message::LeaseRequest { .. }))
         .expect("a poll");
-    let response = PollResponse::Lease {
-        span: Span(2000),
-        epoch: Epoch(3),
-        news: None,
-        view: ViewEpoch(1),
+    let response = LeaseResponse::Lease {
+        span: Milliseconds(2000),
+        epoch: ConfigEpoch(3),
+        update: None,
+        view: ViewNumber(1),
         voters: vec![],
         key: None,
     };
-    for letter in [
+    for message in [
         &poll.2,
-        &Letter::PollResponse {
+        &Message::LeaseResponse {
             round: 1,
             response: Box::new(response),
         },
     ] {
-        let bytes = seal(Address::loopback(9), letter).expect("sealed").len();
-        assert!(bytes < 220, "{bytes} bytes of {letter:?}");
+        let bytes = seal(Address::loopback(9), message).expect("sealed").len();
+        assert!(bytes < 220, "{bytes} bytes of {message:?}");
     }
 }
 
@@ -623,7 +648,9 @@
             .step(NodeInput::Resume { number, token })
             .into_iter()
             .find_map(|output| match output {
-                NodeOutput::Resume { outcome, .. } => Some(outcome.map_err(|denial| denial.code)),
+                NodeOutput::Resume { outcome, .. } => {
+                    Some(outcome.map_err(|rejection| rejection.code))
+                }
                 _ => None,
             });
         outcome.expect("a response")
@@ -684,7 +711,7 @@
             ..ServerEntry::default()
         };
         NodeInput::List(ListReading {
-            asked: Moment(asked),
+            asked: MonotonicInstant(asked),
             calls: 1,
             servers: Some(vec![entry]),
         })
@@ -705,7 +732,7 @@
         "no list"
     );
     played.step(reading(played.at));
-    played.report("s0", 1, Span::seconds(60));
+    played.report("s0", 1, Milliseconds::seconds(60));
     assert!(played.place(1, "a", "drafts").is_ok());
     let asked = played.at;
     played.at += 5000;
@@ -735,14 +762,14 @@
         played.at = played.at.max(played.node.next_poll.0);
         played.step(NodeInput::ClockEvent);
         let voters = voters.map(Address::loopback).to_vec();
-        let response = PollResponse::Elsewhere {
-            view: ViewEpoch(view),
+        let response = LeaseResponse::Elsewhere {
+            view: ViewNumber(view),
             tail: voters.first().copied(),
             voters,
         };
         played.tell(
             5,
-            Letter::PollResponse {
+            Message::LeaseResponse {
                 round: played.node.poll_round,
                 response: Box::new(response),
             },
@@ -778,16 +805,16 @@
         renewed,
         [Event::Lease {
             until,
-            span: Span(2000)
+            span: Milliseconds(2000)
         }]
     );
     let of_membership = |epoch: u64, since: u64| {
-        let news = News {
-            members_since: Epoch(since),
-            ..news(epoch, 2, vec![])
+        let update = ConfigUpdate {
+            members_since: ConfigEpoch(since),
+            ..update(epoch, 2, vec![])
         };
-        Letter::News {
-            news: Box::new(news),
+        Message::ConfigUpdate {
+            update: Box::new(update),
         }
     };
     let since_of = |outputs: Vec<NodeOutput>| {
@@ -807,17 +834,17 @@
         Some(6),
         "they were others meanwhile"
     );
-    let known = played.tell(8, Letter::NewsAsk);
+    let known = played.tell(8, Message::ConfigUpdateRequest);
     let Some(NodeOutput::Send {
-        letter: Letter::News { news },
+        message: Message::ConfigUpdate { update },
         ..
     }) = known.into_iter().next()
     else {
         panic!("it tells what it knows");
     };
     assert_eq!(
-        news.members_since,
-        Epoch(6),
+        update.members_since,
+        ConfigEpoch(6),
         "as old as the core said, not as new as the news"
     );
 }
@@ -826,7 +853,7 @@
 fn a_request_names_the_life_that_its_server_was_judged_by() {
     let mut played = Played::serving();
     let placing = played.place(1, "a", "drafts").expect("placed");
-    assert_eq!(placing.life, Some(1));
+    assert_eq!(placing.incarnation, Some(1));
     let server = placing.server.clone();
     // It has another life, says the server itself: it's left alone, and then ramps up.
     played.step(NodeInput::Event(Event::Unreachable {
@@ -838,8 +865,8 @@
             .expect("placed");
         assert_ne!(placing.server, server);
     }
-    played.report(server.as_str(), 2, Span(100));
-    let now = Moment(played.at);
+    played.report(server.as_str(), 2, Milliseconds(100));
+    let now = MonotonicInstant(played.at);
     assert!(played.node.scheduler().servers()[&server].is_fresh(now, &SchedulerRules::default()));
 }
 
@@ -848,7 +875,7 @@
     let to = |output| match output {
         NodeOutput::Send {
             to,
-            letter: Letter::Poll { .. },
+            message: Message::LeaseRequest { .. },
             ..
         } => Some(to.0.port()),
         _ => None,
@@ -862,11 +889,11 @@
     let call = |view: u64, voters: &[u16]| {
         let voters = voters.iter().copied().map(Address::loopback).collect();
         let location = Box::new(CoreLocation {
-            view: ViewEpoch(view),
+            view: ViewNumber(view),
             voters,
             controllers: vec![],
         });
-        Letter::CoreLocation {
+        Message::CoreLocation {
             location,
             is_answer: true,
         }
@@ -914,8 +941,8 @@
         self.step(NodeInput::ClockEvent);
         self.lease_of(self.node.poll_round, epoch, epoch);
         let (length, bytes) = (plan.len() as u64, plan.as_bytes().to_vec());
-        let piece = Letter::PlanPiece {
-            epoch: Epoch(epoch),
+        let piece = Message::PlanChunk {
+            epoch: ConfigEpoch(epoch),
             offset: 0,
             length,
             bytes,
@@ -942,7 +969,7 @@
     }
     fn place_as(&mut self, number: u64, key: &str) -> Vec<NodeOutput> {
         let key = Some(self.node.tenants().digest(&key.into()));
-        self.step(NodeInput::Place(PlaceAsk {
+        self.step(NodeInput::Place(PlacementRequest {
             number,
             request: format!("r{number}").as_str().into(),
             service: "drafts".into(),
@@ -950,7 +977,7 @@
             route: None,
             key,
             hashes: vec![],
-            demand: Demand::default(),
+            demand: RequestCost::default(),
             round: 0,
             tried: vec![],
             may_have_run: false,
@@ -962,17 +989,17 @@
         let entry = TenantGrant {
             tenant: "limited".into(),
             granted: Amount::units(granted),
-            wait: Span(wait),
+            wait: Milliseconds(wait),
         };
         let grant = CreditGrant {
             number,
-            life: Span(4000),
+            incarnation: Milliseconds(4000),
             wants_whole: false,
             entries: vec![entry],
         };
         self.tell(
             1,
-            Letter::CreditGrant {
+            Message::CreditGrant {
                 grant: Box::new(grant),
             },
         )
@@ -988,7 +1015,9 @@
         .map(|(number, outcome)| {
             (
                 number,
-                outcome.map(|p| p.access).map_err(|denial| denial.code),
+                outcome
+                    .map(|p| p.access)
+                    .map_err(|rejection| rejection.code),
             )
         })
         .collect()
--- a/crates/router/src/piece_reader.rs
+++ b/crates/router/src/piece_reader.rs
@@ -17,15 +17,15 @@
 /// Invariant: what is given to the client is pieces of this run alone, from the first that was asked for
 /// on, each once and in order; the final record only after all that it counts.
 #[derive(Debug, Clone)]
-pub struct PieceReader {
+pub struct ChunkReader {
     run: RunId,
     next: u64,
 }
 
-impl PieceReader {
+impl ChunkReader {
     /// For this run, from this piece on.
     pub fn new(run: RunId, from: u64) -> Self {
-        PieceReader { run, next: from }
+        ChunkReader { run, next: from }
     }
     /// Takes a line; one without its end is torn.
     pub fn take(&mut self, line: &[u8]) -> Passed {
--- a/crates/router/src/piece_reader/tests.rs
+++ b/crates/router/src/piece_reader/tests.rs
@@ -1,5 +1,5 @@
 use crate::interface::RunPiece;
-use crate::piece_reader::{Passed, PieceReader};
+use crate::piece_reader::{ChunkReader, Passed};
 use yare::parameterized;
 
 #[parameterized(
@@ -15,7 +15,7 @@
     no_piece_at_all = { 0, &["x"], "c" },
 )]
 fn traces(from: u64, lines: &[&str], passed: &str) {
-    let mut reader = PieceReader::new("r".into(), from);
+    let mut reader = ChunkReader::new("r".into(), from);
     let mut found = String::new();
     for line in lines {
         let n: u64 = line[1..].parse().unwrap_or(0);
--- a/crates/router/src/poller.rs
+++ b/crates/router/src/poller.rs
@@ -4,10 +4,10 @@
 use placement::Event;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use transport::{AskError, ask_get, read_all};
-use types::{ServerName, Span};
+use transport::{HttpClientError, http_get, read_all};
+use types::{Milliseconds, ServerName};
 
-const PATIENCE: Span = Span(400);
+const PATIENCE: Milliseconds = Milliseconds(400);
 
 /// Starts the threads; what they read goes to `tell`.
 pub(crate) fn start(
@@ -76,27 +76,27 @@
 }
 
 fn read_server_list(url: &str) -> Result<ServerListReport, String> {
-    let response = ask_get(url, PATIENCE, PATIENCE).map_err(|fault| fault.to_string())?;
+    let response = http_get(url, PATIENCE, PATIENCE).map_err(|fault| fault.to_string())?;
     let body = read_all(response, 4 << 20).map_err(|fault| fault.to_string())?;
     serde_json::from_slice(&body).map_err(|fault| fault.to_string())
 }
 
 fn read_load(server: &ServerName) -> Option<Event> {
-    let response = match ask_get(&format!("http://{server}/load"), PATIENCE, PATIENCE) {
+    let response = match http_get(&format!("http://{server}/load"), PATIENCE, PATIENCE) {
         Ok(response) => response,
-        Err(AskError::Unsent(_)) => {
+        Err(HttpClientError::Unsent(_)) => {
             return Some(Event::Unreachable {
                 server: server.clone(),
             });
         }
-        Err(AskError::Unknown(_) | AskError::Withheld) => return None,
+        Err(HttpClientError::Unknown(_) | HttpClientError::Withheld) => return None,
     };
     let body = read_all(response, 64 << 10).ok()?;
     let report: ServerReport = serde_json::from_slice(&body).ok()?;
     Some(Event::Load {
         server: server.clone(),
         incarnation: report.incarnation,
-        up: Span(report.up_ms),
+        up: Milliseconds(report.up_ms),
         running: report.running,
         waiting: report.waiting,
         slots: report.slots,
--- a/crates/router/src/replay.rs
+++ b/crates/router/src/replay.rs
@@ -1,4 +1,4 @@
-use placement::{Dated, Scheduler, SchedulerRules};
+use placement::{Scheduler, SchedulerRules, Timestamped};
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
 use types::Address;
@@ -21,7 +21,8 @@
             ));
             continue;
         }
-        let dated: Dated = serde_json::from_str(&line).map_err(|why| fault(why.to_string()))?;
+        let dated: Timestamped =
+            serde_json::from_str(&line).map_err(|why| fault(why.to_string()))?;
         let Some(scheduler) = &mut scheduler else {
             return Err(fault(
                 "the head with own, incarnation and scheduler_rules is missing".into(),
--- a/crates/router/src/chart.rs
+++ b/crates/router/src/request_state.rs
@@ -11,7 +11,7 @@
     /// A server is chosen.
     Placed,
     /// The server has taken it.
-    Opened,
+    RecoveredStorage,
     /// Pieces go to the client.
     Streaming,
     /// The final record was given.
@@ -46,7 +46,7 @@
 
 /// What a request's chart is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChartInput {
+pub enum RequestInput {
     /// There is room here and the service is allowed.
     Admit,
     /// The scheduler chose a server.
@@ -76,7 +76,7 @@
 
 /// What a request's chart wants done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChartOutput {
+pub enum RequestOutput {
     /// Ask the scheduler for a server.
     AskScheduler,
     /// Ask the chosen server.
@@ -98,7 +98,7 @@
 /// lets it repeat, and, once a piece has gone out, only for what follows the last one ([`ChartInput::Tear`]).
 /// No more than `most` servers get it. After a final state nothing happens.
 #[derive(Debug, Clone)]
-pub struct Chart {
+pub struct RequestStateMachine {
     state: RequestState,
     may_repeat: bool,
     may_have_run: bool,
@@ -113,17 +113,17 @@
 /// Servers that could not be reached, after which no other is tried.
 const UNSENT_MOST: u32 = 3;
 
-impl Default for Chart {
+impl Default for RequestStateMachine {
     /// For a request that was read.
     fn default() -> Self {
-        Chart::bounded(ROUNDS)
+        RequestStateMachine::bounded(ROUNDS)
     }
 }
 
-impl Chart {
+impl RequestStateMachine {
     /// For a request that at most this many servers may get.
     pub fn bounded(most: u32) -> Self {
-        Chart {
+        RequestStateMachine {
             state: RequestState::Received,
             may_repeat: true,
             may_have_run: false,
@@ -152,34 +152,36 @@
 
     /// Takes an input in; gives what is to be done. Inputs that don't belong to the state change
     /// nothing.
-    pub fn step(&mut self, input: ChartInput) -> ChartOutput {
-        use RequestState::{Admitted, Broken, Ended, Opened, Placed, Received, Refused, Streaming};
+    pub fn step(&mut self, input: RequestInput) -> RequestOutput {
+        use RequestState::{
+            Admitted, Broken, Ended, Placed, Received, RecoveredStorage, Refused, Streaming,
+        };
         match (self.state, input) {
-            (Received, ChartInput::Admit) => {
+            (Received, RequestInput::Admit) => {
                 self.state = Admitted;
-                ChartOutput::AskScheduler
+                RequestOutput::AskScheduler
             }
-            (Admitted, ChartInput::Place { may_repeat }) => {
+            (Admitted, RequestInput::Place { may_repeat }) => {
                 self.may_repeat &= may_repeat;
                 if self.may_have_run && !self.may_repeat {
                     return self.finally(ResultCode::Unknown);
                 }
                 self.state = Placed;
-                ChartOutput::AskServer
+                RequestOutput::AskServer
             }
-            (Received | Admitted, ChartInput::Deny(code)) => self.finally(code),
-            (Placed, ChartInput::LoseLease) => self.finally(ResultCode::NotReady),
+            (Received | Admitted, RequestInput::Deny(code)) => self.finally(code),
+            (Placed, RequestInput::LoseLease) => self.finally(ResultCode::NotReady),
             // Nothing was sent, so nothing failed: no round is used up.
-            (Placed, ChartInput::Supersede) => {
+            (Placed, RequestInput::Supersede) => {
                 self.state = Admitted;
-                ChartOutput::AskScheduler
+                RequestOutput::AskScheduler
             }
-            (Placed, ChartInput::Open) => {
-                self.state = Opened;
+            (Placed, RequestInput::Open) => {
+                self.state = RecoveredStorage;
                 self.may_have_run = true;
-                ChartOutput::Carry
+                RequestOutput::Carry
             }
-            (Placed, ChartInput::Fail(failure)) => {
+            (Placed, RequestInput::Fail(failure)) => {
                 // A server that no byte reached has not been given it.
                 if failure == Failure::Unsent {
                     self.unsent += 1;
@@ -191,45 +193,45 @@
                 let may_repeat = self.may_repeat || !self.may_have_run;
                 if may_repeat && self.rounds < self.most && self.unsent < UNSENT_MOST {
                     self.state = Admitted;
-                    ChartOutput::AskScheduler
+                    RequestOutput::AskScheduler
                 } else {
                     self.finally(ResultCode::ServerRefused)
                 }
             }
-            (Opened | Streaming, ChartInput::Give) => {
+            (RecoveredStorage | Streaming, RequestInput::Give) => {
                 self.state = Streaming;
-                ChartOutput::Carry
+                RequestOutput::Carry
             }
-            (Opened | Streaming, ChartInput::Finish) => {
+            (RecoveredStorage | Streaming, RequestInput::Finish) => {
                 self.state = Ended;
-                ChartOutput::Tell(ResultCode::Complete)
+                RequestOutput::Tell(ResultCode::Complete)
             }
-            (Opened | Streaming, ChartInput::Tear) if self.may_go_on() => {
+            (RecoveredStorage | Streaming, RequestInput::Tear) if self.may_go_on() => {
                 self.rounds += 1;
                 self.last_failure = Some(Failure::Unknown);
                 self.state = Admitted;
-                ChartOutput::AskScheduler
+                RequestOutput::AskScheduler
             }
-            (Opened | Streaming, ChartInput::Break | ChartInput::Tear) => {
+            (RecoveredStorage | Streaming, RequestInput::Break | RequestInput::Tear) => {
                 self.state = Broken;
-                ChartOutput::Cut
+                RequestOutput::Cut
             }
-            (Ended | Refused | Broken, _) | (_, _) => ChartOutput::Rest,
+            (Ended | Refused | Broken, _) | (_, _) => RequestOutput::Rest,
         }
     }
 
     /// The last word to the client: the given refusal, or what a failure before it makes of it.
-    fn finally(&mut self, code: ResultCode) -> ChartOutput {
+    fn finally(&mut self, code: ResultCode) -> RequestOutput {
         if self.may_have_run {
             self.state = RequestState::Broken;
-            return ChartOutput::Tell(ResultCode::Unknown);
+            return RequestOutput::Tell(ResultCode::Unknown);
         }
         if !code.is_refusal() {
             self.state = RequestState::Broken;
-            return ChartOutput::Tell(code);
+            return RequestOutput::Tell(code);
         }
         self.state = RequestState::Refused;
-        ChartOutput::Tell(match self.last_failure {
+        RequestOutput::Tell(match self.last_failure {
             Some(Failure::Unsent) => ResultCode::Unsent,
             Some(Failure::Refused) => ResultCode::ServerRefused,
             _ => code,
--- a/crates/router/src/chart/tests.rs
+++ b/crates/router/src/request_state/tests.rs
@@ -1,42 +1,50 @@
-use crate::chart::{Chart, ChartInput, ChartOutput, Failure, RequestState};
-use ChartInput::{Admit, Break, Deny, Fail, Finish, Give, LoseLease, Open, Supersede, Tear};
+use crate::request_state::{
+    Failure, RequestInput, RequestOutput, RequestState, RequestStateMachine,
+};
+use RequestInput::{Admit, Break, Deny, Fail, Finish, Give, LoseLease, Open, Supersede, Tear};
 use placement::mix;
 use types::ResultCode;
 use yare::parameterized;
 
-const ONCE: ChartInput = ChartInput::Place { may_repeat: false };
-const AGAIN: ChartInput = ChartInput::Place { may_repeat: true };
+const ONCE: RequestInput = RequestInput::Place { may_repeat: false };
+const AGAIN: RequestInput = RequestInput::Place { may_repeat: true };
 
 #[parameterized(
-    plain = { &[Admit, ONCE, Open, Give, Give, Finish], RequestState::Ended, ChartOutput::Tell(ResultCode::Complete) },
-    not_allowed = { &[Admit, Deny(ResultCode::UnknownService)], RequestState::Refused, ChartOutput::Tell(ResultCode::UnknownService) },
-    an_id_that_may_be_running_is_no_refusal = { &[Admit, Deny(ResultCode::RequestIdTaken)], RequestState::Broken, ChartOutput::Tell(ResultCode::RequestIdTaken) },
-    cut_off_at_the_last_moment = { &[Admit, ONCE, LoseLease], RequestState::Refused, ChartOutput::Tell(ResultCode::NotReady) },
-    placed_anew_under_a_newer_epoch = { &[Admit, ONCE, Supersede, ONCE, Open, Finish], RequestState::Ended, ChartOutput::Tell(ResultCode::Complete) },
-    a_newer_epoch_allows_it_no_more = { &[Admit, ONCE, Supersede, Deny(ResultCode::UnknownService)], RequestState::Refused, ChartOutput::Tell(ResultCode::UnknownService) },
-    silence_and_a_newer_epoch_without_a_server = { &[Admit, AGAIN, Fail(Failure::Unknown), AGAIN, Supersede, Deny(ResultCode::NoServer)], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    silence_and_a_newer_epoch_without_repeats = { &[Admit, AGAIN, Fail(Failure::Unknown), AGAIN, Supersede, ONCE], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    unsent_goes_elsewhere = { &[Admit, ONCE, Fail(Failure::Unsent), ONCE, Open, Finish], RequestState::Ended, ChartOutput::Tell(ResultCode::Complete) },
-    unsent_and_no_other = { &[Admit, ONCE, Fail(Failure::Unsent), Deny(ResultCode::NoServer)], RequestState::Refused, ChartOutput::Tell(ResultCode::Unsent) },
-    silence_is_unknown = { &[Admit, ONCE, Fail(Failure::Unknown)], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    silence_where_a_repeat_does_no_harm = { &[Admit, AGAIN, Fail(Failure::Unknown)], RequestState::Admitted, ChartOutput::AskScheduler },
-    silence_and_the_plan_changed_meanwhile = { &[Admit, AGAIN, Fail(Failure::Unknown), ONCE], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    silence_under_the_stricter_of_two_plans = { &[Admit, ONCE, Fail(Failure::Unsent), AGAIN, Fail(Failure::Unknown)], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    silence_then_no_other_is_unknown_still = { &[Admit, AGAIN, Fail(Failure::Unknown), Deny(ResultCode::NoServer)], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    silence_then_refusal_is_unknown_still = { &[Admit, AGAIN, Fail(Failure::Unknown), AGAIN, Fail(Failure::Refused), AGAIN, Fail(Failure::Refused)], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    refused_by_three = { &[Admit, ONCE, Fail(Failure::Refused), ONCE, Fail(Failure::Refused), ONCE, Fail(Failure::Refused)], RequestState::Refused, ChartOutput::Tell(ResultCode::ServerRefused) },
-    broken_is_not_run_again = { &[Admit, AGAIN, Open, Give, Break, AGAIN, Open], RequestState::Broken, ChartOutput::Rest },
-    a_torn_stream_goes_on_elsewhere = { &[Admit, AGAIN, Open, Give, Tear, AGAIN, Open, Give, Finish], RequestState::Ended, ChartOutput::Tell(ResultCode::Complete) },
-    a_torn_stream_that_may_not_run_again_is_cut = { &[Admit, ONCE, Open, Give, Tear], RequestState::Broken, ChartOutput::Cut },
-    a_torn_stream_goes_on_only_as_often_as_it_may = { &[Admit, AGAIN, Open, Tear, AGAIN, Open, Tear, AGAIN, Open, Tear], RequestState::Broken, ChartOutput::Cut },
-    a_torn_stream_that_no_other_takes_is_unknown = { &[Admit, AGAIN, Open, Tear, Deny(ResultCode::NoServer)], RequestState::Broken, ChartOutput::Tell(ResultCode::Unknown) },
-    the_unreachable_are_not_tried_for_ever = { &[Admit, ONCE, Fail(Failure::Unsent), ONCE, Fail(Failure::Unsent), ONCE, Fail(Failure::Unsent)], RequestState::Refused, ChartOutput::Tell(ResultCode::Unsent) },
-    nothing_after_the_end = { &[Admit, AGAIN, Open, Finish, Give], RequestState::Ended, ChartOutput::Rest },
+    plain = { &[Admit, ONCE, Open, Give, Give, Finish], RequestState::Ended, RequestOutput::Tell(ResultCode::Complete) },
+    not_allowed = { &[Admit, Deny(ResultCode::UnknownService)], RequestState::Refused, RequestOutput::Tell(ResultCode::UnknownService) },
+    an_id_that_may_be_running_is_no_refusal = { &[Admit, Deny(ResultCode::RequestIdTaken)], RequestState::Broken, RequestOutput::Tell(ResultCode::RequestIdTaken) },
+    cut_off_at_the_last_moment = { &[Admit, ONCE, LoseLease], RequestState::Refused, RequestOutput::Tell(ResultCode::NotReady) },
+    placed_anew_under_a_newer_epoch = { &[Admit, ONCE, Supersede, ONCE, Open, Finish], RequestState::Ended, RequestOutput::Tell(ResultCode::Complete) },
+    a_newer_epoch_allows_it_no_more = { &[Admit, ONCE, Supersede, Deny(ResultCode::UnknownService)], RequestState::Refused, RequestOutput::Tell(ResultCode::UnknownService) },
+    silence_and_a_newer_epoch_without_a_server = { &[Admit, AGAIN, Fail(Failure::Unknown), AGAIN, Supersede, Deny(ResultCode::NoServer)], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    silence_and_a_newer_epoch_without_repeats = { &[Admit, AGAIN, Fail(Failure::Unknown), AGAIN, Supersede, ONCE], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    unsent_goes_elsewhere = { &[Admit, ONCE, Fail(Failure::Unsent), ONCE, Open, Finish], RequestState::Ended, RequestOutput::Tell(ResultCode::Complete) },
+    unsent_and_no_other = { &[Admit, ONCE, Fail(Failure::Unsent), Deny(ResultCode::NoServer)], RequestState::Refused, RequestOutput::Tell(ResultCode::Unsent) },
+    silence_is_unknown = { &[Admit, ONCE, Fail(Failure::Unknown)], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    silence_where_a_repeat_does_no_harm = { &[Admit, AGAIN, Fail(Failure::Unknown)], RequestState::Admitted, RequestOutput::AskScheduler },
+    silence_and_the_plan_changed_meanwhile = { &[Admit, AGAIN, Fail(Failure::Unknown), ONCE], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    silence_under_the_stricter_of_two_plans = { &[Admit, ONCE, Fail(Failure::Unsent), AGAIN, Fail(Failure::Unknown)], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    silence_then_no_other_is_unknown_still = { &[Admit, AGAIN, Fail(Failure::Unknown), Deny(ResultCode::NoServer)], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    silence_then_refusal_is_unknown_still = { &[Admit, AGAIN, Fail(Failure::Unknown), AGAIN, Fail(Failure::Refused), AGAIN, Fail(Failure::Refused)], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    refused_by_three = { &[Admit, ONCE, Fail(Failure::Refused), ONCE, Fail(Failure::Refused), ONCE, Fail(Failure::Refused)], RequestState::Refused, RequestOutput::Tell(ResultCode::ServerRefused) },
+    broken_is_not_run_again = { &[Admit, AGAIN, Open, Give, Break, AGAIN, Open], RequestState::Broken, RequestOutput::Rest },
+    a_torn_stream_goes_on_elsewhere = { &[Admit, AGAIN, Open, Give, Tear, AGAIN, Open, Give, Finish], RequestState::Ended, RequestOutput::Tell(ResultCode::Complete) },
+    a_torn_stream_that_may_not_run_again_is_cut = { &[Admit, ONCE, Open, Give, Tear], RequestState::Broken, RequestOutput::Cut },
+    a_torn_stream_goes_on_only_as_often_as_it_may = { &[Admit, AGAIN, Open, Tear, AGAIN, Open, Tear, AGAIN, Open, Tear], RequestState::Broken, RequestOutput::Cut },
+    a_torn_stream_that_no_other_takes_is_unknown = { &[Admit, AGAIN, Open, Tear, Deny(ResultCode::NoServer)], RequestState::Broken, RequestOutput::Tell(ResultCode::Unknown) },
+    the_unreachable_are_not_tried_for_ever = { &[Admit, ONCE, Fail(Failure::Unsent), ONCE, Fail(Failure::Unsent), ONCE, Fail(Failure::Unsent)], RequestState::Refused, RequestOutput::Tell(ResultCode::Unsent) },
+    nothing_after_the_end = { &[Admit, AGAIN, Open, Finish, Give], RequestState::Ended, RequestOutput::Rest },
 )]
-fn traces(inputs: &[ChartInput], state: RequestState, last: ChartOutput) {
-    let mut chart = Chart::default();
-    let outputs: Vec<ChartOutput> = inputs.iter().map(|input| chart.step(*input)).collect();
-    assert_eq!((chart.state(), outputs.last()), (state, Some(&last)));
+fn traces(inputs: &[RequestInput], state: RequestState, last: RequestOutput) {
+    let mut request_state = RequestStateMachine::default();
+    let outputs: Vec<RequestOutput> = inputs
+        .iter()
+        .map(|input| request_state.step(*input))
+        .collect();
+    assert_eq!(
+        (request_state.state(), outputs.last()),
+        (state, Some(&last))
+    );
 }
 
 #[test]
@@ -58,24 +66,24 @@
         Fail(Failure::Unknown),
     ];
     for number in 0..200_000u64 {
-        let mut chart = Chart::default();
+        let mut request_state = RequestStateMachine::default();
         let mut may_have_run = false;
         let mut is_once = false;
         let mut state = number;
         for _ in 0..10 {
             state = mix(state);
             let input = inputs[(state % inputs.len() as u64) as usize];
-            let before = chart.state();
-            let output = chart.step(input);
+            let before = request_state.state();
+            let output = request_state.step(input);
             is_once |= before == RequestState::Admitted && input == ONCE;
             let is_asked = before == RequestState::Placed;
             may_have_run |= is_asked && matches!(input, Open | Fail(Failure::Unknown));
-            let is_repeat = may_have_run && output == ChartOutput::AskServer;
+            let is_repeat = may_have_run && output == RequestOutput::AskServer;
             assert!(
                 !(is_repeat && is_once),
                 "seed {number}: a once-only request was repeated"
             );
-            if let ChartOutput::Tell(code) = output {
+            if let RequestOutput::Tell(code) = output {
                 assert!(
                     !(code.is_refusal() && may_have_run),
                     "seed {number}: {code} after it may have run"
--- a/crates/router/src/judgement.rs
+++ b/crates/router/src/response_validation.rs
@@ -13,7 +13,7 @@
 
 /// What a head claims, whoever the answer belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerClaim {
+pub enum ClaimedIdentity {
     /// The server ran the call and this is its whole answer.
     Success,
     /// The server ran it, or may have run it, and failed.
@@ -39,7 +39,7 @@
 
 /// What an answer says about the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judgement {
+pub enum ResponseValidation {
     /// It's the answer to this call; its body is to be passed on.
     Taken,
     /// It's the answer to this call, and the server failed while it ran it, or may have run it.
@@ -52,24 +52,32 @@
     Foreign,
 }
 
-impl Judgement {
+impl ResponseValidation {
     /// Judges an answer.
     ///
     /// Invariant: that a call did not run is believed only of an answer that names the call, or of one
     /// that names none in a place where no other answer can stand. Success and failure are believed
     /// only of an answer that names the call.
-    pub fn of(identity: AnswerIdentity, claim: AnswerClaim, place: AnswerPlace) -> Judgement {
+    pub fn of(
+        identity: AnswerIdentity,
+        claim: ClaimedIdentity,
+        place: AnswerPlace,
+    ) -> ResponseValidation {
         match (identity, claim, place) {
-            (AnswerIdentity::Other, _, _) => Judgement::Foreign,
-            (AnswerIdentity::Own, AnswerClaim::Success, _) => Judgement::Taken,
-            (AnswerIdentity::Own, AnswerClaim::Failure, _) => Judgement::Failed,
-            (AnswerIdentity::Own, AnswerClaim::NotRun, _) => Judgement::NotRun,
-            (AnswerIdentity::Own, AnswerClaim::Elsewhere, _) => Judgement::Elsewhere,
-            (AnswerIdentity::Missing, AnswerClaim::NotRun, AnswerPlace::Sole) => Judgement::NotRun,
-            (AnswerIdentity::Missing, AnswerClaim::Elsewhere, AnswerPlace::Sole) => {
-                Judgement::Elsewhere
+            (AnswerIdentity::Other, _, _) => ResponseValidation::Foreign,
+            (AnswerIdentity::Own, ClaimedIdentity::Success, _) => ResponseValidation::Taken,
+            (AnswerIdentity::Own, ClaimedIdentity::Failure, _) => ResponseValidation::Failed,
+            (AnswerIdentity::Own, ClaimedIdentity::NotRun, _) => ResponseValidation::NotRun,
+            (AnswerIdentity::Own, ClaimedIdentity::Elsewhere, _) => ResponseValidation::Elsewhere,
+            (AnswerIdentity::Missing, ClaimedIdentity::NotRun, AnswerPlace::Sole) => {
+                ResponseValidation::NotRun
+            }
+            (AnswerIdentity::Missing, ClaimedIdentity::Elsewhere, AnswerPlace::Sole) => {
+                ResponseValidation::Elsewhere
+            }
+            (AnswerIdentity::Missing, _, _) | (_, ClaimedIdentity::Nothing, _) => {
+                ResponseValidation::Foreign
             }
-            (AnswerIdentity::Missing, _, _) | (_, AnswerClaim::Nothing, _) => Judgement::Foreign,
         }
     }
 }
--- a/crates/router/src/server_list.rs
+++ b/crates/router/src/server_list.rs
@@ -1,37 +1,37 @@
 use placement::ServerEntry;
 use std::collections::{BTreeMap, BTreeSet};
-use types::{Address, Moment, ServerName, Span};
-use wire::{Letter, ListChange, ListPiece, ListState, ListVersion};
+use types::{Address, Milliseconds, MonotonicInstant, ServerName};
+use wire::{ListChange, ListState, ListVersion, Message, ServerListChunk};
 
 /// The spans and bounds that the list of servers is read and told by.
 #[derive(Debug, Clone, Copy)]
 pub struct ListTiming {
     /// Between two readings by one node.
-    pub period: Span,
+    pub period: Milliseconds,
     /// A member that has heard no collector for this long reads the list itself.
-    pub silence: Span,
+    pub silence: Milliseconds,
     /// Calls a second that the platform bears from the whole fleet.
     pub rate: u64,
     /// After a reading that failed, the first time.
-    pub retry: Span,
+    pub retry: Milliseconds,
     /// Cold servers warm up as time passes: what differs by no more than this from that is no change.
-    pub cold_tolerance: Span,
+    pub cold_tolerance: Milliseconds,
     /// Without a clock event for this long, the machine slept.
-    pub slept: Span,
+    pub slept: Milliseconds,
     /// What others say is not heard for so long after it: their letters may have lain here meanwhile.
-    pub deafness: Span,
+    pub deafness: Milliseconds,
 }
 
 impl Default for ListTiming {
     fn default() -> Self {
         ListTiming {
-            period: Span(1000),
-            silence: Span(2000),
+            period: Milliseconds(1000),
+            silence: Milliseconds(2000),
             rate: 50,
-            retry: Span(250),
-            cold_tolerance: Span(300),
-            slept: Span(1000),
-            deafness: Span(1000),
+            retry: Milliseconds(250),
+            cold_tolerance: Milliseconds(300),
+            slept: Milliseconds(1000),
+            deafness: Milliseconds(1000),
         }
     }
 }
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListReading {
     /// When it began to read.
-    pub asked: Moment,
+    pub asked: MonotonicInstant,
     /// Calls that it made.
     pub calls: usize,
     /// The whole list, if it could be read.
@@ -66,7 +66,7 @@
         /// To there.
         to: Address,
         /// It.
-        letter: Letter,
+        message: Message,
     },
     /// The list has changed: this is the whole of it, as of now.
     Servers(Vec<ServerEntry>),
@@ -99,34 +99,34 @@
 #[derive(Debug, Clone)]
 pub struct ServerList {
     own: Address,
-    life: u64,
+    incarnation: u64,
     timing: ListTiming,
-    now: Moment,
+    now: MonotonicInstant,
     entries: BTreeMap<ServerName, Entry>,
     version: ListVersion,
     check: u64,
     /// When the reading began that the list is from, or was last confirmed by, as far as this node's clock tells.
-    read_at: Option<Moment>,
+    read_at: Option<MonotonicInstant>,
     number: u64,
     zone: BTreeSet<Address>,
     fleet: usize,
     /// The zone's collector, and since when it is.
-    collector: (Option<Address>, Moment),
+    collector: (Option<Address>, MonotonicInstant),
     /// Whether this node reads for its zone: from when it is the collector until another is, and is heard.
     is_collecting: bool,
     /// Which collector last told or confirmed the list, and when.
-    heard: Option<(Address, Moment)>,
+    heard: Option<(Address, MonotonicInstant)>,
     /// Whether the list is read here for want of a collector.
     is_alone: bool,
     /// When the reading began that is under way.
-    reading: Option<Moment>,
-    next_read: Moment,
+    reading: Option<MonotonicInstant>,
+    next_read: MonotonicInstant,
     failures: u32,
     /// Calls that a reading takes.
     calls: usize,
     /// When the machine last slept, if it did: what was known before counts no more.
-    woken: Option<Moment>,
-    last_clock: Moment,
+    woken: Option<MonotonicInstant>,
+    last_clock: MonotonicInstant,
     fetching: Option<Fetching>,
     chance: u64,
     outputs: Vec<ListOutput>,
@@ -136,7 +136,7 @@
 struct Entry {
     /// Without `cold_left`.
     entry: ServerEntry,
-    cold_until: Option<Moment>,
+    cold_until: Option<MonotonicInstant>,
 }
 
 /// A whole list under way, piece by piece.
@@ -145,29 +145,29 @@
     from: Address,
     version: ListVersion,
     entries: Vec<Entry>,
-    asked: Moment,
+    asked: MonotonicInstant,
 }
 
 /// A piece that has not come by then is asked for anew.
-const FETCH_DEADLINE: Span = Span(500);
+const FETCH_DEADLINE: Milliseconds = Milliseconds(500);
 /// A reading without an end by then has come to nothing.
-const READ_DEADLINE: Span = Span(30_000);
+const READ_DEADLINE: Milliseconds = Milliseconds(30_000);
 /// Bytes of entries that one letter carries.
 const PIECE: usize = 200 << 10;
 
 impl Entry {
-    fn new(mut entry: ServerEntry, now: Moment) -> Entry {
+    fn new(mut entry: ServerEntry, now: MonotonicInstant) -> Entry {
         let cold_until = entry.cold_left.take().map(|left| now + left);
         Entry { entry, cold_until }
     }
-    fn told(&self, now: Moment) -> ServerEntry {
+    fn told(&self, now: MonotonicInstant) -> ServerEntry {
         ServerEntry {
             cold_left: self.cold_until.map(|deadline| now.until(deadline)),
             ..self.entry.clone()
         }
     }
     /// Whether the other is the same, but that time has passed.
-    fn is_like(&self, other: &Entry, now: Moment, tolerance: Span) -> bool {
+    fn is_like(&self, other: &Entry, now: MonotonicInstant, tolerance: Milliseconds) -> bool {
         let is_as_cold = match (self.cold_until, other.cold_until) {
             (Some(one), Some(two)) => now.until(one).0.abs_diff(now.until(two).0) <= tolerance.0,
             (one, two) => one == two,
@@ -189,7 +189,7 @@
         add(&entry.slots.map_or(u64::MAX, u64::from).to_le_bytes());
         add(entry.zone.as_str().as_bytes());
         add(entry.pool.as_bytes());
-        add(&[u8::from(entry.is_leaving), u8::from(cold_until.is_some())]);
+        add(&[u8::from(entry.is_draining), u8::from(cold_until.is_some())]);
     }
     let mut check = [0; 8];
     check.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
@@ -203,16 +203,19 @@
 
 impl ServerList {
     /// At the start of a node's life: nothing is known.
-    pub fn new(own: Address, life: u64, timing: ListTiming, now: Moment) -> Self {
+    pub fn new(own: Address, incarnation: u64, timing: ListTiming, now: MonotonicInstant) -> Self {
         let entries = BTreeMap::new();
         ServerList {
             own,
-            life,
+            incarnation,
             timing,
             now,
             check: check_of(&entries),
             entries,
-            version: ListVersion { life, number: 0 },
+            version: ListVersion {
+                incarnation,
+                number: 0,
+            },
             read_at: None,
             number: 0,
             zone: BTreeSet::new(),
@@ -228,7 +231,7 @@
             woken: None,
             last_clock: now,
             fetching: None,
-            chance: life ^ u64::from(own.0.port()) << 48,
+            chance: incarnation ^ u64::from(own.0.port()) << 48,
             outputs: vec![],
         }
     }
@@ -243,7 +246,7 @@
         self.version
     }
     /// When the newest reading began that the list is from or was confirmed by.
-    pub fn read_at(&self) -> Option<Moment> {
+    pub fn read_at(&self) -> Option<MonotonicInstant> {
         self.read_at
     }
     /// Whether this node reads for its zone.
@@ -251,7 +254,7 @@
         self.is_collecting
     }
     /// When the next clock event is due at the latest.
-    pub fn next_timer(&self) -> Moment {
+    pub fn next_timer(&self) -> MonotonicInstant {
         match self.reading {
             Some(asked) => asked + READ_DEADLINE,
             None if self.reads_itself() => self.next_read,
@@ -260,7 +263,7 @@
     }
 
     /// Time has passed.
-    pub fn on_clock(&mut self, now: Moment, peers: ListPeers) -> Vec<ListOutput> {
+    pub fn on_clock(&mut self, now: MonotonicInstant, peers: ListPeers) -> Vec<ListOutput> {
         self.pass(now);
         self.last_clock = self.now;
         self.note_peers(peers);
@@ -291,7 +294,7 @@
     }
 
     /// The reader is done.
-    pub fn on_reading(&mut self, now: Moment, reading: ListReading) -> Vec<ListOutput> {
+    pub fn on_reading(&mut self, now: MonotonicInstant, reading: ListReading) -> Vec<ListOutput> {
         self.pass(now);
         self.reading = None;
         if self.woken.is_some_and(|woken| reading.asked < woken) {
@@ -313,7 +316,7 @@
             None => {
                 // Whoever can't read says nothing, so that the others see for themselves.
                 let most = if self.is_collecting { 1 } else { 3 };
-                let pause = Span(self.timing.retry.0 << self.failures.min(most));
+                let pause = Milliseconds(self.timing.retry.0 << self.failures.min(most));
                 self.failures += 1;
                 let is_spare = self.read_at.is_some() && !self.is_collecting;
                 let pause = match self.has_teller() {
@@ -329,24 +332,31 @@
     }
 
     /// A letter came. Those that are not about the list are passed over.
-    pub fn on_letter(&mut self, now: Moment, from: Address, letter: &Letter) -> Vec<ListOutput> {
+    pub fn on_message(
+        &mut self,
+        now: MonotonicInstant,
+        from: Address,
+        message: &Message,
+    ) -> Vec<ListOutput> {
         self.pass(now);
         let is_deaf = self
             .woken
             .is_some_and(|woken| self.now < woken + self.timing.deafness);
         if !is_deaf && from != self.own && self.zone.contains(&from) {
-            match letter {
-                Letter::ListFresh { state } => self.on_fresh(from, state),
-                Letter::ListChange { change } => self.on_change(from, change),
-                Letter::ListAsk { version, offset } => self.on_ask(from, *version, *offset),
-                Letter::ListPiece { piece } => self.on_piece(from, piece),
+            match message {
+                Message::ListFresh { state } => self.on_fresh(from, state),
+                Message::ListChange { change } => self.on_change(from, change),
+                Message::ServerListRequest { version, offset } => {
+                    self.on_ask(from, *version, *offset)
+                }
+                Message::ServerListChunk { piece } => self.on_piece(from, piece),
                 _ => {}
             }
         }
         std::mem::take(&mut self.outputs)
     }
 
-    fn pass(&mut self, now: Moment) {
+    fn pass(&mut self, now: MonotonicInstant) {
         self.now = self.now.max(now);
         if self.now.since(self.last_clock) < self.timing.slept {
             return;
@@ -394,21 +404,21 @@
         self.is_collecting || self.is_alone
     }
     /// Between readings by each of the fleet, if all of it has to read.
-    fn fleet_period(&self) -> Span {
+    fn fleet_period(&self) -> Milliseconds {
         fleet_period(self.fleet, self.calls, self.timing.rate).max(self.timing.period)
     }
     /// By chance, less than the span.
-    fn part_of(&mut self, span: Span) -> Span {
+    fn part_of(&mut self, span: Milliseconds) -> Milliseconds {
         // SplitMix64.
         self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.chance;
         mixed = (mixed ^ mixed >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
-        Span((mixed ^ mixed >> 31) % span.0.max(1))
+        Milliseconds((mixed ^ mixed >> 31) % span.0.max(1))
     }
     /// The span, an eighth more or less.
-    fn about(&mut self, span: Span) -> Span {
-        Span(span.0 - span.0 / 8 + self.part_of(Span(span.0 / 4)).0)
+    fn about(&mut self, span: Milliseconds) -> Milliseconds {
+        Milliseconds(span.0 - span.0 / 8 + self.part_of(Milliseconds(span.0 / 4)).0)
     }
 
     fn state(&self) -> ListState {
@@ -421,12 +431,12 @@
         }
     }
     /// How long all servers together are still cold.
-    fn cold(&self) -> Span {
+    fn cold(&self) -> Milliseconds {
         let left = self
             .entries
             .values()
             .filter_map(|entry| entry.cold_until.map(|deadline| self.now.until(deadline).0));
-        Span(left.sum())
+        Milliseconds(left.sum())
     }
     fn servers(&self) -> Vec<ServerEntry> {
         self.entries
@@ -434,10 +444,10 @@
             .map(|entry| entry.told(self.now))
             .collect()
     }
-    fn send(&mut self, to: Address, letter: Letter) {
-        self.outputs.push(ListOutput::Send { to, letter });
+    fn send(&mut self, to: Address, message: Message) {
+        self.outputs.push(ListOutput::Send { to, message });
     }
-    fn tell_zone(&mut self, letter: &Letter) {
+    fn tell_zone(&mut self, message: &Message) {
         let others: Vec<Address> = self
             .zone
             .iter()
@@ -446,11 +456,11 @@
             .collect();
         others
             .into_iter()
-            .for_each(|one| self.send(one, letter.clone()));
+            .for_each(|one| self.send(one, message.clone()));
     }
 
     /// This node has read the whole list.
-    fn take_reading(&mut self, asked: Moment, servers: Vec<ServerEntry>) {
+    fn take_reading(&mut self, asked: MonotonicInstant, servers: Vec<ServerEntry>) {
         if self.read_at.is_some_and(|held| asked < held) {
             return;
         }
@@ -479,7 +489,7 @@
         if !is_first && set.is_empty() && gone.is_empty() {
             if self.is_collecting {
                 let state = self.state();
-                self.tell_zone(&Letter::ListFresh { state });
+                self.tell_zone(&Message::ListFresh { state });
             }
             return;
         }
@@ -493,7 +503,7 @@
         let base = std::mem::replace(
             &mut self.version,
             ListVersion {
-                life: self.life,
+                incarnation: self.incarnation,
                 number: self.number,
             },
         );
@@ -504,8 +514,8 @@
             let is_long = told.iter().map(bytes_of).sum::<usize>() > PIECE;
             self.tell_zone(&match is_first || is_long {
                 // Whoever holds something else asks for the whole.
-                true => Letter::ListFresh { state },
-                false => Letter::ListChange {
+                true => Message::ListFresh { state },
+                false => Message::ListChange {
                     change: Box::new(ListChange {
                         state,
                         base,
@@ -530,7 +540,7 @@
     }
 
     /// When the reading began that another tells of, if no list that is held here was read later.
-    fn date(&self, state: &ListState, told: Moment) -> Option<Moment> {
+    fn date(&self, state: &ListState, told: MonotonicInstant) -> Option<MonotonicInstant> {
         let at = told - state.age;
         self.read_at.is_none_or(|held| at >= held).then_some(at)
     }
@@ -541,7 +551,7 @@
             && (self.version == state.version || (self.check == state.check && is_as_cold()))
     }
     /// A collector has told that what is held here now is what the list shows.
-    fn confirm(&mut self, from: Address, state: &ListState, at: Moment) {
+    fn confirm(&mut self, from: Address, state: &ListState, at: MonotonicInstant) {
         self.read_at = Some(at);
         self.version = state.version;
         self.heard = Some((from, self.now));
@@ -588,7 +598,7 @@
         &mut self,
         from: Address,
         state: &ListState,
-        at: Moment,
+        at: MonotonicInstant,
         entries: BTreeMap<ServerName, Entry>,
     ) {
         self.entries = entries;
@@ -613,7 +623,7 @@
             entries: vec![],
             asked,
         });
-        self.send(from, Letter::ListAsk { version, offset: 0 });
+        self.send(from, Message::ServerListRequest { version, offset: 0 });
     }
 
     fn on_ask(&mut self, from: Address, version: ListVersion, offset: u32) {
@@ -633,7 +643,7 @@
             .skip(offset as usize)
             .map(|entry| entry.told(self.now));
         let entries = rest.take_while(fits).collect();
-        let piece = ListPiece {
+        let piece = ServerListChunk {
             state: self.state(),
             offset,
             length: self.entries.len() as u32,
@@ -641,17 +651,17 @@
         };
         self.send(
             from,
-            Letter::ListPiece {
+            Message::ServerListChunk {
                 piece: Box::new(piece),
             },
         );
     }
 
-    fn on_piece(&mut self, from: Address, piece: &ListPiece) {
+    fn on_piece(&mut self, from: Address, piece: &ServerListChunk) {
         let Some(mut fetching) = self.fetching.take_if(|fetching| fetching.from == from) else {
             return;
         };
-        let ListPiece {
+        let ServerListChunk {
             state,
             offset,
             length,
@@ -681,7 +691,7 @@
             }
             fetching.asked = self.now;
             let (version, offset) = (fetching.version, fetching.entries.len() as u32);
-            self.send(from, Letter::ListAsk { version, offset });
+            self.send(from, Message::ServerListRequest { version, offset });
         }
         self.fetching = Some(fetching);
     }
@@ -689,8 +699,8 @@
 
 /// How long each of `members` waits between readings, so that all together make no more than two thirds of
 /// `rate` calls a second, each reading taking so many.
-fn fleet_period(members: usize, calls: usize, rate: u64) -> Span {
-    Span(members as u64 * calls.max(1) as u64 * 1500 / rate.max(1))
+fn fleet_period(members: usize, calls: usize, rate: u64) -> Milliseconds {
+    Milliseconds(members as u64 * calls.max(1) as u64 * 1500 / rate.max(1))
 }
 
 #[cfg(test)]
--- a/crates/router/src/server_list/tests.rs
+++ b/crates/router/src/server_list/tests.rs
@@ -2,8 +2,8 @@
 use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
 use placement::ServerEntry;
 use std::collections::VecDeque;
-use types::{Address, Moment, Span};
-use wire::{Letter, ListChange, ListPiece, ListState, seal};
+use types::{Address, Milliseconds, MonotonicInstant};
+use wire::{ListChange, ListState, Message, ServerListChunk, seal};
 use yare::parameterized;
 
 mod restart;
@@ -26,7 +26,7 @@
     /// Whether a collector that is not heard is passed over.
     does_pass_over: bool,
     calls: Vec<(u64, Address)>,
-    letters: Vec<(u64, Address, Address, Letter)>,
+    messages: Vec<(u64, Address, Address, Message)>,
     readings: Vec<(u64, Address, ListReading)>,
     lists: BTreeMap<Address, Vec<ServerEntry>>,
     changes: usize,
@@ -47,7 +47,12 @@
         let fresh = |one: &Address| {
             (
                 *one,
-                ServerList::new(*one, u64::from(one.0.port()), timing, Moment(10_000)),
+                ServerList::new(
+                    *one,
+                    u64::from(one.0.port()),
+                    timing,
+                    MonotonicInstant(10_000),
+                ),
             )
         };
         Zone {
@@ -64,7 +69,7 @@
                 .map(|n| (format!("s{n:04}"), (0, false)))
                 .collect(),
             calls: vec![],
-            letters: vec![],
+            messages: vec![],
             readings: vec![],
             lists: BTreeMap::new(),
             changes: 0,
@@ -72,11 +77,11 @@
         }
     }
     fn listed(&self) -> Vec<ServerEntry> {
-        let entry = |(name, (cold_until, is_leaving)): (&String, &(u64, bool))| ServerEntry {
+        let entry = |(name, (cold_until, is_draining)): (&String, &(u64, bool))| ServerEntry {
             server: name.as_str().into(),
             address: Some(format!("10.0.0.1:{name}")),
-            cold_left: Some(Span(cold_until.saturating_sub(self.now))),
-            is_leaving: *is_leaving,
+            cold_left: Some(Milliseconds(cold_until.saturating_sub(self.now))),
+            is_draining: *is_draining,
             ..ServerEntry::default()
         };
         self.platform.iter().map(entry).collect()
@@ -94,21 +99,21 @@
                     self.calls.push((self.now, at));
                     let servers = (!self.cut_off.contains(&at)).then(|| self.listed());
                     let reading = ListReading {
-                        asked: Moment(self.now),
+                        asked: MonotonicInstant(self.now),
                         calls: 1,
                         servers,
                     };
                     self.readings.push((self.now + 20, at, reading));
                 }
-                ListOutput::Send { to, letter } => {
-                    match letter {
-                        Letter::ListFresh { .. } => self.sent[0] += 1,
-                        Letter::ListChange { .. } => self.sent[1] += 1,
-                        Letter::ListAsk { .. } => self.sent[2] += 1,
+                ListOutput::Send { to, message } => {
+                    match message {
+                        Message::ListFresh { .. } => self.sent[0] += 1,
+                        Message::ListChange { .. } => self.sent[1] += 1,
+                        Message::ServerListRequest { .. } => self.sent[2] += 1,
                         _ => self.sent[3] += 1,
                     }
                     if !self.unreached.contains(&to) {
-                        self.letters.push((self.now + 5, at, to, letter));
+                        self.messages.push((self.now + 5, at, to, message));
                     }
                 }
                 ListOutput::Servers(servers) => {
@@ -128,21 +133,21 @@
         while self.now < until {
             self.now += 5;
             let now = self.now;
-            let (letters, later) = std::mem::take(&mut self.letters)
+            let (messages, later) = std::mem::take(&mut self.messages)
                 .into_iter()
                 .partition(|(at, ..)| *at <= now);
-            self.letters = later;
-            let letters: Vec<(u64, Address, Address, Letter)> = letters;
-            for (_, from, to, letter) in letters
+            self.messages = later;
+            let messages: Vec<(u64, Address, Address, Message)> = messages;
+            for (_, from, to, message) in messages
                 .into_iter()
-                .filter(|letter| !self.dead.contains(&letter.2))
+                .filter(|message| !self.dead.contains(&message.2))
                 .collect::<Vec<_>>()
             {
-                let outputs =
-                    self.nodes
-                        .get_mut(&to)
-                        .expect("a node")
-                        .on_letter(Moment(now), from, &letter);
+                let outputs = self.nodes.get_mut(&to).expect("a node").on_message(
+                    MonotonicInstant(now),
+                    from,
+                    &message,
+                );
                 self.take(to, outputs);
             }
             let (readings, later) = std::mem::take(&mut self.readings)
@@ -159,7 +164,7 @@
                     .nodes
                     .get_mut(&at)
                     .expect("a node")
-                    .on_reading(Moment(now), reading);
+                    .on_reading(MonotonicInstant(now), reading);
                 self.take(at, outputs);
             }
             for at in self
@@ -182,7 +187,7 @@
                         .nodes
                         .get_mut(&at)
                         .expect("a node")
-                        .on_clock(Moment(now), peers);
+                        .on_clock(MonotonicInstant(now), peers);
                     self.take(at, outputs);
                 }
             }
@@ -222,7 +227,7 @@
 )]
 fn the_fleet_together_keeps_to_the_rate(members: usize, calls: usize, rate: u64, expected: u64) {
     let span = fleet_period(members, calls, rate);
-    assert_eq!(span, Span(expected));
+    assert_eq!(span, Milliseconds(expected));
     assert!(members as u64 * calls as u64 * 1000 <= rate * span.0);
 }
 
@@ -238,10 +243,10 @@
         (60 * 29, &sent[1..])
     );
     assert_eq!(zone.changes, changes);
-    let letter = Letter::ListFresh {
+    let message = Message::ListFresh {
         state: zone.nodes[&node(1)].state(),
     };
-    assert!(letter.is_datagram() && seal(node(1), &letter).expect("sealed").len() < 120);
+    assert!(message.is_datagram() && seal(node(1), &message).expect("sealed").len() < 120);
 }
 
 #[test]
@@ -265,7 +270,7 @@
     zone.run_to_reading();
     zone.run(10);
     assert_eq!(
-        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving),
+        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_draining),
         30
     );
     assert_eq!(zone.knowing(|entry| entry.server.as_str() == "t0001"), 30);
@@ -301,7 +306,7 @@
     zone.platform.insert("t".into(), (zone.now + 5000, false));
     zone.run(1100);
     assert_eq!(zone.changes, changes + 5);
-    assert!((1..=5).all(|at| left(&zone, node(at)).expect("told") > Span(3500)));
+    assert!((1..=5).all(|at| left(&zone, node(at)).expect("told") > Milliseconds(3500)));
 }
 
 /// The collector is killed; others read themselves, pass it over, and go over to the next.
@@ -314,7 +319,7 @@
     zone.platform.get_mut("s0007").expect("listed").1 = true;
     zone.run(3100);
     assert_eq!(
-        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving),
+        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_draining),
         29
     );
     zone.run(3000);
@@ -325,7 +330,12 @@
     assert_eq!(zone.calls_in(10_000), 10);
     // It is back, without what it knew.
     zone.dead.clear();
-    let again = ServerList::new(node(1), 99, ListTiming::default(), Moment(zone.now));
+    let again = ServerList::new(
+        node(1),
+        99,
+        ListTiming::default(),
+        MonotonicInstant(zone.now),
+    );
     zone.nodes.insert(node(1), again);
     zone.run(3000);
     assert!(zone.nodes[&node(1)].is_collecting() && !zone.nodes[&node(2)].is_collecting());
@@ -373,41 +383,41 @@
     let stale = zone.nodes[&node(1)].clone();
     zone.platform.get_mut("s0007").expect("listed").1 = true;
     zone.run(2000);
-    let is_leaving = |entry: &ServerEntry| entry.server.as_str() == "s0007" && entry.is_leaving;
+    let is_draining = |entry: &ServerEntry| entry.server.as_str() == "s0007" && entry.is_draining;
     let mut member = zone.nodes[&node(3)].clone();
     let (version, read_at) = (member.version(), member.read_at());
     let mut old = stale.clone();
-    old.now = Moment(zone.now);
+    old.now = MonotonicInstant(zone.now);
     let change = ListChange {
         state: old.state(),
         base: version,
         set: old.servers(),
         gone: vec![],
     };
-    let piece = ListPiece {
+    let piece = ServerListChunk {
         state: old.state(),
         offset: 0,
         length: 40,
         entries: old.servers(),
     };
-    let letters = [
-        Letter::ListFresh { state: old.state() },
-        Letter::ListChange {
+    let messages = [
+        Message::ListFresh { state: old.state() },
+        Message::ListChange {
             change: Box::new(change),
         },
-        Letter::ListPiece {
+        Message::ServerListChunk {
             piece: Box::new(piece),
         },
     ];
-    for letter in letters {
+    for message in messages {
         assert_eq!(
-            member.on_letter(Moment(zone.now), node(1), &letter),
+            member.on_message(MonotonicInstant(zone.now), node(1), &message),
             vec![],
-            "{letter:?}"
+            "{message:?}"
         );
         assert_eq!((member.version(), member.read_at()), (version, read_at));
     }
-    assert!(member.servers().iter().any(is_leaving));
+    assert!(member.servers().iter().any(is_draining));
 }
 
 #[test]
@@ -415,13 +425,13 @@
     let mut zone = Zone::new(3);
     zone.run(5000);
     let mut member = zone.nodes[&node(3)].clone();
-    let (version, asked) = (member.version(), Moment(zone.now - 3000));
+    let (version, asked) = (member.version(), MonotonicInstant(zone.now - 3000));
     let reading = ListReading {
         asked,
         calls: 1,
         servers: Some(vec![]),
     };
-    member.on_reading(Moment(zone.now), reading);
+    member.on_reading(MonotonicInstant(zone.now), reading);
     assert_eq!((member.version(), member.servers().len()), (version, 40));
 }
 
@@ -436,7 +446,7 @@
     zone.run_to_reading();
     zone.unreached.clear();
     let is_cold = |entry: &ServerEntry| {
-        entry.server.as_str() == "s0007" && entry.cold_left > Some(Span(50_000))
+        entry.server.as_str() == "s0007" && entry.cold_left > Some(Milliseconds(50_000))
     };
     zone.run(10);
     assert_eq!(zone.knowing(is_cold), 4);
@@ -461,7 +471,7 @@
     all.iter()
         .for_each(|name| zone.platform.get_mut(name).expect("listed").1 = true);
     zone.run(1500);
-    assert!(zone.lists[&node(2)].iter().all(|entry| entry.is_leaving));
+    assert!(zone.lists[&node(2)].iter().all(|entry| entry.is_draining));
 }
 
 #[test]
@@ -470,7 +480,12 @@
     zone.run(5000);
     zone.nodes.insert(
         node(5),
-        ServerList::new(node(5), 77, ListTiming::default(), Moment(zone.now)),
+        ServerList::new(
+            node(5),
+            77,
+            ListTiming::default(),
+            MonotonicInstant(zone.now),
+        ),
     );
     zone.lists.remove(&node(5));
     zone.run(50);
@@ -484,23 +499,23 @@
 fn after_a_sleep_only_what_was_read_since_counts() {
     let mut zone = Zone::new(3);
     zone.run(5000);
-    let told = Letter::ListFresh {
+    let told = Message::ListFresh {
         state: zone.nodes[&node(1)].state(),
     };
     let mut member = zone.nodes[&node(3)].clone();
     let later = zone.now + 4000;
     assert!(member.is_known());
-    member.on_letter(Moment(later), node(1), &told);
+    member.on_message(MonotonicInstant(later), node(1), &told);
     assert!(
         !member.is_known(),
         "a letter that came before the clock event"
     );
     let old = ListReading {
-        asked: Moment(zone.now),
+        asked: MonotonicInstant(zone.now),
         calls: 1,
         servers: Some(zone.listed()),
     };
-    member.on_reading(Moment(later + 1), old);
+    member.on_reading(MonotonicInstant(later + 1), old);
     assert!(!member.is_known(), "a reading that was under way");
     let members = zone.members.clone();
     let peers = ListPeers {
@@ -509,16 +524,16 @@
         fleet: 3,
     };
     assert_eq!(
-        member.on_clock(Moment(later + 2), peers),
+        member.on_clock(MonotonicInstant(later + 2), peers),
         vec![ListOutput::Read(ReadEffort::Once)]
     );
     let new = ListReading {
-        asked: Moment(later + 2),
+        asked: MonotonicInstant(later + 2),
         calls: 1,
         servers: Some(zone.listed()),
     };
     assert_eq!(
-        member.on_reading(Moment(later + 20), new),
+        member.on_reading(MonotonicInstant(later + 20), new),
         vec![],
         "nobody is passed over for its own sleep"
     );
@@ -534,7 +549,7 @@
     zone.platform.get_mut("s0007").expect("listed").1 = true;
     zone.run(1200);
     assert_eq!(
-        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_leaving),
+        zone.knowing(|entry| entry.server.as_str() == "s0007" && entry.is_draining),
         10
     );
     zone.run(2000);
@@ -550,24 +565,24 @@
     let mut other = zone.nodes[&node(1)].state();
     other.version.number += 1;
     other.check += 1;
-    (other.age, zone.now) = (Span(0), zone.now + 300);
-    let asks = member.on_letter(
-        Moment(zone.now),
+    (other.age, zone.now) = (Milliseconds(0), zone.now + 300);
+    let asks = member.on_message(
+        MonotonicInstant(zone.now),
         node(1),
-        &Letter::ListFresh { state: other },
+        &Message::ListFresh { state: other },
     );
     assert!(
         matches!(
             asks[..],
             [ListOutput::Send {
-                letter: Letter::ListAsk { .. },
+                message: Message::ServerListRequest { .. },
                 ..
             }]
         ),
         "{asks:?}"
     );
     // Meanwhile it reads the list itself.
-    let asked = Moment(zone.now + 400);
+    let asked = MonotonicInstant(zone.now + 400);
     member.on_reading(
         asked,
         ListReading {
@@ -579,11 +594,11 @@
     let entries = BTreeMap::new();
     let state = ListState {
         check: check_of(&entries),
-        cold: Span(0),
+        cold: Milliseconds(0),
         ..other
     };
-    let late = Letter::ListPiece {
-        piece: Box::new(ListPiece {
+    let late = Message::ServerListChunk {
+        piece: Box::new(ServerListChunk {
             state,
             offset: 0,
             length: 0,
@@ -591,7 +606,7 @@
         }),
     };
     assert_eq!(
-        member.on_letter(Moment(zone.now + 500), node(1), &late),
+        member.on_message(MonotonicInstant(zone.now + 500), node(1), &late),
         vec![]
     );
     assert_eq!(
--- a/crates/router/src/server_list/tests/restart.rs
+++ b/crates/router/src/server_list/tests/restart.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
 use placement::{ServerEntry, mix};
-use types::{Address, Moment};
-use wire::Letter;
+use types::{Address, MonotonicInstant};
+use wire::Message;
 
 /// Nodes of each zone.
 const ZONE_SIZE: usize = 60;
@@ -53,7 +53,7 @@
     readers: Vec<Option<Reader>>,
     platform: Platform,
     pages: usize,
-    letters: Vec<(u64, Address, Address, Letter)>,
+    messages: Vec<(u64, Address, Address, Message)>,
     knows_since: Vec<Option<u64>>,
     /// When each process starts; it knows the others `LEASE` later.
     starts: Vec<u64>,
@@ -70,16 +70,16 @@
             rate,
             ..ListTiming::default()
         };
-        let life = |place: usize| mix(seed << 20 | place as u64);
+        let incarnation = |place: usize| mix(seed << 20 | place as u64);
         let starts: Vec<u64> = (0..zones * ZONE_SIZE)
-            .map(|place| 10_000 + mix(life(place)) % spread)
+            .map(|place| 10_000 + mix(incarnation(place)) % spread)
             .collect();
         let fresh = |place: usize| {
             ServerList::new(
                 node(1 + place as u16),
-                life(place),
+                incarnation(place),
                 timing,
-                Moment(starts[place]),
+                MonotonicInstant(starts[place]),
             )
         };
         let count = starts.len();
@@ -93,7 +93,7 @@
                 refused: 0,
             },
             pages,
-            letters: vec![],
+            messages: vec![],
             knows_since: vec![None; count],
             passed_over: vec![BTreeSet::new(); count],
             starts,
@@ -117,9 +117,9 @@
                         effort,
                     });
                 }
-                ListOutput::Send { to, letter } => {
-                    self.letters
-                        .push((self.now + LETTER, node(1 + place as u16), to, letter));
+                ListOutput::Send { to, message } => {
+                    self.messages
+                        .push((self.now + LETTER, node(1 + place as u16), to, message));
                 }
                 ListOutput::Servers(_) => {
                     let now = self.now;
@@ -159,29 +159,29 @@
         };
         let servers = is_taken.then(|| (0..160).map(entry).collect());
         let reading = ListReading {
-            asked: Moment(reader.asked),
+            asked: MonotonicInstant(reader.asked),
             calls: reader.pages,
             servers,
         };
         self.readers[place] = None;
-        let outputs = self.nodes[place].on_reading(Moment(self.now), reading);
+        let outputs = self.nodes[place].on_reading(MonotonicInstant(self.now), reading);
         self.take(place, outputs);
     }
 
     fn step(&mut self) {
         self.now += 5;
         let now = self.now;
-        let (arrived, later) = std::mem::take(&mut self.letters)
+        let (arrived, later) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.letters = later;
-        let arrived: Vec<(u64, Address, Address, Letter)> = arrived;
-        for (_, from, to, letter) in arrived {
+        self.messages = later;
+        let arrived: Vec<(u64, Address, Address, Message)> = arrived;
+        for (_, from, to, message) in arrived {
             let place = usize::from(to.0.port()) - 1;
             if now < self.starts[place] || self.is_dead(place) {
                 continue;
             }
-            let outputs = self.nodes[place].on_letter(Moment(now), from, &letter);
+            let outputs = self.nodes[place].on_message(MonotonicInstant(now), from, &message);
             self.take(place, outputs);
         }
         for place in 0..self.nodes.len() {
@@ -205,7 +205,7 @@
                         .copied(),
                     fleet: if is_leased { self.nodes.len() } else { 0 },
                 };
-                let outputs = self.nodes[place].on_clock(Moment(now), peers);
+                let outputs = self.nodes[place].on_clock(MonotonicInstant(now), peers);
                 self.take(place, outputs);
             }
         }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -2,7 +2,7 @@
 use config::{a_name, addresses, an_address, within};
 use placement::SchedulerRules;
 use schematic::Config;
-use types::Span;
+use types::Milliseconds;
 
 /// A router's settings file.
 #[derive(Debug, Clone, Config)]
@@ -110,8 +110,8 @@
     /// What of them the list of servers is read by.
     pub fn list_timing(&self) -> ListTiming {
         ListTiming {
-            period: Span(self.list_ms),
-            silence: Span(self.list_silence_ms),
+            period: Milliseconds(self.list_ms),
+            silence: Milliseconds(self.list_silence_ms),
             rate: self.list_rate,
             ..ListTiming::default()
         }
@@ -122,17 +122,17 @@
             does_merge: self.merge,
             does_admit: self.admit,
             does_order_copies: self.copy_orders,
-            warm_from: Span(self.warm_from_ms),
+            warm_from: Milliseconds(self.warm_from_ms),
             repeat_percent: self.repeat_percent as u32,
-            repeat_window: Span(self.repeat_window_ms),
+            repeat_window: Milliseconds(self.repeat_window_ms),
             repeats_in_window: self.repeats_in_window as u32,
-            zone_bias: Span(self.zone_bias_ms),
+            zone_bias: Milliseconds(self.zone_bias_ms),
             block_micros: self.block_micros,
             prefill_percent: self.prefill_percent as u32,
-            hysteresis: Span(self.hysteresis_ms),
+            hysteresis: Milliseconds(self.hysteresis_ms),
             members_least: self.members_least as u32,
-            report_life: Span(self.report_life_ms),
-            lag_slack: Span(self.lag_slack_ms),
+            report_life: Milliseconds(self.report_life_ms),
+            lag_slack: Milliseconds(self.lag_slack_ms),
             ..SchedulerRules::default()
         }
     }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,15 +1,15 @@
 use crate::authorization::authorize;
 use crate::call_limits::SharedLimits;
 use crate::control_event::ControlEvent;
-use crate::node::{Denial, NodeInput, Placing};
-use crate::tallies::Tallies;
+use crate::metrics::Metrics;
+use crate::node::{NodeInput, Placement, Rejection};
 use config::{KeyDigest, KeyHasher, Plan, RouteTable, TenantTable};
 use placement::{Event, Outcome};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 use transport::Response;
-use types::{ApiKey, Clock, Epoch, Moment, RequestId, ResultCode, Span};
+use types::{ApiKey, Clock, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode};
 
 /// What carriers share.
 pub(crate) struct Shared {
@@ -17,11 +17,11 @@
     pub may_act_until: AtomicU64,
     /// The newest epoch that this node holds.
     pub epoch: AtomicU64,
-    pub tallies: Tallies,
+    pub metrics: Metrics,
     pub number: AtomicU64,
     pub bound: u64,
     pub block_bytes: usize,
-    pub stall: Span,
+    pub stall: Milliseconds,
     /// The plan in force, and what finds its routes and tenants.
     pub plan: RwLock<Option<PlanInForce>>,
     /// Whether clients should be sent here.
@@ -56,7 +56,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.shared.tallies.in_hand.fetch_sub(1, Ordering::Relaxed);
+        self.shared.metrics.in_hand.fetch_sub(1, Ordering::Relaxed);
         let (request, number, may_have_run) =
             (self.request.clone(), self.number, self.may_have_run);
         self.shared.tell(NodeInput::Close {
@@ -74,11 +74,11 @@
             control,
             may_act_until: AtomicU64::new(u64::MAX),
             epoch: AtomicU64::new(1),
-            tallies: Tallies::default(),
+            metrics: Metrics::default(),
             number: AtomicU64::new(1),
             bound,
             block_bytes: 64,
-            stall: Span(10_000),
+            stall: Milliseconds(10_000),
             plan: RwLock::default(),
             is_ready: AtomicBool::new(true),
             ends_at: AtomicU64::new(NEVER),
@@ -96,31 +96,31 @@
         }));
     }
     pub fn may_act(&self) -> bool {
-        Clock::now() < Moment(self.may_act_until.load(Ordering::SeqCst))
+        Clock::now() < MonotonicInstant(self.may_act_until.load(Ordering::SeqCst))
     }
     /// Whether a request that may last until then will have ended before this process does.
-    pub fn ends_in_time(&self, deadline: Moment) -> bool {
+    pub fn ends_in_time(&self, deadline: MonotonicInstant) -> bool {
         deadline.0 <= self.ends_at.load(Ordering::SeqCst)
     }
     /// Whether what was placed under this epoch may leave now: a newer one may allow it no more.
-    pub fn may_leave(&self, epoch: Epoch) -> bool {
+    pub fn may_leave(&self, epoch: ConfigEpoch) -> bool {
         self.may_act() && !self.is_superseded(epoch)
     }
     /// Whether this node holds a newer epoch.
-    pub fn is_superseded(&self, epoch: Epoch) -> bool {
-        Epoch(self.epoch.load(Ordering::SeqCst)) > epoch
+    pub fn is_superseded(&self, epoch: ConfigEpoch) -> bool {
+        ConfigEpoch(self.epoch.load(Ordering::SeqCst)) > epoch
     }
     /// Asks the control thread; `None` is its silence.
     pub fn ask_control<T>(
         &self,
         input: NodeInput,
-        wrap: impl FnOnce(NodeInput, flume::Sender<Result<T, Denial>>) -> ControlEvent,
-    ) -> Option<Result<T, Denial>> {
+        wrap: impl FnOnce(NodeInput, flume::Sender<Result<T, Rejection>>) -> ControlEvent,
+    ) -> Option<Result<T, Rejection>> {
         let (response, inbox) = flume::bounded(1);
         let _ = self.control.send(wrap(input, response));
         inbox.recv_timeout(Duration::from_secs(2)).ok()
     }
-    pub fn ask_scheduler(&self, place: &Place, input: NodeInput) -> Result<Placing, Denial> {
+    pub fn ask_scheduler(&self, place: &Place, input: NodeInput) -> Result<Placement, Rejection> {
         let service = match &input {
             NodeInput::Place(ask) => Some(ask.service.clone()),
             _ => None,
@@ -179,8 +179,8 @@
             .for_each(|limits| limits.take_members(count));
     }
     /// Whether no request has come for a while.
-    pub fn is_quiet(&self, now: Moment) -> bool {
-        now.since(Moment(self.arrived.load(Ordering::Relaxed))) >= Span(1200)
+    pub fn is_quiet(&self, now: MonotonicInstant) -> bool {
+        now.since(MonotonicInstant(self.arrived.load(Ordering::Relaxed))) >= Milliseconds(1200)
     }
     /// The plan in force here.
     pub fn plan_in_force(&self) -> Option<PlanInForce> {
@@ -188,7 +188,7 @@
     }
     /// What stands for the key of a request of the own interface, none of which is public; `None`: the plan has no
     /// tenants, or there is no plan yet, which the control thread tells.
-    pub fn authorize(&self, api_key: Option<&ApiKey>) -> Result<Option<KeyDigest>, Denial> {
+    pub fn authorize(&self, api_key: Option<&ApiKey>) -> Result<Option<KeyDigest>, Rejection> {
         let Some(plan) = self.plan_in_force() else {
             return Ok(None);
         };
@@ -201,8 +201,8 @@
     }
     /// Takes a place among the requests in hand, if there is one.
     pub fn take_place(self: &Arc<Self>, request: RequestId, number: u64) -> Option<Place> {
-        if self.tallies.in_hand.fetch_add(1, Ordering::Relaxed) >= self.bound {
-            self.tallies.in_hand.fetch_sub(1, Ordering::Relaxed);
+        if self.metrics.in_hand.fetch_add(1, Ordering::Relaxed) >= self.bound {
+            self.metrics.in_hand.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
         Some(Place {
@@ -212,18 +212,18 @@
             may_have_run: false,
         })
     }
-    pub fn refusal(&self, code: ResultCode, why: String, retry_after: Span) -> Response {
-        self.tallies.refuse(code);
+    pub fn refusal(&self, code: ResultCode, why: String, retry_after: Milliseconds) -> Response {
+        self.metrics.refuse(code);
         Response::result_after(code, why, retry_after)
     }
 }
 
 /// The control thread gave no answer in time.
-pub(crate) fn silence() -> Denial {
+pub(crate) fn silence() -> Rejection {
     let why = "the control thread gave no answer".into();
-    Denial {
+    Rejection {
         code: ResultCode::Busy,
         why,
-        retry_after: Span(1000),
+        retry_after: Milliseconds(1000),
     }
 }
--- a/crates/router/src/trip.rs
+++ b/crates/router/src/trip.rs
@@ -1,11 +1,11 @@
-use crate::chart::{Chart, Failure};
-use crate::errand::{Errand, ErrandInput, ErrandOutput};
-use crate::node::{Denial, NodeInput, PlaceAsk, Placing};
+use crate::attempts::{AttemptInput, AttemptOutput, AttemptSequence};
+use crate::metrics::Metrics;
+use crate::node::{NodeInput, Placement, PlacementRequest, Rejection};
+use crate::request_state::{Failure, RequestStateMachine};
 use crate::shared::{Place, Shared};
-use crate::tallies::Tallies;
 use crate::token::run_id;
 use config::{KeyDigest, ServiceKind};
-use placement::{Demand, Event, Outcome, PrefixHash};
+use placement::{Event, Outcome, PrefixHash, RequestCost};
 use std::sync::Arc;
 use types::{ServiceName, random_bytes};
 
@@ -28,7 +28,7 @@
     pub route: Option<String>,
     pub key: Option<KeyDigest>,
     pub hashes: Vec<PrefixHash>,
-    pub demand: Demand,
+    pub demand: RequestCost,
 }
 
 impl Wanted {
@@ -45,7 +45,7 @@
             route: None,
             key,
             hashes,
-            demand: Demand::default(),
+            demand: RequestCost::default(),
         }
     }
 }
@@ -53,9 +53,9 @@
 /// What a trip came to.
 pub(crate) enum Gone<T> {
     /// A server has taken it, and this was heard.
-    Opened(Placing, T),
+    RecoveredStorage(Placement, T),
     /// The final answer.
-    Told(Denial),
+    Told(Rejection),
     /// The client's connection is to be cut.
     Cut(String),
 }
@@ -64,19 +64,20 @@
 pub(crate) struct Trip {
     pub shared: Arc<Shared>,
     pub place: Place,
-    pub errand: Errand,
+    pub attempts: AttemptSequence,
     wanted: Wanted,
 }
 
 impl Trip {
     /// For a request that has its place; at most so many servers may get it.
-    pub fn new(place: Place, wanted: Wanted, most: Option<u32>) -> (Trip, ErrandOutput) {
-        let (errand, first) = most.map_or_else(Errand::begin, Errand::begin_bounded);
+    pub fn new(place: Place, wanted: Wanted, most: Option<u32>) -> (Trip, AttemptOutput) {
+        let (attempts, first) =
+            most.map_or_else(AttemptSequence::begin, AttemptSequence::begin_bounded);
         (
             Trip {
                 shared: place.shared.clone(),
                 place,
-                errand,
+                attempts,
                 wanted,
             },
             first,
@@ -86,20 +87,20 @@
     /// Finds a server that takes the request, going on to others as far as the errand allows.
     pub fn go<T>(
         &mut self,
-        first: ErrandOutput,
-        mut ask: impl FnMut(&Placing, &Chart) -> Result<T, NotTaken>,
+        first: AttemptOutput,
+        mut ask: impl FnMut(&Placement, &RequestStateMachine) -> Result<T, NotTaken>,
     ) -> Gone<T> {
         let request = self.place.request.clone();
         let does_stream = self.wanted.kind == ServiceKind::Stream;
         let (mut output, mut taken) = (first, None);
         loop {
             output = match output {
-                ErrandOutput::AskScheduler {
+                AttemptOutput::AskScheduler {
                     round,
                     tried,
                     may_have_run,
                 } => {
-                    let input = NodeInput::Place(PlaceAsk {
+                    let input = NodeInput::Place(PlacementRequest {
                         number: self.place.number,
                         request: request.clone(),
                         service: self.wanted.service.clone(),
@@ -115,57 +116,61 @@
                     });
                     let outcome = self.shared.ask_scheduler(&self.place, input);
                     if round > 0 && outcome.is_ok() {
-                        Tallies::more(&self.shared.tallies.repeats);
+                        Metrics::more(&self.shared.metrics.repeats);
                     }
-                    self.errand.step(ErrandInput::Scheduler(outcome))
+                    self.attempts.step(AttemptInput::Scheduler(outcome))
                 }
-                ErrandOutput::AskServer(placing) => match ask(&placing, self.errand.chart()) {
-                    Ok(heard) => {
-                        taken = Some(heard);
-                        self.errand.step(ErrandInput::Open)
+                AttemptOutput::AskServer(placing) => {
+                    match ask(&placing, self.attempts.request_state()) {
+                        Ok(heard) => {
+                            taken = Some(heard);
+                            self.attempts.step(AttemptInput::Open)
+                        }
+                        Err(NotTaken::Withheld) => {
+                            self.shared.tell_ended(&request, Outcome::Refused);
+                            let is_superseded =
+                                self.shared.may_act() && self.shared.is_superseded(placing.epoch);
+                            self.attempts.step(if is_superseded {
+                                AttemptInput::Supersede
+                            } else {
+                                AttemptInput::LoseLease
+                            })
+                        }
+                        Err(NotTaken::Failed(failure, why)) => {
+                            self.shared.tell_ended(&request, failure.outcome());
+                            self.attempts.step(AttemptInput::Fail(failure, why))
+                        }
+                        Err(NotTaken::Elsewhere(why)) => {
+                            self.shared.tell_ended(&request, Outcome::Refused);
+                            let server = placing.server.clone();
+                            self.shared
+                                .tell(NodeInput::Event(Event::Unreachable { server }));
+                            self.attempts
+                                .step(AttemptInput::Fail(Failure::Refused, why))
+                        }
+                        Err(NotTaken::ClientGone) => {
+                            self.shared.tell_ended(&request, Outcome::Cancelled);
+                            self.place.may_have_run = does_stream;
+                            return Gone::Cut("the client has gone".into());
+                        }
                     }
-                    Err(NotTaken::Withheld) => {
-                        self.shared.tell_ended(&request, Outcome::Refused);
-                        let is_superseded =
-                            self.shared.may_act() && self.shared.is_superseded(placing.epoch);
-                        self.errand.step(if is_superseded {
-                            ErrandInput::Supersede
-                        } else {
-                            ErrandInput::LoseLease
-                        })
-                    }
-                    Err(NotTaken::Failed(failure, why)) => {
-                        self.shared.tell_ended(&request, failure.outcome());
-                        self.errand.step(ErrandInput::Fail(failure, why))
-                    }
-                    Err(NotTaken::Elsewhere(why)) => {
-                        self.shared.tell_ended(&request, Outcome::Refused);
-                        let server = placing.server.clone();
-                        self.shared
-                            .tell(NodeInput::Event(Event::Unreachable { server }));
-                        self.errand.step(ErrandInput::Fail(Failure::Refused, why))
-                    }
-                    Err(NotTaken::ClientGone) => {
-                        self.shared.tell_ended(&request, Outcome::Cancelled);
-                        self.place.may_have_run = does_stream;
-                        return Gone::Cut("the client has gone".into());
-                    }
-                },
-                ErrandOutput::Carry(placing) => match taken.take() {
+                }
+                AttemptOutput::Carry(placing) => match taken.take() {
                     Some(heard) => {
                         self.place.may_have_run = does_stream;
-                        return Gone::Opened(placing, heard);
+                        return Gone::RecoveredStorage(placing, heard);
                     }
-                    None => self.errand.step(ErrandInput::Fail(
+                    None => self.attempts.step(AttemptInput::Fail(
                         Failure::Unknown,
                         "nothing was heard".into(),
                     )),
                 },
-                ErrandOutput::Tell(denial) => {
-                    self.place.may_have_run = does_stream && self.errand.chart().may_have_run();
-                    return Gone::Told(denial);
+                AttemptOutput::Tell(rejection) => {
+                    self.place.may_have_run =
+                        does_stream && self.attempts.request_state().may_have_run();
+                    return Gone::Told(rejection);
                 }
-                ErrandOutput::Cut(why) => return Gone::Cut(why),
+                AttemptOutput::Cut(why) => return Gone::Cut(why),
             }
         }
     }
--- a/crates/router/tests/answers_fuzz.rs
+++ b/crates/router/tests/answers_fuzz.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use router::{EventSplitter, Passed, PieceReader, StreamEvent, Token};
+use router::{ChunkReader, EventSplitter, Passed, StreamEvent, Token};
 use types::TokenKey;
 
 const CASES: u32 = 4000;
@@ -81,7 +81,7 @@
     let outcome = runner().run(
         &(0u64..3, proptest::collection::vec(lines, 0..12)),
         |(from, lines)| {
-            let mut reader = PieceReader::new("ours".into(), from);
+            let mut reader = ChunkReader::new("ours".into(), from);
             let mut next = from;
             for (number, is_ours, kind, cut) in lines {
                 let run = if is_ours { "ours" } else { "other" };
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -6,10 +6,10 @@
 
 use config::read_settings;
 use placement::ServerEntry;
-use quota::{Amount, HeldCredit};
+use quota::{Amount, ReservedCredit};
 use router::{
-    ClientRequest, LIFE_HEADER, ListTiming, NodeTiming, Passed, PieceReader, ResumeRequest,
-    RunPiece, RunRequest, ServerListReport, ServerReport, Settings, Tallies, Token, run_id,
+    ChunkReader, ClientRequest, LIFE_HEADER, ListTiming, Metrics, NodeTiming, Passed,
+    ResumeRequest, RunPiece, RunRequest, ServerListReport, ServerReport, Settings, Token, run_id,
 };
 use schematic::Config;
 use std::sync::atomic::Ordering;
@@ -22,14 +22,14 @@
     serde_json::to_string(value).expect("it is JSON")
 }
 
-fn run_request(life: Option<u64>) -> RunRequest {
+fn run_request(incarnation: Option<u64>) -> RunRequest {
     RunRequest {
         run: RunId::from("run-1"),
         service: ServiceName::from("drafts"),
         prompt: "once upon a time".into(),
         max_pieces: 3,
         keep: true,
-        life,
+        incarnation,
     }
 }
 
@@ -84,7 +84,7 @@
             cold_left: None,
             zone: ZoneName::from("north"),
             pool: "model".into(),
-            is_leaving: false,
+            is_draining: false,
         }],
     }
 }
@@ -121,7 +121,7 @@
 
 #[test]
 fn what_clients_are_given_of_a_stream_is_as_ever() {
-    let mut reader = PieceReader::new(RunId::from("run-1"), 0);
+    let mut reader = ChunkReader::new(RunId::from("run-1"), 0);
     let mut given = String::new();
     for piece in run_pieces() {
         match reader.take(format!("{}\n", json(&piece)).as_bytes()) {
@@ -149,7 +149,7 @@
 #[test]
 fn held_credit_has_its_golden_json() {
     let amount = |thousandths: u64| Amount { thousandths };
-    let credit = HeldCredit {
+    let credit = ReservedCredit {
         tenant: TenantName::from("acme"),
         rate: amount(1),
         burst: amount(2),
@@ -164,7 +164,7 @@
 
 #[test]
 fn metrics_have_their_golden_text() {
-    let tallies = Tallies::default();
+    let metrics = Metrics::default();
     let codes = [
         ResultCode::Unauthorized,
         ResultCode::OverQuota,
@@ -172,26 +172,26 @@
         ResultCode::Crowded,
         ResultCode::Unknown,
     ];
-    codes.iter().for_each(|code| tallies.refuse(*code));
+    codes.iter().for_each(|code| metrics.refuse(*code));
     let counters = [
-        (&tallies.received, 11),
-        (&tallies.complete, 12),
-        (&tallies.broken, 13),
-        (&tallies.repeats, 14),
-        (&tallies.resumed, 15),
-        (&tallies.copies, 16),
-        (&tallies.placed_warm, 17),
-        (&tallies.placed_match, 18),
-        (&tallies.placed_other, 19),
-        (&tallies.in_hand, 20),
-        (&tallies.epoch, 21),
-        (&tallies.may_act, 22),
-        (&tallies.gone, 23),
+        (&metrics.received, 11),
+        (&metrics.complete, 12),
+        (&metrics.broken, 13),
+        (&metrics.repeats, 14),
+        (&metrics.resumed, 15),
+        (&metrics.copies, 16),
+        (&metrics.placed_warm, 17),
+        (&metrics.placed_match, 18),
+        (&metrics.placed_other, 19),
+        (&metrics.in_hand, 20),
+        (&metrics.epoch, 21),
+        (&metrics.may_act, 22),
+        (&metrics.gone, 23),
     ];
     for (counter, value) in counters {
         counter.store(value, Ordering::Relaxed);
     }
-    golden_file::compare_text("metrics.txt", &tallies.text());
+    golden_file::compare_text("metrics.txt", &metrics.text());
 }
 
 #[test]
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -5,4 +5,4 @@
 mod write_ahead_log;
 
 pub use checked_file::{read_file, write_file};
-pub use write_ahead_log::{Opened, Storage, StorageFault};
+pub use write_ahead_log::{RecoveredStorage, Storage, StorageError};
--- a/crates/storage/src/write_ahead_log.rs
+++ b/crates/storage/src/write_ahead_log.rs
@@ -9,7 +9,7 @@
 
 /// Why a folder can't be used. Nothing in it is served.
 #[derive(Debug, thiserror::Error)]
-pub enum StorageFault {
+pub enum StorageError {
     /// The disk refused.
     #[error("the disk refused: {0}")]
     Io(#[from] io::Error),
@@ -37,7 +37,7 @@
 }
 
 /// What opening a folder gave.
-pub struct Opened {
+pub struct RecoveredStorage {
     /// To write to it.
     pub storage: Storage,
     /// Which disk this is.
@@ -172,10 +172,10 @@
 
 impl Storage {
     /// Opens a folder. One that is empty, or was wiped in part, becomes a new disk with this id.
-    pub fn open(folder: &Path, new_id: DiskId) -> Result<Opened, StorageFault> {
+    pub fn open(folder: &Path, new_id: DiskId) -> Result<RecoveredStorage, StorageError> {
         fs::create_dir_all(folder)?;
         if has_files(&folder.join(EARLIER_LOG)) {
-            return Err(StorageFault::Damaged(
+            return Err(StorageError::Damaged(
                 "an earlier build, whose log this one does not read, wrote it".into(),
             ));
         }
@@ -189,7 +189,7 @@
             {
                 let id: [u8; 16] = id
                     .try_into()
-                    .map_err(|_| StorageFault::Damaged("the disk id is not one".into()))?;
+                    .map_err(|_| StorageError::Damaged("the disk id is not one".into()))?;
                 (DiskId(u128::from_be_bytes(id)), generation, records)
             }
             _ => {
@@ -209,12 +209,12 @@
         )?;
         sync_folder(folder)?;
         if let Some(damage) = recovered.damage.take() {
-            return Err(StorageFault::Damaged(damage));
+            return Err(StorageError::Damaged(damage));
         }
         records.append(&mut recovered.records);
         let entry = recovered.entry;
         if has_later_entry(&log, generation, entry)? {
-            return Err(StorageFault::Damaged(format!(
+            return Err(StorageError::Damaged(format!(
                 "entry {} can't be read, and later ones are there",
                 entry + 1
             )));
@@ -226,7 +226,7 @@
             entry,
             wal: Some(wal),
         };
-        Ok(Opened {
+        Ok(RecoveredStorage {
             storage,
             disk,
             records,
@@ -234,7 +234,7 @@
     }
 
     /// Appends records, all or none, and syncs.
-    pub fn write(&mut self, records: &[Vec<u8>]) -> Result<(), StorageFault> {
+    pub fn write(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let head = RecordHead {
             generation: self.generation,
             entry: self.entry + 1,
@@ -251,7 +251,7 @@
     }
 
     /// Puts these records in place of all before, at once, and syncs.
-    pub fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), StorageFault> {
+    pub fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let generation = self.generation + 1;
         let heads: Vec<[u8; 8]> = records
             .iter()
@@ -267,7 +267,7 @@
             parts.push(record);
         }
         // Until the new log is open, the old one takes no writes: a fault here is one of the disk.
-        let old = self.wal.take().ok_or(StorageFault::Gone)?;
+        let old = self.wal.take().ok_or(StorageError::Gone)?;
         let wal = begin_log(&self.folder, generation)?;
         write_file(&self.folder, SNAPSHOT, &parts)?;
         drop(old);
@@ -283,9 +283,9 @@
     fn guarded(
         &mut self,
         write: impl FnOnce(&WriteAheadLog) -> io::Result<()>,
-    ) -> Result<(), StorageFault> {
+    ) -> Result<(), StorageError> {
         let Some(wal) = self.wal.as_ref() else {
-            return Err(StorageFault::Gone);
+            return Err(StorageError::Gone);
         };
         let outcome = catch_unwind(AssertUnwindSafe(|| write(wal)));
         let outcome = outcome.unwrap_or_else(|_| {
@@ -300,10 +300,10 @@
     }
 
     /// Whether the folder is still the one that was opened.
-    fn check_id(&self) -> Result<(), StorageFault> {
+    fn check_id(&self) -> Result<(), StorageError> {
         match read_file(&self.folder, ID) {
             Ok(Some(id)) if id == self.disk.0.to_be_bytes() => Ok(()),
-            _ => Err(StorageFault::Gone),
+            _ => Err(StorageError::Gone),
         }
     }
 }
@@ -348,11 +348,11 @@
     write_file(folder, ID, &[&id.0.to_be_bytes()])
 }
 
-fn parse_snapshot(snapshot: &[u8]) -> Result<(u64, Vec<Vec<u8>>), StorageFault> {
-    let torn = || StorageFault::Damaged("the snapshot ends early".into());
+fn parse_snapshot(snapshot: &[u8]) -> Result<(u64, Vec<Vec<u8>>), StorageError> {
+    let torn = || StorageError::Damaged("the snapshot ends early".into());
     let number = |place: usize| {
         let bytes = snapshot.get(place..place + 8).ok_or_else(torn)?;
-        Ok::<u64, StorageFault>(u64::from_be_bytes(bytes.try_into().map_err(|_| torn())?))
+        Ok::<u64, StorageError>(u64::from_be_bytes(bytes.try_into().map_err(|_| torn())?))
     };
     let (generation, count) = (number(0)?, number(8)?);
     let (mut place, mut records) = (16, vec![]);
--- a/crates/storage/src/write_ahead_log/tests.rs
+++ b/crates/storage/src/write_ahead_log/tests.rs
@@ -123,7 +123,7 @@
         if gone == ID {
             assert!(matches!(
                 opened.storage.write(&records(&["b"])),
-                Err(StorageFault::Gone)
+                Err(StorageError::Gone)
             ));
         }
         drop(opened);
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -10,7 +10,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard};
-use storage::{Opened, Storage, StorageFault};
+use storage::{RecoveredStorage, Storage, StorageError};
 use types::DiskId;
 
 type Inode = u64;
@@ -26,7 +26,7 @@
 }
 
 /// What a loss of power may leave at one moment.
-struct Moment {
+struct MonotonicInstant {
     what: String,
     durable: Names,
     pending: Vec<NameChange>,
@@ -45,7 +45,7 @@
     /// Kept open, so that no number of a removed file is given to another.
     held: BTreeMap<Inode, fs::File>,
     acked: usize,
-    moments: Vec<Moment>,
+    moments: Vec<MonotonicInstant>,
     /// For the mutant: syncs of folders whose names begin so are taken for done and aren't.
     skipped: Option<&'static str>,
     /// The sync after so many more fails, as on a full disk.
@@ -129,7 +129,7 @@
             self.synced.clone(),
             self.written.clone(),
         );
-        self.moments.push(Moment {
+        self.moments.push(MonotonicInstant {
             what,
             durable,
             pending,
@@ -241,7 +241,7 @@
 
 struct Play {
     root: PathBuf,
-    opened: Option<Opened>,
+    opened: Option<RecoveredStorage>,
     records: Vec<Vec<u8>>,
     expected: Expected,
     count: usize,
@@ -315,7 +315,7 @@
         self.opened = Some(opened);
     }
 
-    fn end(mut self) -> (Vec<Moment>, Expected) {
+    fn end(mut self) -> (Vec<MonotonicInstant>, Expected) {
         self.opened = None;
         let watch = locked(&WATCH).take().expect("a watch");
         (watch.moments, self.expected)
@@ -323,7 +323,7 @@
 }
 
 /// The names that are left if these changes are kept and the others lost.
-fn names_left(moment: &Moment, kept: u32) -> Names {
+fn names_left(moment: &MonotonicInstant, kept: u32) -> Names {
     let mut names = moment.durable.clone();
     let remove = |names: &mut Names, path: &PathBuf, inode: &Inode| {
         if names.get(path) == Some(inode) {
@@ -368,7 +368,7 @@
 }
 
 /// What is wrong with what a loss of power left, if anything.
-fn fault_of(at: &Path, moment: &Moment, expected: &Expected) -> Option<String> {
+fn fault_of(at: &Path, moment: &MonotonicInstant, expected: &Expected) -> Option<String> {
     let opened = match Storage::open(at, DiskId(99)) {
         Ok(opened) => opened,
         Err(fault) => return Some(format!("it does not open: {fault}")),
@@ -388,7 +388,7 @@
 }
 
 /// Opens what each loss of power leaves; gives how many there were, and what was wrong.
-fn judge(root: &Path, moments: &[Moment], expected: &Expected) -> (usize, Vec<String>) {
+fn judge(root: &Path, moments: &[MonotonicInstant], expected: &Expected) -> (usize, Vec<String>) {
     let at = root.with_extension("left");
     let (mut seen, mut wrong) = (BTreeSet::new(), vec![]);
     for moment in moments {
@@ -509,7 +509,7 @@
     fs::write(&segment, b"entries").expect("written");
     assert!(matches!(
         Storage::open(folder.path(), DiskId(8)),
-        Err(StorageFault::Damaged(_))
+        Err(StorageError::Damaged(_))
     ));
     assert_eq!(fs::read(&segment).expect("it's there"), b"entries");
 }
--- a/crates/testbed/src/answers.rs
+++ b/crates/testbed/src/answers.rs
@@ -1,9 +1,9 @@
 //! Answers in doubt: the real forwarder, over loopback, between clients that check each answer's owner and
 //! stand-in servers that play every row of the state chart in docs/request-safety.md at random.
 
+mod config_state;
 mod dialect;
 mod lane;
-mod ledger;
 mod message;
 mod play;
 mod server;
--- a/crates/testbed/src/answers/ledger.rs
+++ b/crates/testbed/src/answers/config_state.rs
@@ -88,7 +88,7 @@
 
 /// What the servers of a lane saw.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ConfigStateMachine {
     calls: BTreeMap<String, CallRecord>,
     /// A call was placed at this server under an epoch that is in force no more.
     pub outdated: Option<(String, String)>,
@@ -98,7 +98,7 @@
     pub violations: Vec<String>,
 }
 
-impl Ledger {
+impl ConfigStateMachine {
     /// A client sends a call.
     pub fn sent(&mut self, id: &str, kind: CallKind) {
         let record = CallRecord {
--- a/crates/testbed/src/answers/dialect.rs
+++ b/crates/testbed/src/answers/dialect.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use placement::ServerEntry;
-use router::{AnswerClaim, AnswerIdentity, Call, CallDialect, Denial, Sending, ServerLoad};
+use router::{AnswerIdentity, Call, CallDialect, ClaimedIdentity, Rejection, Sending, ServerLoad};
 use transport::{Request, Response};
-use types::{RequestId, ResultCode, Span};
+use types::{Milliseconds, RequestId, ResultCode};
 
 /// The header that names a call.
 pub const ID: &str = "x-call";
@@ -26,16 +26,16 @@
 }
 
 impl CallDialect for Dialect {
-    fn read(&self, request: Request) -> Result<Call, Denial> {
-        let deny = || Denial {
+    fn read(&self, request: Request) -> Result<Call, Rejection> {
+        let deny = || Rejection {
             code: ResultCode::BadRequest,
             why: "no id".into(),
-            retry_after: Span(0),
+            retry_after: Milliseconds(0),
         };
         let number = |name: &str| request.header(name).and_then(|value| value.parse().ok());
         let id = RequestId::from(request.header(ID).ok_or_else(deny)?);
         let host = request.header("host").unwrap_or_default().to_owned();
-        let (left, after) = (Span(number(WAIT).unwrap_or(20_000)), number(AFTER));
+        let (left, after) = (Milliseconds(number(WAIT).unwrap_or(20_000)), number(AFTER));
         let (method, target, mut headers, body) = request.into_parts();
         for name in [WAIT, AFTER, "connection", "content-length"] {
             headers.remove(name);
@@ -54,11 +54,11 @@
             demand: Default::default(),
         })
     }
-    fn refuse(&self, id: Option<&RequestId>, denial: &Denial) -> Response {
+    fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
         let response = Response::passed(
-            denial.code.http_status(),
+            rejection.code.http_status(),
             http::HeaderMap::new(),
-            denial.code.word(),
+            rejection.code.word(),
         );
         response.with_header(ID, id.map_or("", RequestId::as_str))
     }
@@ -78,7 +78,7 @@
     fn identity(&self, call: &Call, head: &http::response::Parts) -> AnswerIdentity {
         let is_refusal = matches!(
             self.claim(head),
-            AnswerClaim::NotRun | AnswerClaim::Elsewhere
+            ClaimedIdentity::NotRun | ClaimedIdentity::Elsewhere
         );
         let mut ids = head.headers.get_all(ID).iter();
         match (ids.next(), ids.next()) {
@@ -88,14 +88,14 @@
             _ => AnswerIdentity::Other,
         }
     }
-    fn claim(&self, head: &http::response::Parts) -> AnswerClaim {
+    fn claim(&self, head: &http::response::Parts) -> ClaimedIdentity {
         match head.status.as_u16() {
-            ..200 => AnswerClaim::Nothing,
-            421 => AnswerClaim::Elsewhere,
-            _ if head.headers.contains_key(NOT_RUN) => AnswerClaim::NotRun,
-            200..300 if head.headers.contains_key(MARK) => AnswerClaim::Success,
-            200..300 => AnswerClaim::Nothing,
-            _ => AnswerClaim::Failure,
+            ..200 => ClaimedIdentity::Nothing,
+            421 => ClaimedIdentity::Elsewhere,
+            _ if head.headers.contains_key(NOT_RUN) => ClaimedIdentity::NotRun,
+            200..300 if head.headers.contains_key(MARK) => ClaimedIdentity::Success,
+            200..300 => ClaimedIdentity::Nothing,
+            _ => ClaimedIdentity::Failure,
         }
     }
     fn load(&self, _: &http::response::Parts) -> Option<ServerLoad> {
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -1,30 +1,30 @@
 //! One lane: a forwarder with servers of its own, and a client that sends one call after the other and
 //! checks whose each answer is.
 
+use super::config_state::{CallKind, CallRecord, ConfigStateMachine, EVENTS, body_of};
 use super::dialect::{Dialect, ID, MARK, WAIT};
-use super::ledger::{CallKind, CallRecord, EVENTS, Ledger, body_of};
 use super::message::{Message, read_body, read_head};
 use super::play::Play;
 use super::server::{Server, play_of};
 use super::{AnswersMutant, AnswersRules, Fate};
 use config::parse_plan;
 use placement::mix;
-use router::{Access, Denial, DetachedForwarder, PlaceAsk, Placed, Placing, run_id};
+use router::{Access, DetachedForwarder, Placed, Placement, PlacementRequest, Rejection, run_id};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use transport::{Gate, GateBounds, LinesBounds};
-use types::{Address, Epoch, ResultCode, Span};
+use transport::{ConnectionPoolBounds, HttpServer, HttpServerBounds};
+use types::{Address, ConfigEpoch, Milliseconds, ResultCode};
 
 /// Servers of a lane.
 const SERVERS: usize = 3;
 /// Servers that a call may be sent to, at most.
 const TRIES: u64 = 3;
 /// A client whose server may be silent waits this long, others as long as it takes.
-const SHORT_WAIT: Span = Span(60);
-const LONG_WAIT: Span = Span(20_000);
+const SHORT_WAIT: Milliseconds = Milliseconds(60);
+const LONG_WAIT: Milliseconds = Milliseconds(20_000);
 /// One in so many placements is outdated before the call leaves.
 const OUTDATED: u64 = 8;
 /// Statuses that promise that a call never ran and never will.
@@ -43,7 +43,7 @@
 struct Lane {
     number: u64,
     rules: AnswersRules,
-    ledger: Arc<Mutex<Ledger>>,
+    config_state: Arc<Mutex<ConfigStateMachine>>,
     address: SocketAddr,
     connection: Option<BufReader<TcpStream>>,
 }
@@ -52,35 +52,36 @@
     format!("s{place}")
 }
 
-fn lock(ledger: &Mutex<Ledger>) -> MutexGuard<'_, Ledger> {
-    ledger.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(config_state: &Mutex<ConfigStateMachine>) -> MutexGuard<'_, ConfigStateMachine> {
+    config_state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Plays this many calls of a lane.
 pub fn play_lane(rules: AnswersRules, number: u64, calls: u64) -> Result<LaneReport, String> {
     let tell = |fault: std::io::Error| fault.to_string();
-    let ledger: Arc<Mutex<Ledger>> = Arc::default();
-    let start = |place: usize| Server::start(server_name(place), rules.seed, &ledger);
+    let config_state: Arc<Mutex<ConfigStateMachine>> = Arc::default();
+    let start = |place: usize| Server::start(server_name(place), rules.seed, &config_state);
     let servers: Vec<Server> = (0..SERVERS)
         .map(start)
         .collect::<Result<_, _>>()
         .map_err(tell)?;
-    let forwarder = forwarder(rules, &servers, &ledger)?;
-    let bounds = GateBounds {
+    let forwarder = forwarder(rules, &servers, &config_state)?;
+    let bounds = HttpServerBounds {
         keep_alive: true,
-        ..GateBounds::default()
+        ..HttpServerBounds::default()
     };
-    let gate = Gate::open("127.0.0.1:0".parse::<Address>()?.0, bounds).map_err(tell)?;
-    let (address, closer) = (gate.address().0, gate.closer());
+    let http_server =
+        HttpServer::open("127.0.0.1:0".parse::<Address>()?.0, bounds).map_err(tell)?;
+    let (address, closer) = (http_server.address().0, http_server.closer());
     let replying = forwarder.clone();
     std::thread::Builder::new()
         .name("gate".into())
-        .spawn(move || gate.serve(move |request| replying.respond(request)))
+        .spawn(move || http_server.serve(move |request| replying.respond(request)))
         .map_err(tell)?;
     let mut lane = Lane {
         number,
         rules,
-        ledger: ledger.clone(),
+        config_state: config_state.clone(),
         address,
         connection: None,
     };
@@ -90,19 +91,19 @@
     }
     closer.close();
     servers.iter().for_each(Server::stop);
-    let ledger = lock(&ledger);
+    let config_state = lock(&config_state);
     let told = |what: &String| format!("seed {} lane {number}: {what}", rules.seed);
     Ok(LaneReport {
         fates,
-        plays: ledger.plays.clone(),
-        violations: ledger.violations.iter().map(told).collect(),
+        plays: config_state.plays.clone(),
+        violations: config_state.violations.iter().map(told).collect(),
     })
 }
 
 fn forwarder(
     rules: AnswersRules,
     servers: &[Server],
-    ledger: &Arc<Mutex<Ledger>>,
+    config_state: &Arc<Mutex<ConfigStateMachine>>,
 ) -> Result<DetachedForwarder, String> {
     let route = |kind: &CallKind| {
         let word = match kind {
@@ -119,19 +120,19 @@
     let plan = serde_json::json!({"services": {"s": {"kind": "stream"}}, "routes": routes});
     let plan = parse_plan(plan.to_string().as_bytes()).map_err(|faults| format!("{faults:?}"))?;
     let plan = Arc::new(plan);
-    let bounds = LinesBounds {
+    let bounds = ConnectionPoolBounds {
         per_address: 8,
         idle_per_address: 4,
-        idle_span: Span::seconds(20),
+        idle_span: Milliseconds::seconds(20),
     };
     let dialect = Arc::new(Dialect {
         believes_unnamed: rules.mutant == Some(AnswersMutant::BelieveUnnamed),
     });
-    let (servers, ledger) = (servers.to_vec(), ledger.clone());
-    let (mut asked, mut epoch) = (rules.seed, Epoch(1));
-    let placer = move |ask: &PlaceAsk| {
+    let (servers, config_state) = (servers.to_vec(), config_state.clone());
+    let (mut asked, mut epoch) = (rules.seed, ConfigEpoch(1));
+    let placer = move |ask: &PlacementRequest| {
         asked = mix(asked);
-        place(rules, &servers, &ledger, ask, asked, &mut epoch)
+        place(rules, &servers, &config_state, ask, asked, &mut epoch)
     };
     DetachedForwarder::start(dialect, &plan, bounds, Box::new(placer))
         .map_err(|fault| fault.to_string())
@@ -141,50 +142,52 @@
 fn place(
     rules: AnswersRules,
     servers: &[Server],
-    ledger: &Mutex<Ledger>,
-    ask: &PlaceAsk,
+    config_state: &Mutex<ConfigStateMachine>,
+    ask: &PlacementRequest,
     drawn: u64,
-    epoch: &mut Epoch,
+    epoch: &mut ConfigEpoch,
 ) -> Placed {
-    let mut ledger = lock(ledger);
-    ledger.outdated = None;
+    let mut config_state = lock(config_state);
+    config_state.outdated = None;
     let left: Vec<&Server> = servers
         .iter()
         .filter(|server| !ask.tried.iter().any(|tried| tried.as_str() == server.name))
         .collect();
     let Some(server) = left.get((drawn % left.len().max(1) as u64) as usize) else {
-        let denial = Denial {
+        let rejection = Rejection {
             code: ResultCode::NoServer,
             why: "all were tried".into(),
-            retry_after: Span(50),
+            retry_after: Milliseconds(50),
         };
         return Placed {
-            outcome: Err(denial),
+            outcome: Err(rejection),
             in_force: *epoch,
         };
     };
-    let kind = ledger.call(ask.request.as_str()).map(|record| record.kind);
+    let kind = config_state
+        .call(ask.request.as_str())
+        .map(|record| record.kind);
     let repeats_anything = rules.mutant == Some(AnswersMutant::RepeatAfterReset);
     let placed_under = if rules.mutant == Some(AnswersMutant::ForgetEpoch) {
-        Epoch(u64::MAX)
+        ConfigEpoch(u64::MAX)
     } else {
         *epoch
     };
-    let placing = Placing {
+    let placing = Placement {
         server: server.name.as_str().into(),
         address: server.address.to_string(),
-        expected: Span(20_000),
+        expected: Milliseconds(20_000),
         run: run_id([7; 16]),
         token: None,
         may_repeat: repeats_anything || kind.is_some_and(CallKind::may_repeat),
-        first_token: Span(2000),
+        first_token: Milliseconds(2000),
         epoch: placed_under,
-        life: None,
+        incarnation: None,
         access: Access::Unrestricted,
     };
     if mix(drawn).is_multiple_of(OUTDATED) {
-        *epoch = Epoch(epoch.0 + 1);
-        ledger.outdated = Some((ask.request.as_str().to_owned(), server.name.clone()));
+        *epoch = ConfigEpoch(epoch.0 + 1);
+        config_state.outdated = Some((ask.request.as_str().to_owned(), server.name.clone()));
     }
     Placed {
         outcome: Ok(placing),
@@ -198,23 +201,24 @@
         let id = format!("{:x}-{}-{number}", self.rules.seed, self.number);
         let kind = CallKind::ALL
             [(mix(mix(self.rules.seed ^ number)) % CallKind::ALL.len() as u64) as usize];
-        lock(&self.ledger).sent(&id, kind);
+        lock(&self.config_state).sent(&id, kind);
         let play = |place, arrivals| play_of(self.rules.seed, &server_name(place), &id, arrivals);
         let may_be_silent = (0..SERVERS)
             .any(|place| (0..TRIES).any(|arrivals| play(place, arrivals) == Play::Silence));
         let wait = if may_be_silent { SHORT_WAIT } else { LONG_WAIT };
         let answer = self.exchange(&id, kind, wait);
-        let record = lock(&self.ledger).call(&id).cloned();
+        let record = lock(&self.config_state).call(&id).cloned();
         let Some(record) = record else {
             return Fate::Broken;
         };
         let outcome = judge(&id, &record, answer.as_ref(), may_be_silent);
         match outcome {
-            Ok(Fate::Refused(status)) => lock(&self.ledger).refused(&id, status),
+            Ok(Fate::Refused(status)) => lock(&self.config_state).refused(&id, status),
             Ok(_) => {}
             Err(why) => {
                 let runs: Vec<Play> = record.runs.iter().map(|run| run.play).collect();
-                lock(&self.ledger).violate(format!("{id} ({kind:?}, ran as {runs:?}): {why}"));
+                lock(&self.config_state)
+                    .violate(format!("{id} ({kind:?}, ran as {runs:?}): {why}"));
                 return Fate::Broken;
             }
         }
@@ -222,7 +226,7 @@
     }
 
     /// Sends a call and reads its answer, on the connection of the call before if that stayed.
-    fn exchange(&mut self, id: &str, kind: CallKind, wait: Span) -> Option<Message> {
+    fn exchange(&mut self, id: &str, kind: CallKind, wait: Milliseconds) -> Option<Message> {
         let mut connection = self
             .connection
             .take()
@@ -263,7 +267,7 @@
         let seen = stream.peek(&mut [0; 1]);
         let _ = stream.set_nonblocking(false);
         if !connection.buffer().is_empty() || matches!(seen, Ok(1..)) {
-            lock(&self.ledger).violate("bytes came to a client that awaited none".into());
+            lock(&self.config_state).violate("bytes came to a client that awaited none".into());
             return false;
         }
         seen.is_err()
--- a/crates/testbed/src/answers/server.rs
+++ b/crates/testbed/src/answers/server.rs
@@ -1,7 +1,7 @@
 //! A stand-in server that treats each request as the seed draws.
 
+use super::config_state::{CallKind, ConfigStateMachine, body_of};
 use super::dialect::{AFTER, ID, MARK, NOT_RUN, SERVER};
-use super::ledger::{CallKind, Ledger, body_of};
 use super::message::{Message, read_body, read_head};
 use super::play::Play;
 use placement::mix;
@@ -26,7 +26,7 @@
 struct Serving {
     name: String,
     seed: u64,
-    ledger: Arc<Mutex<Ledger>>,
+    config_state: Arc<Mutex<ConfigStateMachine>>,
 }
 
 /// What a server says on one request.
@@ -38,7 +38,11 @@
 
 impl Server {
     /// Starts one at a free port.
-    pub fn start(name: String, seed: u64, ledger: &Arc<Mutex<Ledger>>) -> io::Result<Server> {
+    pub fn start(
+        name: String,
+        seed: u64,
+        config_state: &Arc<Mutex<ConfigStateMachine>>,
+    ) -> io::Result<Server> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let server = Server {
             name: name.clone(),
@@ -49,7 +53,7 @@
             Arc::new(Serving {
                 name,
                 seed,
-                ledger: ledger.clone(),
+                config_state: config_state.clone(),
             }),
             server.is_stopped.clone(),
         );
@@ -119,14 +123,14 @@
         displaced: Option<String>,
     ) -> io::Result<After> {
         let id = request.header(ID).unwrap_or_default().to_owned();
-        let arrivals = self.ledger().arrived(&id, &self.name);
+        let arrivals = self.config_state().arrived(&id, &self.name);
         let play = play_of(self.seed, &self.name, &id, arrivals);
         if play == Play::ResetUnread {
-            self.ledger().treated(&id, &self.name, play, false);
+            self.config_state().treated(&id, &self.name, play, false);
             return Ok(After::Reset);
         }
         if play == Play::RefusedEarly {
-            self.ledger().treated(&id, &self.name, play, false);
+            self.config_state().treated(&id, &self.name, play, false);
             stream.write_all(refusal(503, Some(&id)).as_bytes())?;
             // Closed with its body unread, it would be reset and the answer lost.
             read_body(reader, &mut request);
@@ -137,11 +141,11 @@
             return Ok(After::Close);
         }
         self.check_request(&id, &request);
-        let Some(kind) = self.ledger().call(&id).map(|record| record.kind) else {
+        let Some(kind) = self.config_state().call(&id).map(|record| record.kind) else {
             return Ok(After::Close);
         };
         let mark = self
-            .ledger()
+            .config_state()
             .treated(&id, &self.name, play, displaced.is_some())
             .unwrap_or_default();
         let after = request
@@ -172,13 +176,15 @@
             .iter()
             .any(|kind| request.target() == format!("{}{id}?q=a%20b", kind.prefix()));
         if !is_ours || !is_whole || !is_at_path {
-            self.ledger()
+            self.config_state()
                 .violate(format!("{id} came to {} changed: {request:?}", self.name));
         }
     }
 
-    fn ledger(&self) -> std::sync::MutexGuard<'_, Ledger> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn config_state(&self) -> std::sync::MutexGuard<'_, ConfigStateMachine> {
+        self.config_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,10 +1,10 @@
-use crate::crew::{Crew, Deployment};
 use crate::fleet::{Fleet, FleetOptions, join_logs, plan_of};
+use crate::process_group::{Deployment, ProcessGroup};
 use crate::schedule::ScheduleRules;
 use loadgen::{Campaign, CampaignRules, Mix, Report};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use types::Span;
+use types::Milliseconds;
 
 /// What is set against what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
@@ -60,7 +60,7 @@
     settings: &str,
 ) -> Result<BTreeMap<String, f64>, String> {
     let shape = rules.deployment.shape();
-    let crew = Crew::start(
+    let process_group = ProcessGroup::start(
         &shape,
         &ScheduleRules {
             block_micros: rules.block_micros,
@@ -72,16 +72,16 @@
         router_settings: settings.to_owned(),
         ..FleetOptions::default()
     };
-    let mut fleet = Fleet::start(&shape, crew.platform.address, None, &options)
+    let mut fleet = Fleet::start(&shape, process_group.platform.address, None, &options)
         .map_err(|fault| format!("no fleet: {fault}"))?;
-    fleet.await_core(Span::seconds(20))?;
+    fleet.await_core(Milliseconds::seconds(20))?;
     let plan = plan_of(rules.deployment, is_btb_on);
     fleet.put_plan("first", 0, &plan)?;
-    fleet.await_routers(Span::seconds(20))?;
+    fleet.await_routers(Milliseconds::seconds(20))?;
     std::thread::sleep(Duration::from_millis(1200));
     let mut mix = Mix::new(rules.deployment.mix(), seed);
     mix.hot_share = rules.hot_share;
-    let span = Span::seconds(rules.seconds);
+    let span = Milliseconds::seconds(rules.seconds);
     let campaign = CampaignRules {
         routers: fleet.clients_addresses(),
         span,
@@ -90,7 +90,7 @@
     };
     let (asked, late) = Campaign::new(mix, campaign).run();
     let mut report = Report::of(&asked, late);
-    join_logs(&mut report, &asked, &crew.logs(), &plan);
+    join_logs(&mut report, &asked, &process_group.logs(), &plan);
     if !report.violations.is_empty() {
         return Err(format!("seed {seed}: {:?}", report.violations));
     }
--- a/crates/testbed/src/explorer/cluster.rs
+++ b/crates/testbed/src/explorer/cluster.rs
@@ -4,10 +4,10 @@
 use super::properties::History;
 use super::register::{Command, Register};
 use super::stored_disk::StoredDisk;
-use replication::{Input, Kept, Note, Output, Record, Replica, Timing, Voter};
+use replication::{Input, Note, Output, Record, RecoveredRecords, Replica, Timing, Voter};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
-use types::{Address, DiskId, Moment, Seq, Span};
+use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber};
 
 /// Between ticks, in ms.
 pub const TICK: u64 = 100;
@@ -72,7 +72,7 @@
     stored: StoredDisk,
     unsynced: VecDeque<PendingWrite>,
     replica: Option<Replica<Register>>,
-    life: u64,
+    incarnation: u64,
     starts_at: Option<u64>,
     stops_at: Option<u64>,
     restarts_after: Option<u64>,
@@ -95,7 +95,11 @@
 #[derive(Clone)]
 enum Step {
     Deliver(Packet),
-    Sync { machine: usize, life: u64, id: u64 },
+    Sync {
+        machine: usize,
+        incarnation: u64,
+        id: u64,
+    },
 }
 
 /// A step that a deviation may befall.
@@ -192,7 +196,7 @@
             stored: StoredDisk::default(),
             unsynced: VecDeque::new(),
             replica: None,
-            life: 0,
+            incarnation: 0,
             starts_at: None,
             stops_at: None,
             restarts_after: None,
@@ -213,7 +217,7 @@
             ..Timing::default()
         };
         if self.rules.fault == Some(DeliberateFault::SkipFencing) {
-            timing.lease = Span(0);
+            timing.lease = Milliseconds(0);
         }
         timing
     }
@@ -233,11 +237,11 @@
             .into_iter()
             .filter(|address| is_founding || *address != me.address)
             .collect();
-        let mut born = Moment(self.now);
+        let mut born = MonotonicInstant(self.now);
         if self.rules.fault == Some(DeliberateFault::GrantAfterRestart) {
-            born = Moment(self.now - timing.lease.0);
+            born = MonotonicInstant(self.now - timing.lease.0);
         }
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: machine.stored.records(),
         };
         match Replica::new(me, known, timing, kept, Register::default(), born) {
@@ -246,14 +250,14 @@
                 .history
                 .violate(format!("a disk can't be used: {fault}")),
         }
-        self.machines[place].life += 1;
+        self.machines[place].incarnation += 1;
         self.machines[place].starts_at = None;
     }
 
     fn stop(&mut self, place: usize, keeps_unsynced: bool) {
         let machine = &mut self.machines[place];
         machine.replica = None;
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.held.clear();
         machine.is_asked_to_leave = false;
         machine.stops_at = None;
@@ -363,7 +367,7 @@
         match step {
             Step::Sync { machine, .. } => Some(OpenStep::Write(*machine)),
             Step::Deliver(packet)
-                if !matches!(packet.note, Note::Beat { .. } | Note::Follow { .. }) =>
+                if !matches!(packet.note, Note::Heartbeat { .. } | Note::Follow { .. }) =>
             {
                 let place = self.machines.iter().position(|m| m.address == packet.to)?;
                 Some(OpenStep::Message(place))
@@ -574,24 +578,45 @@
                 self.deliver(packet);
             }
             (Step::Deliver(packet), _) => self.deliver(packet),
-            (Step::Sync { machine, life, .. }, Some(StepFault::CrashBeforeSync(outage))) => {
-                if self.machines[machine].life == life {
+            (
+                Step::Sync {
+                    machine,
+                    incarnation,
+                    ..
+                },
+                Some(StepFault::CrashBeforeSync(outage)),
+            ) => {
+                if self.machines[machine].incarnation == incarnation {
                     self.crash(machine, outage, false);
                 }
             }
-            (Step::Sync { machine, life, .. }, Some(StepFault::CrashAfterSync(outage))) => {
-                if self.machines[machine].life == life {
+            (
+                Step::Sync {
+                    machine,
+                    incarnation,
+                    ..
+                },
+                Some(StepFault::CrashAfterSync(outage)),
+            ) => {
+                if self.machines[machine].incarnation == incarnation {
                     self.crash(machine, outage, true);
                 }
             }
-            (Step::Sync { machine, life, id }, _) => self.sync(machine, life, id),
+            (
+                Step::Sync {
+                    machine,
+                    incarnation,
+                    id,
+                },
+                _,
+            ) => self.sync(machine, incarnation, id),
         }
     }
 
-    fn sync(&mut self, place: usize, life: u64, id: u64) {
+    fn sync(&mut self, place: usize, incarnation: u64, id: u64) {
         let now = self.now;
         let machine = &mut self.machines[place];
-        if machine.life != life || machine.replica.is_none() {
+        if machine.incarnation != incarnation || machine.replica.is_none() {
             return;
         }
         if self.rules.fault == Some(DeliberateFault::SkipSync) {
@@ -637,9 +662,13 @@
             return;
         };
         match (&mut packet.note, self.rules.fault) {
-            (Note::Level { last, .. }, Some(DeliberateFault::LeadBeforeLevel)) => *last = Seq(0),
+            (Note::Level { last, .. }, Some(DeliberateFault::LeadBeforeLevel)) => {
+                *last = SequenceNumber(0)
+            }
             (Note::Decided { view }, Some(DeliberateFault::CountEmptyMember)) => {
-                view.chain.iter_mut().for_each(|seat| seat.is_level = true);
+                view.chain
+                    .iter_mut()
+                    .for_each(|position| position.is_caught_up = true);
             }
             (Note::Accept { .. }, Some(DeliberateFault::AcceptWithLiveLease)) => {
                 if let Some(tail) = replica.view().tail().filter(|tail| *tail != replica.me()) {
@@ -651,7 +680,7 @@
     }
 
     fn drive(&mut self, place: usize, input: Input) {
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         let Some(replica) = &mut self.machines[place].replica else {
             return;
         };
@@ -671,10 +700,10 @@
                         is_whole,
                         synced_at: None,
                     });
-                    let life = machine.life;
+                    let incarnation = machine.incarnation;
                     self.steps.push_back(Step::Sync {
                         machine: place,
-                        life,
+                        incarnation,
                         id,
                     });
                 }
@@ -730,7 +759,7 @@
     }
 
     fn replying(&self) -> usize {
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         let may_respond = |m: &&Machine| {
             m.replica
                 .as_ref()
@@ -741,7 +770,7 @@
 
     /// After each step.
     fn check_readable(&mut self) {
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         if self.replying() > 1 {
             self.history
                 .violate("two replicas may answer at once".into());
@@ -872,7 +901,7 @@
         }
         machine.replica.is_some().hash(hasher);
         if let Some(replica) = &machine.replica {
-            replica.fingerprint(Moment(self.now), hasher);
+            replica.fingerprint(MonotonicInstant(self.now), hasher);
         }
     }
 
--- a/crates/testbed/src/explorer/properties.rs
+++ b/crates/testbed/src/explorer/properties.rs
@@ -3,13 +3,13 @@
 use super::register::{CONFIRMED, Command, REFUSED};
 use replication::View;
 use std::collections::BTreeMap;
-use types::ViewEpoch;
+use types::ViewNumber;
 
 /// What operators were told and which views were decided.
 #[derive(Debug, Clone, Default, Hash)]
 pub struct History {
     /// By number.
-    pub views: BTreeMap<ViewEpoch, View>,
+    pub views: BTreeMap<ViewNumber, View>,
     /// Commands confirmed.
     pub confirmed: Vec<Command>,
     /// Commands refused for good.
