--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-use crate::crew::{Deployment, Shape};
+use crate::process_group::{Deployment, Shape};
 use crate::stand_in::RunLog;
 use config::{ServicePlan, parse_plan};
 use loadgen::{Asked, Fate, Report};
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use transport::{AskError, ask_get, ask_with, read_all};
-use types::{Address, Clock, Moment, Span};
+use transport::{HttpClientError, http_get, http_request, read_all};
+use types::{Address, Clock, Milliseconds, MonotonicInstant};
 
 /// A process of the fleet.
 pub struct Daemon {
@@ -55,10 +55,10 @@
 
 /// The tail settles a membership that enough members know with its next clock event, and tries again every 400 ms:
 /// an epoch that stands for longer is the settled one's.
-const SETTLED_AFTER: Span = Span(2000);
+const SETTLED_AFTER: Milliseconds = Milliseconds(2000);
 
 /// How long a controller is waited for when its beliefs are kept with the logs of a failed test.
-const BELIEFS_PATIENCE: Span = Span(1000);
+const BELIEFS_PATIENCE: Milliseconds = Milliseconds(1000);
 
 /// All daemons of a deployment, on loopback. Ended when dropped.
 pub struct Fleet {
@@ -157,7 +157,7 @@
         self.signal(rustix::process::Signal::TERM);
     }
     /// Waits for it to end; gives the exit code, or `None` when it had to be killed.
-    pub fn wait(&mut self, patience: Span) -> Option<i32> {
+    pub fn wait(&mut self, patience: Milliseconds) -> Option<i32> {
         let deadline = Clock::now() + patience;
         while Clock::now() < deadline {
             match self.child.as_mut()?.try_wait() {
@@ -175,7 +175,8 @@
     /// Whether it says that it's ready.
     pub fn is_ready(&self) -> bool {
         let url = format!("http://{}/ready", self.listen);
-        ask_get(&url, Span(300), Span(300)).is_ok_and(|response| response.status() == 200)
+        http_get(&url, Milliseconds(300), Milliseconds(300))
+            .is_ok_and(|response| response.status() == 200)
     }
     /// What it says at a path, as JSON.
     pub fn get(&self, path: &str) -> Result<(u16, Vec<u8>), String> {
@@ -184,7 +185,7 @@
     /// Asks it over HTTP.
     pub fn ask(&self, method: &str, path: &str, body: Vec<u8>) -> Result<(u16, Vec<u8>), String> {
         let url = format!("http://{}{path}", self.listen);
-        let response = ask_with(method, &url, body, Span(1000), Span(15_000))
+        let response = http_request(method, &url, body, Milliseconds(1000), Milliseconds(15_000))
             .map_err(|fault| fault.to_string())?;
         let status = response.status();
         read_all(response, 64 << 20)
@@ -239,8 +240,9 @@
     fn note_beliefs(&self, folder: &Path) {
         for daemon in &self.controllers {
             let url = format!("http://{}/v1/believes", daemon.listen);
-            let body = ask_get(&url, BELIEFS_PATIENCE, BELIEFS_PATIENCE).and_then(|response| {
-                read_all(response, 64 << 20).map_err(|error| AskError::Unknown(error.to_string()))
+            let body = http_get(&url, BELIEFS_PATIENCE, BELIEFS_PATIENCE).and_then(|response| {
+                read_all(response, 64 << 20)
+                    .map_err(|error| HttpClientError::Unknown(error.to_string()))
             });
             if let Ok(body) = body {
                 let _ = std::fs::write(folder.join(format!("{}.believes.json", daemon.name)), body);
@@ -414,10 +416,10 @@
 
     /// Waits until this holds, or the deadline passes.
     pub fn await_that(
-        patience: Span,
+        patience: Milliseconds,
         what: &str,
         mut holds: impl FnMut() -> bool,
-    ) -> Result<Span, String> {
+    ) -> Result<Milliseconds, String> {
         let began = Clock::now();
         while Clock::now().since(began) < patience {
             if holds() {
@@ -429,7 +431,7 @@
     }
 
     /// Waits until the controllers form the chain.
-    pub fn await_core(&self, patience: Span) -> Result<Span, String> {
+    pub fn await_core(&self, patience: Milliseconds) -> Result<Milliseconds, String> {
         Self::await_that(patience, "all controllers in the chain", || {
             self.controllers.iter().all(Daemon::is_ready)
         })
@@ -438,8 +440,8 @@
     /// more than half of the *previous* members, and these may be one or two: a test that freezes one of them earlier
     /// freezes the majority itself. Nothing shows the previous members, so it waits until the tail knows that all
     /// members have its epoch, by which it may settle, and this epoch then stands for `SETTLED_AFTER`.
-    pub fn await_settled_membership(&self, patience: Span) -> Result<Span, String> {
-        let mut standing: Option<(u64, Moment)> = None;
+    pub fn await_settled_membership(&self, patience: Milliseconds) -> Result<Milliseconds, String> {
+        let mut standing: Option<(u64, MonotonicInstant)> = None;
         Self::await_that(patience, "the membership is settled", || {
             let known = self.controllers.iter().find_map(|controller| {
                 epoch_known_to_all(&controller.believes(), self.routers.len())
@@ -454,7 +456,7 @@
         })
     }
     /// Waits until all routers take requests.
-    pub fn await_routers(&self, patience: Span) -> Result<Span, String> {
+    pub fn await_routers(&self, patience: Milliseconds) -> Result<Milliseconds, String> {
         Self::await_that(patience, "all routers ready", || {
             self.routers.iter().all(Daemon::is_ready)
         })
@@ -497,7 +499,7 @@
         for group in [&mut self.routers, &mut self.controllers] {
             group.iter().for_each(Daemon::ask_to_stop);
             for daemon in group {
-                codes.insert(daemon.name.clone(), daemon.wait(Span::seconds(20)));
+                codes.insert(daemon.name.clone(), daemon.wait(Milliseconds::seconds(20)));
             }
         }
         codes
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,7 +1,7 @@
 //! Many nodes without clients: the routers' own control state and inner protocol, real controllers, loopback.
 
-use crate::crew::Shape;
 use crate::fleet::{Fleet, FleetOptions};
+use crate::process_group::Shape;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::time::Duration;
-use types::{Address, Clock, Moment, Span, ZoneName};
+use types::{Address, Clock, Milliseconds, MonotonicInstant, ZoneName};
 
 pub mod host;
 mod pages;
@@ -153,7 +153,8 @@
     /// Descriptors a node.
     pub descriptors: f64,
     /// Letters sent a second, a node.
-    pub letters: f64,
+    #[serde(rename = "letters")]
+    pub messages: f64,
     /// Bytes of them.
     pub bytes: f64,
     /// Of them, to other zones.
@@ -253,7 +254,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum HostWord {
     /// A node has an epoch whole, since then.
-    Epoch(Address, u64, u64),
+    ConfigEpoch(Address, u64, u64),
     /// What was sent: letters, bytes, bytes to other zones by node; placed and refused.
     Sent(Vec<(Address, u64, u64, u64)>, u64, u64),
 }
@@ -339,7 +340,7 @@
     .map_err(|fault| {
         format!("the controllers can't be started (build the workspace first): {fault}")
     })?;
-    let core = fleet.await_core(Span::seconds(30))?;
+    let core = fleet.await_core(Milliseconds::seconds(30))?;
     say(format!(
         "core of {} formed after {} ms",
         rules.controllers, core.0
@@ -386,11 +387,13 @@
     let mut sent: BTreeMap<Address, (u64, u64, u64)> = BTreeMap::new();
     let mut placings: Vec<(u64, u64)> = vec![];
     let mut note = |word: HostWord, epochs: &mut BTreeMap<Address, BTreeMap<u64, u64>>| match word {
-        HostWord::Epoch(node, epoch, at) => drop(epochs.entry(node).or_default().insert(epoch, at)),
+        HostWord::ConfigEpoch(node, epoch, at) => {
+            drop(epochs.entry(node).or_default().insert(epoch, at))
+        }
         HostWord::Sent(rows, placed, refused) => {
             sent.extend(
                 rows.into_iter()
-                    .map(|(node, letters, bytes, far)| (node, (letters, bytes, far))),
+                    .map(|(node, messages, bytes, far)| (node, (messages, bytes, far))),
             );
             placings.push((placed, refused));
         }
@@ -407,8 +410,8 @@
             value["plan_epoch"].as_u64()?,
         ))
     };
-    let deadline = Clock::now() + Span::seconds(120);
-    let mut next_say = Clock::now() + Span::seconds(2);
+    let deadline = Clock::now() + Milliseconds::seconds(120);
+    let mut next_say = Clock::now() + Milliseconds::seconds(2);
     loop {
         heard.drain().for_each(|word| note(word, &mut epochs));
         let (epoch, members, _) = latest(&fleet).unwrap_or_default();
@@ -426,7 +429,7 @@
             ));
         }
         if Clock::now() >= next_say {
-            next_say = Clock::now() + Span::seconds(2);
+            next_say = Clock::now() + Milliseconds::seconds(2);
             say(format!("{members} members, {have} know epoch {epoch}"));
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -477,20 +480,22 @@
                 epochs: &mut BTreeMap<Address, BTreeMap<u64, u64>>,
                 sent: &mut BTreeMap<Address, (u64, u64, u64)>,
                 placings: &mut Vec<(u64, u64)>| match word {
-        HostWord::Epoch(node, epoch, at) => drop(epochs.entry(node).or_default().insert(epoch, at)),
+        HostWord::ConfigEpoch(node, epoch, at) => {
+            drop(epochs.entry(node).or_default().insert(epoch, at))
+        }
         HostWord::Sent(rows, placed, refused) => {
             sent.extend(
                 rows.into_iter()
-                    .map(|(node, letters, bytes, far)| (node, (letters, bytes, far))),
+                    .map(|(node, messages, bytes, far)| (node, (messages, bytes, far))),
             );
             placings.push((placed, refused));
         }
     };
     let from = Clock::now();
     let first_epoch = latest(&fleet).map_or(0, |found| found.0);
-    let span = Span::seconds(rules.seconds);
-    let at = |part: u64, parts: u64| from + Span(span.0 * part / (parts + 1).max(1));
-    let mut happenings: Vec<(Moment, u8, u64)> = (1..=rules.changes)
+    let span = Milliseconds::seconds(rules.seconds);
+    let at = |part: u64, parts: u64| from + Milliseconds(span.0 * part / (parts + 1).max(1));
+    let mut happenings: Vec<(MonotonicInstant, u8, u64)> = (1..=rules.changes)
         .map(|n| (at(n, rules.changes), 0, n))
         .collect();
     happenings.extend((1..=u64::from(rules.kills)).map(|n| (at(n, u64::from(rules.kills)), 1, n)));
@@ -506,7 +511,7 @@
                 .drain()
                 .for_each(|word| note(word, &mut epochs, &mut sent, &mut placings));
             if Clock::now() >= next_say {
-                next_say = Clock::now() + Span::seconds(5);
+                next_say = Clock::now() + Milliseconds::seconds(5);
                 say(format!(
                     "{} of {} s, {} changes made",
                     Clock::now().since(from).0 / 1000,
@@ -595,7 +600,7 @@
             };
             let nodes = f64::from(cost.nodes.max(1));
             let bytes = (after.1 - before.1) as f64 / seconds;
-            cost.letters += (after.0 - before.0) as f64 / seconds / nodes;
+            cost.messages += (after.0 - before.0) as f64 / seconds / nodes;
             cost.bytes += bytes / nodes;
             cost.far_bytes += (after.2 - before.2) as f64 / seconds / nodes;
             cost.most_bytes = cost.most_bytes.max(bytes);
@@ -607,13 +612,13 @@
             !dead.contains(*node)
                 && known
                     .first_key_value()
-                    .is_some_and(|(_, at)| Moment(*at) < *asked)
+                    .is_some_and(|(_, at)| MonotonicInstant(*at) < *asked)
         });
         let lags: Vec<Option<u64>> = living
             .map(|(_, known)| {
                 known
                     .range(epoch..)
-                    .map(|(_, at)| Moment(*at).since(*asked).0)
+                    .map(|(_, at)| MonotonicInstant(*at).since(*asked).0)
                     .min()
             })
             .collect();
@@ -725,7 +730,7 @@
                 cost.process_bytes / 1e6,
                 cost.node_bytes / 1e6,
                 cost.descriptors,
-                cost.letters,
+                cost.messages,
                 cost.bytes,
                 cost.far_bytes,
                 cost.most_bytes
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -3,19 +3,22 @@
 use super::{HollowRules, HostCommand, HostWord};
 use config::ServiceKind;
 use config::parse_plan;
-use placement::{Demand, Event, Outcome, SchedulerRules, mix};
+use placement::{Event, Outcome, RequestCost, SchedulerRules, mix};
 use placement::{PrefixHash, ServerEntry};
-use router::{Node, NodeInput, NodeOutput, NodeTiming, PlaceAsk, run_id};
+use router::{Node, NodeInput, NodeOutput, NodeTiming, PlacementRequest, run_id};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::io::{BufRead, Write};
 use std::net::TcpListener;
-use transport::{Post, PostClass};
-use types::{Address, Clock, Epoch, Moment, RequestId, ServerName, ServiceName, Span, ZoneName};
-use wire::Letter;
+use transport::{MessageTransport, PostClass};
+use types::{
+    Address, Clock, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName,
+    ServiceName, ZoneName,
+};
+use wire::Message;
 
 enum Input {
-    Letter(usize, Address, Letter),
+    Message(usize, Address, Message),
     Command(HostCommand),
 }
 
@@ -29,8 +32,8 @@
 struct HollowNode {
     address: Address,
     node: Option<Node>,
-    post: Post,
-    epoch: Epoch,
+    post: MessageTransport,
+    epoch: ConfigEpoch,
 }
 
 struct Host {
@@ -38,7 +41,7 @@
     seeds: Vec<Address>,
     nodes: Vec<HollowNode>,
     inputs: flume::Sender<Input>,
-    timers: BinaryHeap<Reverse<(Moment, Timer)>>,
+    timers: BinaryHeap<Reverse<(MonotonicInstant, Timer)>>,
     random: u64,
     number: u64,
     replaced: u32,
@@ -123,14 +126,15 @@
         let listener =
             TcpListener::bind(address.0).map_err(|fault| format!("{address}: {fault}"))?;
         let (place, inputs) = (self.nodes.len(), self.inputs.clone());
-        let take = move |from, letter| drop(inputs.send(Input::Letter(place, from, letter)));
-        let post = Post::open(listener, take).map_err(|fault| format!("{address}: {fault}"))?;
-        let (seeds, life, now) = (self.seeds.clone(), self.draw() >> 12, Clock::now());
+        let take = move |from, message| drop(inputs.send(Input::Message(place, from, message)));
+        let post = MessageTransport::open(listener, take)
+            .map_err(|fault| format!("{address}: {fault}"))?;
+        let (seeds, incarnation, now) = (self.seeds.clone(), self.draw() >> 12, Clock::now());
         let node = Node::new(
             address,
             zone,
             seeds,
-            life,
+            incarnation,
             NodeTiming::default(),
             SchedulerRules::default(),
             now,
@@ -139,7 +143,7 @@
             address,
             node: Some(node),
             post,
-            epoch: Epoch(0),
+            epoch: ConfigEpoch(0),
         });
         self.tell_server_list(place);
         if self.is_loaded {
@@ -174,7 +178,7 @@
             let report = Event::Load {
                 server,
                 incarnation: 1,
-                up: Span::seconds(600),
+                up: Milliseconds::seconds(600),
                 running: 0,
                 waiting: 0,
                 slots: 64,
@@ -186,15 +190,15 @@
 
     fn take(&mut self, input: Input) -> Result<(), String> {
         match input {
-            Input::Letter(place, from, letter) => {
-                self.step(place, NodeInput::Letter { from, letter })
+            Input::Message(place, from, message) => {
+                self.step(place, NodeInput::Message { from, message })
             }
             Input::Command(HostCommand::Begin { .. }) => {}
             Input::Command(HostCommand::Load) => {
                 self.is_loaded = true;
                 let now = Clock::now();
                 for place in 0..self.nodes.len() {
-                    let at = now + Span(self.draw() % 1000);
+                    let at = now + Milliseconds(self.draw() % 1000);
                     self.timers.push(Reverse((at, Timer::Arrival(place))));
                 }
             }
@@ -217,22 +221,22 @@
     fn tell_sent(&mut self) {
         let mut rows = vec![];
         for one in &self.nodes {
-            let (mut letters, mut bytes, mut far) = (0, 0, 0);
-            for (to, tally) in one.post.tallies() {
+            let (mut messages, mut bytes, mut far) = (0, 0, 0);
+            for (to, tally) in one.post.metrics() {
                 let sent = tally.bytes.load(std::sync::atomic::Ordering::Relaxed);
-                letters += tally.letters.load(std::sync::atomic::Ordering::Relaxed);
+                messages += tally.messages.load(std::sync::atomic::Ordering::Relaxed);
                 bytes += sent;
                 if zone_octet(to) != zone_octet(&one.address) {
                     far += sent;
                 }
             }
-            rows.push((one.address, letters, bytes, far));
+            rows.push((one.address, messages, bytes, far));
         }
         say(&HostWord::Sent(rows, self.placed, self.refused));
     }
 
     /// Does all that is due; gives when something is again.
-    fn on_time(&mut self, now: Moment) -> Moment {
+    fn on_time(&mut self, now: MonotonicInstant) -> MonotonicInstant {
         for place in 0..self.nodes.len() {
             let is_due = |node: &Node| now >= node.next_timer();
             if self.nodes[place].node.as_ref().is_some_and(is_due) {
@@ -254,18 +258,21 @@
             .filter_map(|one| one.node.as_ref())
             .map(Node::next_timer);
         let timers = self.timers.peek().map(|Reverse((at, _))| *at);
-        let timer = nodes.chain(timers).min().unwrap_or(now + Span(250));
-        timer.max(now + Span(1)).min(now + Span(250))
+        let timer = nodes.chain(timers).min().unwrap_or(now + Milliseconds(250));
+        timer
+            .max(now + Milliseconds(1))
+            .min(now + Milliseconds(250))
     }
 
-    fn on_timer(&mut self, timer: Timer, now: Moment) {
+    fn on_timer(&mut self, timer: Timer, now: MonotonicInstant) {
         match timer {
             Timer::Arrival(place) => {
                 if self.nodes[place].node.is_none() {
                     return;
                 }
                 let pause = 1000.0 / self.rules.requests.max(0.001);
-                let next = now + Span((pause * 2.0 * (self.draw() % 1000) as f64 / 1000.0) as u64);
+                let next =
+                    now + Milliseconds((pause * 2.0 * (self.draw() % 1000) as f64 / 1000.0) as u64);
                 self.timers.push(Reverse((next, Timer::Arrival(place))));
                 if self.rules.requests > 0.0 {
                     self.arrive(place, now);
@@ -292,7 +299,7 @@
         }
     }
 
-    fn arrive(&mut self, place: usize, now: Moment) {
+    fn arrive(&mut self, place: usize, now: MonotonicInstant) {
         // A tenth of the draws goes to a hundred prefixes, the rest to all.
         let draw = self.draw();
         let most = if draw.is_multiple_of(10) {
@@ -307,7 +314,7 @@
         let request = RequestId(format!("{}-{number}", self.nodes[place].address));
         let run = run_id([0; 16]);
         let service = ServiceName(format!("model-{}", draw % 13));
-        let ask = NodeInput::Place(PlaceAsk {
+        let ask = NodeInput::Place(PlacementRequest {
             number,
             request: request.clone(),
             service,
@@ -315,7 +322,7 @@
             route: None,
             key: None,
             hashes,
-            demand: Demand::default(),
+            demand: RequestCost::default(),
             round: 0,
             tried: vec![],
             may_have_run: false,
@@ -328,10 +335,10 @@
         }
         self.placed += 1;
         self.timers.push(Reverse((
-            now + Span(200),
+            now + Milliseconds(200),
             Timer::First(place, request.clone()),
         )));
-        let held = Span(2000 + self.draw() % 8000);
+        let held = Milliseconds(2000 + self.draw() % 8000);
         self.timers
             .push(Reverse((now + held, Timer::End(place, request, number))));
     }
@@ -354,10 +361,10 @@
                     NodeOutput::Send {
                         to,
                         is_bulk,
-                        letter,
+                        message,
                     } => {
-                        let class = PostClass::of(&letter, is_bulk);
-                        one.post.send(to, class, letter);
+                        let class = PostClass::of(&message, is_bulk);
+                        one.post.send(to, class, message);
                     }
                     NodeOutput::Place { outcome, .. } => is_placed = outcome.is_ok(),
                     NodeOutput::Read { plan_epoch, bytes } => {
@@ -374,7 +381,11 @@
         }
         if node.epoch() != one.epoch {
             one.epoch = node.epoch();
-            say(&HostWord::Epoch(one.address, one.epoch.0, Clock::now().0));
+            say(&HostWord::ConfigEpoch(
+                one.address,
+                one.epoch.0,
+                Clock::now().0,
+            ));
         }
         is_placed
     }
--- a/crates/testbed/src/hollow/pages.rs
+++ b/crates/testbed/src/hollow/pages.rs
@@ -53,14 +53,14 @@
             left.join(" ")
         );
         let top = points.iter().map(|(_, y)| *y).fold(at.max(none), f64::max) * 1.1 + 1e-9;
-        let mut chart = ChartBuilder::on(&area)
+        let mut request_state = ChartBuilder::on(&area)
             .caption(what, ("sans-serif", 18))
             .margin(8)
             .x_label_area_size(26)
             .y_label_area_size(48)
             .build_cartesian_2d(0.0..400.0, 0.0..top)
             .map_err(|fault| fault.to_string())?;
-        chart
+        request_state
             .configure_mesh()
             .x_desc("nodes")
             .draw()
@@ -68,9 +68,13 @@
         let dots = points
             .iter()
             .map(|point| Circle::new(*point, 3, BLUE.filled()));
-        chart.draw_series(dots).map_err(|fault| fault.to_string())?;
+        request_state
+            .draw_series(dots)
+            .map_err(|fault| fault.to_string())?;
         let line = LineSeries::new([(0.0, none), (400.0, none + slope * 400.0)], RED);
-        chart.draw_series(line).map_err(|fault| fault.to_string())?;
+        request_state
+            .draw_series(line)
+            .map_err(|fault| fault.to_string())?;
     }
     root.present().map_err(|fault| fault.to_string())?;
     Ok(text)
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,12 +4,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use testbed::{
-    AnswersMutant, AnswersRules, ClusterRules, CompareRules, Counterexample, Crew, DeliberateFault,
+    AnswersMutant, AnswersRules, ClusterRules, CompareRules, Counterexample, DeliberateFault,
     Deployment, FaultKind, Fleet, FleetOptions, HollowReport, HollowRules, Limits, MeasureRules,
-    Mutant, Question, ScheduleRules, Sweep, Walk, World, WorldRules, compare, explore, hollow,
-    join_logs, measure, plan_of, play_answers, plot, serve_hollow, walk,
+    Mutant, ProcessGroup, Question, ScheduleRules, Sweep, Walk, World, WorldRules, compare,
+    explore, hollow, join_logs, measure, plan_of, play_answers, plot, serve_hollow, walk,
 };
-use types::{ServiceName, Span};
+use types::{Milliseconds, ServiceName};
 
 /// Plays the whole thing on one machine: stand-ins, a fleet, clients, failures.
 #[derive(Debug, Parser)]
@@ -325,12 +325,12 @@
                 kinds,
                 mutant,
                 routers: routers.map(usize::from),
-                suspect: suspect_ms.map(Span),
+                suspect: suspect_ms.map(Milliseconds),
                 controllers: controllers.map(usize::from),
                 relays: relays.map_or(swept.relays, usize::from),
                 tenants,
                 copies: copies.map_or(swept.copies, usize::from),
-                operators_gap: Span(operators_ms),
+                operators_gap: Milliseconds(operators_ms),
                 quorum,
                 requests_a_second: requests,
                 ..swept
@@ -572,20 +572,21 @@
     json: bool,
 ) -> Result<bool, String> {
     let shape = deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules::default()).map_err(|fault| fault.to_string())?;
+    let process_group = ProcessGroup::start(&shape, &ScheduleRules::default())
+        .map_err(|fault| fault.to_string())?;
     let mut fleet = Fleet::start(
         &shape,
-        crew.platform.address,
+        process_group.platform.address,
         folder,
         &FleetOptions::default(),
     )
     .map_err(|fault| {
         format!("the daemons can't be started (build the whole workspace first): {fault}")
     })?;
-    let core = fleet.await_core(Span::seconds(20))?;
+    let core = fleet.await_core(Milliseconds::seconds(20))?;
     let plan = plan_of(deployment, !plain);
     let outcome = fleet.put_plan("first", 0, &plan)?;
-    let ready = fleet.await_routers(Span::seconds(20))?;
+    let ready = fleet.await_routers(Milliseconds::seconds(20))?;
     if !json {
         println!(
             "core formed after {} ms, plan accepted as epoch {}, routers ready {} ms later",
@@ -613,13 +614,13 @@
     }
     let rules = CampaignRules {
         routers: fleet.clients_addresses(),
-        span: Span::seconds(seconds),
+        span: Milliseconds::seconds(seconds),
         scale,
         in_hand: 1500,
     };
     let (asked, late) = Campaign::new(Mix::new(deployment.mix(), seed), rules).run();
     let mut report = Report::of(&asked, late);
-    join_logs(&mut report, &asked, &crew.logs(), &plan);
+    join_logs(&mut report, &asked, &process_group.logs(), &plan);
     let sum = |name: &str| {
         fleet
             .routers
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,11 +1,11 @@
-use crate::crew::Deployment;
+use crate::process_group::Deployment;
 use crate::schedule::ScheduleRules;
 use crate::world::{Witness, World, WorldRules};
 use placement::SchedulerRules;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
-use types::Span;
+use types::Milliseconds;
 
 /// What is measured in simulated fleets without faults: ways of working under the same traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
@@ -149,8 +149,8 @@
                     };
                     let world = WorldRules {
                         faults: 0,
-                        span: Span::seconds(30),
-                        calm: Span::seconds(12),
+                        span: Milliseconds::seconds(30),
+                        calm: Milliseconds::seconds(12),
                         large_plans: 0,
                         requests_a_second: rules.requests,
                         hot_share: rules.hot_share,
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -2,40 +2,41 @@
 use router::ServerListReport;
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
-use transport::{Gate, GateBounds, GateCloser, Response};
-use types::{Address, Clock, Moment, ServerName, Span};
+use transport::{HttpServer, HttpServerBounds, HttpServerCloser, Response};
+use types::{Address, Clock, Milliseconds, MonotonicInstant, ServerName};
 
 /// The platform's list of servers, which lags behind what is true.
 pub struct Platform {
     /// Where it listens.
     pub address: Address,
     inside: Arc<Mutex<Inside>>,
-    closer: GateCloser,
+    closer: HttpServerCloser,
 }
 
 struct Inside {
-    lag: Span,
+    lag: Milliseconds,
     /// The list as it was from each moment on, oldest first; never empty.
-    lists: VecDeque<(Moment, Vec<ServerEntry>)>,
+    lists: VecDeque<(MonotonicInstant, Vec<ServerEntry>)>,
 }
 
 impl Platform {
     /// Starts one there with this lag.
     pub fn start(
         address: Address,
-        lag: Span,
+        lag: Milliseconds,
         servers: Vec<ServerEntry>,
     ) -> std::io::Result<Platform> {
-        let gate = Gate::open(address.0, GateBounds::default())?;
+        let http_server = HttpServer::open(address.0, HttpServerBounds::default())?;
         let inside = Arc::new(Mutex::new(Inside {
             lag,
-            lists: VecDeque::from([(Moment(0), servers)]),
+            lists: VecDeque::from([(MonotonicInstant(0), servers)]),
         }));
-        let (address, closer, shown) = (gate.address(), gate.closer(), inside.clone());
+        let (address, closer, shown) =
+            (http_server.address(), http_server.closer(), inside.clone());
         std::thread::Builder::new()
             .name("platform".into())
             .spawn(move || {
-                gate.serve(move |request| {
+                http_server.serve(move |request| {
                     if request.path != "/servers" {
                         return Response::json(404, &serde_json::json!({}));
                     }
@@ -74,7 +75,7 @@
         self.change(|list| {
             list.iter_mut()
                 .filter(|e| e.server == *server)
-                .for_each(|e| e.is_leaving = true)
+                .for_each(|e| e.is_draining = true)
         });
     }
 }
--- a/crates/testbed/src/crew.rs
+++ b/crates/testbed/src/process_group.rs
@@ -4,7 +4,7 @@
 use loadgen::MixKind;
 use placement::ServerEntry;
 use std::collections::{BTreeMap, BTreeSet};
-use types::{Address, Span, ZoneName};
+use types::{Address, Milliseconds, ZoneName};
 
 /// Whose fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
@@ -60,7 +60,7 @@
 }
 
 /// Servers and the platform, in this process.
-pub struct Crew {
+pub struct ProcessGroup {
     /// The platform.
     pub platform: Platform,
     /// Model servers.
@@ -69,15 +69,15 @@
     pub apps: Vec<StandIn>,
 }
 
-impl Crew {
+impl ProcessGroup {
     /// Starts all at free ports, zone by zone in turn, long warmed up.
-    pub fn start(shape: &Shape, rules: &ScheduleRules) -> std::io::Result<Crew> {
+    pub fn start(shape: &Shape, rules: &ScheduleRules) -> std::io::Result<ProcessGroup> {
         let zone = |place: usize| ZoneName::from(shape.zones[place % shape.zones.len()]);
         let mut server_list = vec![];
         let mut start = |count: usize, pool: &str, first: u64| {
             (0..count)
                 .map(|place| {
-                    let age = Span::seconds(600);
+                    let age = Milliseconds::seconds(600);
                     let server = StandIn::start(
                         Address::loopback(0),
                         rules.clone(),
@@ -89,7 +89,7 @@
                         server: server.name(),
                         zone,
                         pool,
-                        is_leaving: false,
+                        is_draining: false,
                         ..ServerEntry::default()
                     });
                     Ok(server)
@@ -98,8 +98,8 @@
         };
         let models = start(shape.models, "model", 1)?;
         let apps = start(shape.apps, "app", 101)?;
-        let platform = Platform::start(Address::loopback(0), Span(700), server_list)?;
-        Ok(Crew {
+        let platform = Platform::start(Address::loopback(0), Milliseconds(700), server_list)?;
+        Ok(ProcessGroup {
             platform,
             models,
             apps,
--- a/crates/testbed/src/schedule.rs
+++ b/crates/testbed/src/schedule.rs
@@ -2,7 +2,7 @@
 use placement::{PrefixHash, block_hashes};
 use router::RunRequest;
 use std::collections::{BTreeMap, HashMap};
-use types::{Moment, RunId, Span};
+use types::{Milliseconds, MonotonicInstant, RunId};
 
 /// How a stand-in server works.
 #[derive(Debug, Clone)]
@@ -14,13 +14,13 @@
     /// Prefill of an uncached block, in microseconds.
     pub block_micros: u64,
     /// Time to the first piece without prefill.
-    pub base: Span,
+    pub base: Milliseconds,
     /// Between pieces.
-    pub piece: Span,
+    pub piece: Milliseconds,
     /// Blocks that the KV cache holds.
     pub cache_blocks: usize,
     /// How long a copy of KV takes.
-    pub copy: Span,
+    pub copy: Milliseconds,
     /// Bytes of a block.
     pub block_bytes: usize,
 }
@@ -31,10 +31,10 @@
             slots: 4,
             queue: 24,
             block_micros: 2500,
-            base: Span(15),
-            piece: Span(8),
+            base: Milliseconds(15),
+            piece: Milliseconds(8),
             cache_blocks: 2600,
-            copy: Span(250),
+            copy: Milliseconds(250),
             block_bytes: 64,
         }
     }
@@ -65,11 +65,11 @@
 #[derive(Debug)]
 pub struct Schedule {
     rules: ScheduleRules,
-    slots: Vec<Moment>,
+    slots: Vec<MonotonicInstant>,
     runs: HashMap<RunId, Run>,
     cache: BTreeMap<PrefixHash, u64>,
     uses: u64,
-    imports: Vec<(Moment, PrefixHash)>,
+    imports: Vec<(MonotonicInstant, PrefixHash)>,
     /// What may be wrong.
     pub strike: Strike,
 }
@@ -78,9 +78,9 @@
 struct Run {
     print: u64,
     slot: usize,
-    start: Moment,
-    first: Moment,
-    piece: Span,
+    start: MonotonicInstant,
+    first: MonotonicInstant,
+    piece: Milliseconds,
     pieces: u64,
     is_cancelled: bool,
     keep: bool,
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     /// So many pieces are there; the next comes at that moment.
-    Pieces(u64, Moment),
+    Pieces(u64, MonotonicInstant),
     /// All are there.
     All(u64),
     /// It broke after so many.
@@ -101,7 +101,7 @@
 impl Schedule {
     /// A server that has just started.
     pub fn new(rules: ScheduleRules) -> Self {
-        let slots = vec![Moment(0); rules.slots];
+        let slots = vec![MonotonicInstant(0); rules.slots];
         Schedule {
             rules,
             slots,
@@ -113,7 +113,7 @@
         }
     }
     /// Takes a request; `false` if it's refused unrun.
-    pub fn take(&mut self, request: &RunRequest, now: Moment) -> bool {
+    pub fn take(&mut self, request: &RunRequest, now: MonotonicInstant) -> bool {
         let waiting = self
             .runs
             .values()
@@ -137,15 +137,16 @@
         }
         self.evict();
         let slow = u64::from(self.strike.slowness.max(1));
-        let prefill = Span((hashes.len() - matched) as u64 * self.rules.block_micros * slow / 1000);
+        let prefill =
+            Milliseconds((hashes.len() - matched) as u64 * self.rules.block_micros * slow / 1000);
         let slot = (0..self.slots.len())
             .min_by_key(|slot| self.slots[*slot])
             .unwrap_or(0);
         let start = self.slots[slot].max(now);
-        let first = start + Span(self.rules.base.0 * slow) + prefill;
-        let piece = Span(self.rules.piece.0 * slow);
+        let first = start + Milliseconds(self.rules.base.0 * slow) + prefill;
+        let piece = Milliseconds(self.rules.piece.0 * slow);
         let pieces = u64::from(request.max_pieces);
-        self.slots[slot] = first + Span(piece.0 * pieces.saturating_sub(1));
+        self.slots[slot] = first + Milliseconds(piece.0 * pieces.saturating_sub(1));
         let breaks_after = self.strike.breaks_after;
         let print = print_of(&request.prompt);
         let run = Run {
@@ -163,7 +164,7 @@
         true
     }
     /// How far a run is; `None` if it isn't known.
-    pub fn progress(&self, run: &RunId, now: Moment) -> Option<Progress> {
+    pub fn progress(&self, run: &RunId, now: MonotonicInstant) -> Option<Progress> {
         let run = self.runs.get(run)?;
         let there = if now < run.first {
             0
@@ -179,7 +180,7 @@
         Some(if there == run.pieces {
             Progress::All(there)
         } else {
-            Progress::Pieces(there, run.first + Span(run.piece.0 * there))
+            Progress::Pieces(there, run.first + Milliseconds(run.piece.0 * there))
         })
     }
     /// The text of a run's piece.
@@ -188,11 +189,11 @@
         format!("{run}|{n}|{print:x}")
     }
     /// Ends a run early.
-    pub fn cancel(&mut self, run: &RunId, now: Moment) -> bool {
+    pub fn cancel(&mut self, run: &RunId, now: MonotonicInstant) -> bool {
         let Some(run) = self.runs.get_mut(run) else {
             return false;
         };
-        let end = run.first + Span(run.piece.0 * run.pieces.saturating_sub(1));
+        let end = run.first + Milliseconds(run.piece.0 * run.pieces.saturating_sub(1));
         if !run.is_cancelled && end > now {
             run.is_cancelled = true;
             if self.slots[run.slot] == end {
@@ -206,18 +207,18 @@
         self.runs.clear();
     }
     /// Nobody reads a run any more.
-    pub fn abandon(&mut self, run: &RunId, now: Moment) {
+    pub fn abandon(&mut self, run: &RunId, now: MonotonicInstant) {
         if self.runs.get(run).is_some_and(|run| !run.keep) {
             self.cancel(run, now);
         }
     }
     /// Whether it would export this prefix.
-    pub fn holds(&mut self, prefix: PrefixHash, now: Moment) -> bool {
+    pub fn holds(&mut self, prefix: PrefixHash, now: MonotonicInstant) -> bool {
         self.make_imports(now);
         self.cache.contains_key(&prefix)
     }
     /// Takes an import; it's there after a while.
-    pub fn import(&mut self, prefix: PrefixHash, now: Moment) {
+    pub fn import(&mut self, prefix: PrefixHash, now: MonotonicInstant) {
         if !self.strike.loses_copies {
             self.imports.push((now + self.rules.copy, prefix));
         }
@@ -227,9 +228,9 @@
         self.cache.remove(&prefix);
     }
     /// Requests that run and that wait.
-    pub fn load(&self, now: Moment) -> (u32, u32) {
+    pub fn load(&self, now: MonotonicInstant) -> (u32, u32) {
         let is_live = |run: &&Run| !run.is_cancelled;
-        let end = |run: &Run| run.first + Span(run.piece.0 * run.pieces.saturating_sub(1));
+        let end = |run: &Run| run.first + Milliseconds(run.piece.0 * run.pieces.saturating_sub(1));
         let running = self
             .runs
             .values()
@@ -249,12 +250,12 @@
         self.rules.slots
     }
 
-    fn make_imports(&mut self, now: Moment) {
+    fn make_imports(&mut self, now: MonotonicInstant) {
         let (deadline, later) = std::mem::take(&mut self.imports)
             .into_iter()
             .partition(|(at, _)| *at <= now);
         self.imports = later;
-        let deadline: Vec<(Moment, PrefixHash)> = deadline;
+        let deadline: Vec<(MonotonicInstant, PrefixHash)> = deadline;
         for (_, prefix) in deadline {
             self.uses += 1;
             self.cache.insert(prefix, self.uses);
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -5,8 +5,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use transport::{Gate, GateBounds, GateCloser, PieceSource, Pull, Request, Response};
-use types::{Address, Clock, Moment, RunId, ServerName, Span};
+use transport::{
+    HttpServer, HttpServerBounds, HttpServerCloser, PieceSource, Pull, Request, Response,
+};
+use types::{Address, Clock, Milliseconds, MonotonicInstant, RunId, ServerName};
 
 /// What a server remembers of a request that it took.
 #[derive(Debug, Clone)]
@@ -16,7 +18,7 @@
     /// The service.
     pub service: String,
     /// When.
-    pub at: Moment,
+    pub at: MonotonicInstant,
     /// How many runs were in hand just after.
     pub in_hand: u32,
 }
@@ -26,19 +28,19 @@
     /// Where it listens.
     pub address: Address,
     inside: Arc<Inside>,
-    closer: GateCloser,
+    closer: HttpServerCloser,
 }
 
 struct Inside {
     incarnation: u64,
-    started: Moment,
+    started: MonotonicInstant,
     weights: String,
     schedule: Mutex<Schedule>,
     log: Mutex<Vec<RunLog>>,
     /// Each ask for a run or a page: the service, and the print of the prompt or the path.
     asked: Mutex<Vec<(String, u64)>>,
-    pages: Mutex<Vec<Moment>>,
-    report: Mutex<(Moment, ServerReport)>,
+    pages: Mutex<Vec<MonotonicInstant>>,
+    report: Mutex<(MonotonicInstant, ServerReport)>,
     is_crashed: AtomicBool,
 }
 
@@ -48,13 +50,13 @@
         address: Address,
         rules: ScheduleRules,
         incarnation: u64,
-        age: Span,
+        age: Milliseconds,
     ) -> std::io::Result<StandIn> {
-        let bounds = GateBounds {
+        let bounds = HttpServerBounds {
             connections: 1024,
-            ..GateBounds::default()
+            ..HttpServerBounds::default()
         };
-        let gate = Gate::open(address.0, bounds)?;
+        let http_server = HttpServer::open(address.0, bounds)?;
         let report = ServerReport {
             incarnation,
             up_ms: age.0,
@@ -74,10 +76,11 @@
             report: Mutex::new((Clock::now(), report)),
             is_crashed: AtomicBool::new(false),
         });
-        let (address, closer, handler) = (gate.address(), gate.closer(), inside.clone());
+        let (address, closer, handler) =
+            (http_server.address(), http_server.closer(), inside.clone());
         std::thread::Builder::new()
             .name("stand-in".into())
-            .spawn(move || gate.serve(move |request| handler.clone().respond(&request)))?;
+            .spawn(move || http_server.serve(move |request| handler.clone().respond(&request)))?;
         Ok(StandIn {
             address,
             inside,
@@ -126,7 +129,7 @@
             .clone()
     }
     /// When pages were fetched.
-    pub fn pages(&self) -> Vec<Moment> {
+    pub fn pages(&self) -> Vec<MonotonicInstant> {
         self.inside
             .pages
             .lock()
@@ -164,7 +167,7 @@
         self.note_ask(request);
         let strike = self.schedule().strike;
         if strike.is_dark {
-            let patience = Clock::now() + Span::seconds(20);
+            let patience = Clock::now() + Milliseconds::seconds(20);
             while !self.is_crashed.load(Ordering::SeqCst)
                 && Clock::now() < patience
                 && self.schedule().strike.is_dark
@@ -199,7 +202,7 @@
             ("GET", ["pages", ..])
                 if request
                     .header(LIFE_HEADER)
-                    .is_some_and(|life| life != self.incarnation.to_string()) =>
+                    .is_some_and(|incarnation| incarnation != self.incarnation.to_string()) =>
             {
                 self.other_life()
             }
@@ -227,7 +230,10 @@
         let Ok(request) = serde_json::from_slice::<RunRequest>(body) else {
             return Response::json(400, &serde_json::json!({"ran": false}));
         };
-        if request.life.is_some_and(|life| life != self.incarnation) {
+        if request
+            .incarnation
+            .is_some_and(|incarnation| incarnation != self.incarnation)
+        {
             return self.other_life();
         }
         let now = Clock::now();
@@ -297,7 +303,7 @@
     fn report(&self) -> Response {
         let now = Clock::now();
         let mut report = self.report.lock().expect("no thread panics with it");
-        if now.since(report.0) >= Span(500) {
+        if now.since(report.0) >= Milliseconds(500) {
             let schedule = self.schedule();
             let (running, waiting) = schedule.load(now);
             let report_now = ServerReport {
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -1,17 +1,20 @@
 use crate::schedule::Schedule;
 use config::ServiceKind;
-use config::{AsSent, Command, Ledger, Proposal};
+use config::{AsSent, Command, ConfigStateMachine, Proposal};
 use controller::{
-    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorAsk, Quorum,
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
 use placement::{Decision, Event as SchedulerEvent, Outcome, SchedulerRules};
 use placement::{ServerEntry, mix};
-use replication::{Kept, Record, Replica, Voter};
+use replication::{Record, RecoveredRecords, Replica, Voter};
 use router::{Node, NodeInput, NodeOutput, NodeTiming};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use types::{Address, DiskId, Epoch, Moment, RequestId, RunId, ServerName, ServiceName, ZoneName};
-use wire::Letter;
+use types::{
+    Address, ConfigEpoch, DiskId, MonotonicInstant, RequestId, RunId, ServerName, ServiceName,
+    ZoneName,
+};
+use wire::Message;
 
 mod aimed;
 mod checks;
@@ -90,7 +93,7 @@
     zone: ZoneName,
     offset: u64,
     controller: Option<Controller>,
-    life: u64,
+    incarnation: u64,
     frozen_until: u64,
     late: Vec<Happening>,
     disk: SimDisk,
@@ -109,13 +112,13 @@
 
 impl ControllerMachine {
     fn new(address: Address, zone: ZoneName, offset: u64, disk: SimDisk) -> Self {
-        let (controller, life, frozen_until, late, is_gone) = (None, 0, 0, vec![], false);
+        let (controller, incarnation, frozen_until, late, is_gone) = (None, 0, 0, vec![], false);
         ControllerMachine {
             address,
             zone,
             offset,
             controller,
-            life,
+            incarnation,
             frozen_until,
             late,
             disk,
@@ -144,13 +147,13 @@
     zone: ZoneName,
     offset: u64,
     node: Option<Node>,
-    life: u64,
+    incarnation: u64,
     frozen_until: u64,
     late: Vec<Happening>,
     is_cut_off: bool,
     /// Lost for good, as far as its operator knows.
     is_lost: bool,
-    may_act_until: Moment,
+    may_act_until: MonotonicInstant,
     old: Option<(u64, Node)>,
     touch: touch::Touch,
 }
@@ -167,7 +170,7 @@
     accepts_late: bool,
     is_garbled: bool,
     is_listed: bool,
-    leaving_since: Option<u64>,
+    draining_since: Option<u64>,
 }
 
 struct SimRequest {
@@ -175,8 +178,8 @@
     number: u64,
     service: ServiceName,
     router: usize,
-    life: u64,
-    errand: router::Errand,
+    incarnation: u64,
+    attempts: router::AttemptSequence,
     prompt: String,
     /// The server that it was last sent to.
     asked: Option<ServerName>,
@@ -184,7 +187,7 @@
     server_life: u64,
     had_first: bool,
     /// Under which it was placed.
-    epoch: Epoch,
+    epoch: ConfigEpoch,
     /// The server's life that it's meant for.
     meant_for: Option<u64>,
     /// Whether it left a group without leases that had met nobody who knows more than that epoch.
@@ -311,12 +314,12 @@
                 zone: zone(place),
                 offset,
                 node: None,
-                life: 0,
+                incarnation: 0,
                 frozen_until: 0,
                 late: vec![],
                 is_cut_off: false,
                 is_lost: false,
-                may_act_until: Moment(0),
+                may_act_until: MonotonicInstant(0),
                 old: None,
                 touch: touch::Touch::default(),
             });
@@ -340,7 +343,7 @@
                     accepts_late: false,
                     is_garbled: false,
                     is_listed: true,
-                    leaving_since: None,
+                    draining_since: None,
                 });
             }
         }
@@ -364,7 +367,7 @@
             server: server.name.clone(),
             zone: server.zone.clone(),
             pool: server.pool.clone(),
-            is_leaving: server.leaving_since.is_some(),
+            is_draining: server.draining_since.is_some(),
             ..ServerEntry::default()
         };
         let list = self
--- a/crates/testbed/src/world/aimed/tests.rs
+++ b/crates/testbed/src/world/aimed/tests.rs
@@ -1,6 +1,6 @@
-use crate::crew::Deployment;
+use crate::process_group::Deployment;
 use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
-use types::Span;
+use types::Milliseconds;
 use yare::parameterized;
 
 /// Four faults of one kind, in a run that must show nothing.
@@ -87,7 +87,7 @@
 )]
 fn hundreds_of_changes_are_taken_in_one_run(deployment: Deployment, seed: u64) {
     let rules = WorldRules {
-        operators_gap: Span(50),
+        operators_gap: Milliseconds(50),
         faults: 3,
         requests_a_second: 5,
         large_plans: 0,
--- a/crates/testbed/src/world/checks.rs
+++ b/crates/testbed/src/world/checks.rs
@@ -4,7 +4,10 @@
 use crate::world::World;
 use replication::View;
 use std::fmt;
-use types::{Address, Epoch, Moment, RequestId, ResultCode, ServerName, ServiceName, ZoneName};
+use types::{
+    Address, ConfigEpoch, MonotonicInstant, RequestId, ResultCode, ServerName, ServiceName,
+    ZoneName,
+};
 
 /// What was seen in a run.
 #[derive(Debug, Default)]
@@ -61,7 +64,7 @@
     pub(super) fates: BTreeMap<String, (u64, u64, u64)>,
     /// By change: its calls, and those that were told that nothing changed.
     call_counts: BTreeMap<String, CallCounts>,
-    node_epochs: BTreeMap<Address, Epoch>,
+    node_epochs: BTreeMap<Address, ConfigEpoch>,
     decided: BTreeMap<u64, View>,
     calm_from: u64,
 }
@@ -94,7 +97,7 @@
         *self.words.entry(word).or_default() += 1;
         self.told.insert(request.clone(), word);
     }
-    pub(super) fn placed(&mut self, now: u64, node: Address, epoch: Epoch) {
+    pub(super) fn placed(&mut self, now: u64, node: Address, epoch: ConfigEpoch) {
         let newest = self.node_epochs.entry(node).or_default();
         if epoch < *newest {
             let newest = *newest;
@@ -116,7 +119,7 @@
         &mut self,
         now: u64,
         node: Address,
-        epoch: Epoch,
+        epoch: ConfigEpoch,
         touch: &touch::Touch,
         quorum: Quorum,
     ) -> bool {
@@ -183,8 +186,8 @@
         let whole = match command {
             Command::Plan { bytes, .. } => Some(bytes.clone()),
             Command::Change {
-                splice, revisions, ..
-            } => splice.apply(base).filter(|_| is_of_its_base(revisions)),
+                delta, revisions, ..
+            } => delta.apply(base).filter(|_| is_of_its_base(revisions)),
             _ => None,
         };
         let plan = whole.and_then(|bytes| read(&bytes));
@@ -274,7 +277,7 @@
         service: &ServiceName,
         server: &ServerMachine,
         in_hand: u32,
-        apart_from: Option<Epoch>,
+        apart_from: Option<ConfigEpoch>,
     ) {
         let newest = apart_from.map_or(u64::MAX, |epoch| epoch.0);
         // Judged by the plans alone: what runs twice must be a fetch, or a stream that may be read on,
@@ -295,7 +298,7 @@
                 format!("{request} ran though no plan that may be in force allows {service}"),
             );
         }
-        if let Some(since) = server.leaving_since {
+        if let Some(since) = server.draining_since {
             self.leaving_ms.push(now - since);
         }
         let told = self.withdrawn_since(now, &server.zone, newest);
@@ -307,7 +310,7 @@
             );
         }
         if server
-            .leaving_since
+            .draining_since
             .is_some_and(|since| now > since + LEAVING)
         {
             self.violate(
@@ -401,7 +404,7 @@
     }
 
     /// What is known only at the end.
-    pub(super) fn conclude(&mut self, now: u64, ledger: Option<&Ledger>) {
+    pub(super) fn conclude(&mut self, now: u64, config_state: Option<&ConfigStateMachine>) {
         self.judge_quotas();
         let runs = std::mem::take(&mut self.runs);
         for (request, runs) in &runs {
@@ -424,11 +427,11 @@
                 );
             }
         }
-        let Some(ledger) = ledger else {
+        let Some(config_state) = config_state else {
             return self.violate(now, "at the end nobody may respond for the core".into());
         };
         for (id, (_, code, epoch)) in self.fates.clone() {
-            let entry = ledger.entry_by_id(&id);
+            let entry = config_state.entry_by_id(&id);
             let proposed = self
                 .proposed
                 .get(&id)
@@ -444,7 +447,8 @@
             match code {
                 300 => {
                     let reads_back = entry.is_some_and(|entry| {
-                        entry.epoch.0 == epoch && proposed == Some(ledger.as_sent(entry.epoch).ok())
+                        entry.epoch.0 == epoch
+                            && proposed == Some(config_state.as_sent(entry.epoch).ok())
                     });
                     if !reads_back {
                         self.violate(
@@ -518,9 +522,10 @@
             .iter()
             .filter(|m| self.now >= m.frozen_until)
             .filter(|m| {
-                m.controller
-                    .as_ref()
-                    .is_some_and(|o| o.replica().may_respond(Moment(self.now + m.offset)))
+                m.controller.as_ref().is_some_and(|o| {
+                    o.replica()
+                        .may_respond(MonotonicInstant(self.now + m.offset))
+                })
             })
             .map(|m| m.address)
             .collect();
@@ -538,20 +543,23 @@
         let Some(view) = self.witness.decided.values().next_back() else {
             return false;
         };
-        let is_up = |seat: &replication::Seat| {
+        let is_up = |position: &replication::ChainPosition| {
             let mut machines = self
                 .controllers
                 .iter()
-                .filter(|m| m.address == seat.voter.address && !m.is_gone);
+                .filter(|m| m.address == position.voter.address && !m.is_gone);
             let knows = |m: &ControllerMachine| {
                 m.controller
                     .as_ref()
                     .is_some_and(|controller| controller.replica().view() == view)
             };
-            machines.any(|m| m.disk.id == seat.voter.disk && knows(m))
+            machines.any(|m| m.disk.id == position.voter.disk && knows(m))
         };
         view.chain.len() >= self.controller_count()
-            && view.chain.iter().all(|seat| seat.is_level && is_up(seat))
+            && view
+                .chain
+                .iter()
+                .all(|position| position.is_caught_up && is_up(position))
     }
 
     pub(super) fn last_checks(&mut self) {
@@ -564,19 +572,21 @@
             );
         }
         let tail = self.controllers.iter().position(|m| {
-            m.controller
-                .as_ref()
-                .is_some_and(|controller| controller.replica().may_respond(Moment(now + m.offset)))
+            m.controller.as_ref().is_some_and(|controller| {
+                controller
+                    .replica()
+                    .may_respond(MonotonicInstant(now + m.offset))
+            })
         });
         self.history
             .judge()
             .into_iter()
             .for_each(|what| self.witness.violate(now, what));
         self.witness.calls = self.history.lines();
-        let ledger = tail
+        let config_state = tail
             .and_then(|place| self.controllers[place].controller.as_ref())
             .map(|o| o.replica().state_machine());
-        self.witness.conclude(now, ledger);
+        self.witness.conclude(now, config_state);
         if let Some(view) = self.witness.decided.values().next_back() {
             let (seated, wanted) = (view.chain.len(), self.controller_count());
             if seated < wanted {
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::world::{Mutant, World};
 use types::Address;
-use wire::Reading;
+use wire::Query;
 
 /// As in the daemons' own lines (`SWIFT_DEAD_AFTER`, `BULK_DEAD_AFTER`).
 const LINE_DEAD_AFTER: u64 = 1500;
@@ -41,7 +41,7 @@
     since: u64,
     pause: u64,
     /// What the other side has not got yet.
-    queue: Vec<Letter>,
+    queue: Vec<Message>,
 }
 
 impl Connections {
@@ -53,10 +53,10 @@
 
 impl World {
     /// Sends a letter over the network as it is now.
-    pub(super) fn post(&mut self, from: Address, to: Address, is_bulk: bool, letter: Letter) {
-        self.note_question(&letter);
+    pub(super) fn post(&mut self, from: Address, to: Address, is_bulk: bool, message: Message) {
+        self.note_question(&message);
         if self.rules.mutant == Some(Mutant::LonelySeeds)
-            && matches!(letter, Letter::CoreLocation { .. })
+            && matches!(message, Message::CoreLocation { .. })
         {
             return;
         }
@@ -64,10 +64,10 @@
         self.routers
             .iter_mut()
             .filter(|m| m.address == from)
-            .for_each(|m| m.touch.sent(now, &letter));
-        if letter.is_datagram() {
+            .for_each(|m| m.touch.sent(now, &message));
+        if message.is_datagram() {
             if !self.cut.contains(&(from, to)) {
-                self.carry(from, to, letter);
+                self.carry(from, to, message);
             }
             return;
         }
@@ -82,11 +82,11 @@
             }
             Some(Line {
                 stall: Some(stall), ..
-            }) if stall.queue.len() < MOST_QUEUED => stall.queue.push(letter),
+            }) if stall.queue.len() < MOST_QUEUED => stall.queue.push(message),
             // A full outbox loses what comes.
             Some(Line { stall: Some(_), .. }) => {}
-            Some(_) if is_open => self.carry(from, to, letter),
-            Some(_) => self.stall(key, letter),
+            Some(_) if is_open => self.carry(from, to, message),
+            Some(_) => self.stall(key, message),
             None if is_open => {
                 self.connections.lines.insert(
                     key,
@@ -95,7 +95,7 @@
                         stall: None,
                     },
                 );
-                self.carry(from, to, letter);
+                self.carry(from, to, message);
             }
             // No connection can be made.
             None => {}
@@ -103,13 +103,13 @@
     }
 
     /// The first bytes that nobody acknowledges. Where only the way back is cut, they arrive.
-    fn stall(&mut self, key: LineKey, letter: Letter) {
+    fn stall(&mut self, key: LineKey, message: Message) {
         let (from, to, _) = key;
         let arrives = !self.cut.contains(&(from, to));
         let queue = if arrives {
             vec![]
         } else {
-            vec![letter.clone()]
+            vec![message.clone()]
         };
         self.connections.next_stall += 1;
         let number = self.connections.next_stall;
@@ -123,7 +123,7 @@
             line.stall = Some(stall);
         }
         if arrives {
-            self.carry(from, to, letter);
+            self.carry(from, to, message);
         }
         self.put(
             FIRST_PAUSE,
@@ -163,7 +163,7 @@
         }
         queue
             .into_iter()
-            .for_each(|letter| self.carry(from, to, letter));
+            .for_each(|message| self.carry(from, to, message));
     }
 
     /// Gives a connection up whose bytes have been unacknowledged for too long.
@@ -198,24 +198,24 @@
             .controllers
             .iter()
             .find(|m| m.address == address)
-            .map(|m| m.life);
+            .map(|m| m.incarnation);
         let router = || {
             self.routers
                 .iter()
                 .find(|m| m.address == address)
-                .map(|m| m.life)
+                .map(|m| m.incarnation)
         };
         let relay = || {
             self.relays
                 .iter()
                 .find(|m| m.address == address)
-                .map(|m| m.life)
+                .map(|m| m.incarnation)
         };
         controller.or_else(router).or_else(relay).unwrap_or(0)
     }
 
     /// Takes a letter to its receiver, unless it's lost on the way.
-    fn carry(&mut self, from: Address, to: Address, letter: Letter) {
+    fn carry(&mut self, from: Address, to: Address, message: Message) {
         if self.chance(self.loss) {
             return;
         }
@@ -224,31 +224,32 @@
             let again = delay + self.below(300);
             self.put(
                 again,
-                Happening::Letter {
+                Happening::Message {
                     to,
                     from,
-                    letter: letter.clone(),
+                    message: message.clone(),
                 },
             );
         }
-        if self.rules.mutant == Some(Mutant::AnswerTwice) && matches!(letter, Letter::Told { .. }) {
+        if self.rules.mutant == Some(Mutant::AnswerTwice) && matches!(message, Message::Told { .. })
+        {
             self.put(
                 delay + 10,
-                Happening::Letter {
+                Happening::Message {
                     to,
                     from,
-                    letter: letter.clone(),
+                    message: message.clone(),
                 },
             );
         }
-        self.put(delay, Happening::Letter { to, from, letter });
+        self.put(delay, Happening::Message { to, from, message });
     }
 
     /// For the mutant that answers twice: which operator is behind a controller's question.
-    fn note_question(&mut self, letter: &Letter) {
+    fn note_question(&mut self, message: &Message) {
         if self.rules.mutant == Some(Mutant::AnswerTwice)
-            && let Letter::Ask { number, reading } = letter
-            && let Reading::Heard { id, .. } = reading.as_ref()
+            && let Message::Ask { number, reading } = message
+            && let Query::Heard { id, .. } = reading.as_ref()
             && let Some(operator) = id
                 .strip_prefix("op-")
                 .and_then(|operator| operator.parse().ok())
--- a/crates/testbed/src/world/connections/tests.rs
+++ b/crates/testbed/src/world/connections/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::crew::Deployment;
+use crate::process_group::Deployment;
 use crate::world::{Mutant, World, WorldRules};
-use types::{Address, Epoch};
+use types::{Address, ConfigEpoch};
 
 /// Two controllers of a world in which nothing else goes on.
 struct Pair {
@@ -30,12 +30,12 @@
         }
     }
     fn send(&mut self, round: u64) {
-        let letter = Letter::PlanAsk {
-            epoch: Epoch(round),
+        let message = Message::PlanRequest {
+            epoch: ConfigEpoch(round),
             offset: 0,
-            have: Epoch(0),
+            have: ConfigEpoch(0),
         };
-        self.world.post(self.from, self.to, false, letter);
+        self.world.post(self.from, self.to, false, message);
     }
     fn cut(&mut self, is_cut: bool) {
         for pair in [(self.from, self.to), (self.to, self.from)] {
@@ -54,8 +54,8 @@
             self.world.queue.pop();
             self.world.now = at;
             match self.world.happenings.remove(&number) {
-                Some(Happening::Letter {
-                    letter: Letter::PlanAsk { epoch, .. },
+                Some(Happening::Message {
+                    message: Message::PlanRequest { epoch, .. },
                     ..
                 }) => {
                     self.arrived.push((epoch.0, at));
@@ -128,7 +128,7 @@
 fn a_process_that_came_back_resets_what_its_predecessor_had() {
     let mut pair = Pair::new(None);
     pair.send(1);
-    pair.world.controllers[1].life += 1;
+    pair.world.controllers[1].incarnation += 1;
     pair.send(2);
     pair.send(3);
     pair.run_until(50);
--- a/crates/testbed/src/world/disk_losses.rs
+++ b/crates/testbed/src/world/disk_losses.rs
@@ -19,13 +19,13 @@
         else {
             return false;
         };
-        let is_up = |seat: &replication::Seat| {
+        let is_up = |position: &replication::ChainPosition| {
             let mut machines = self
                 .controllers
                 .iter()
                 .filter(|m| !m.is_gone && m.controller.is_some());
             machines.any(|m| {
-                seat.voter
+                position.voter
                     == Voter {
                         address: m.address,
                         disk: m.disk.id,
@@ -35,7 +35,10 @@
             })
         };
         view.chain.len() == self.controller_count()
-            && view.chain.iter().all(|seat| seat.is_level && is_up(seat))
+            && view
+                .chain
+                .iter()
+                .all(|position| position.is_caught_up && is_up(position))
     }
 
     /// One disk at a time may be lost: only while all others hold everything.
--- a/crates/testbed/src/world/door.rs
+++ b/crates/testbed/src/world/door.rs
@@ -4,8 +4,8 @@
 use super::*;
 use crate::world::{Mutant, World};
 use config::{Fault as PlanFault, OwnPlans};
-use types::{Epoch, ResultCode};
-use wire::Reading;
+use types::{ConfigEpoch, ResultCode};
+use wire::Query;
 
 /// Where a patch stands at the door.
 #[derive(Debug, Clone)]
@@ -18,14 +18,14 @@
 
 impl World {
     /// A call reaches a controller, if that is still the process that it was sent to.
-    pub(super) fn on_call_reaches(&mut self, machine: usize, life: u64, call: u64) {
+    pub(super) fn on_call_reaches(&mut self, machine: usize, incarnation: u64, call: u64) {
         let happening = Happening::CallReaches {
             machine,
-            life,
+            incarnation,
             call,
         };
         let m = &self.controllers[machine];
-        if m.life != life || m.controller.is_none() {
+        if m.incarnation != incarnation || m.controller.is_none() {
             // Refused or reset: the operator knows at once.
             return self.on_silence(call);
         }
@@ -36,8 +36,15 @@
             return;
         };
         match wish {
-            Wish::ReadState => self.read(machine, call, asked, Reading::Latest),
-            Wish::ReadPlan => self.read(machine, call, asked, Reading::Epoch { epoch: Epoch(0) }),
+            Wish::ReadState => self.read(machine, call, asked, Query::Latest),
+            Wish::ReadPlan => self.read(
+                machine,
+                call,
+                asked,
+                Query::ConfigEpoch {
+                    epoch: ConfigEpoch(0),
+                },
+            ),
             Wish::Command(command) => self.propose(machine, call, asked, Ok(command), None, &[]),
             Wish::Plan { bytes, basis } => {
                 let command = Command::plan_in(&OwnPlans, bytes, base_revision(basis));
@@ -46,17 +53,17 @@
             Wish::Patch { bytes, basis } => {
                 self.door.insert(call, PatchStep::ReadsBase(bytes, basis));
                 let at_least = match basis {
-                    Basis::Epoch(epoch) => Epoch(epoch),
-                    Basis::Revision { .. } => Epoch(u64::MAX),
+                    Basis::ConfigEpoch(epoch) => ConfigEpoch(epoch),
+                    Basis::Revision { .. } => ConfigEpoch(u64::MAX),
                 };
-                self.read(machine, call, asked, Reading::Base { at_least });
+                self.read(machine, call, asked, Query::Base { at_least });
             }
         }
     }
 
     /// A controller sees that an operator's connection is closed.
-    pub(super) fn on_hang_up(&mut self, machine: usize, life: u64, call: u64) {
-        let is_same = self.controllers[machine].life == life
+    pub(super) fn on_hang_up(&mut self, machine: usize, incarnation: u64, call: u64) {
+        let is_same = self.controllers[machine].incarnation == incarnation
             && self.controllers[machine].controller.is_some();
         if !is_same
             || !self.is_awake(
@@ -64,7 +71,7 @@
                 machine,
                 &Happening::HangUp {
                     machine,
-                    life,
+                    incarnation,
                     call,
                 },
             )
@@ -77,9 +84,10 @@
         }
     }
 
-    fn read(&mut self, machine: usize, call: u64, asked: Asked, reading: Reading) {
+    fn read(&mut self, machine: usize, call: u64, asked: Asked, reading: Query) {
         self.operators.asked.insert(call, asked);
-        if self.rules.mutant == Some(Mutant::StaleReads) && matches!(reading, Reading::Epoch { .. })
+        if self.rules.mutant == Some(Mutant::StaleReads)
+            && matches!(reading, Query::ConfigEpoch { .. })
         {
             return self.read_here(machine, call);
         }
@@ -87,7 +95,7 @@
             machine,
             ControllerInput::Operator {
                 number: call,
-                ask: OperatorAsk::Read(reading),
+                ask: OperatorRequest::Read(reading),
             },
         );
     }
@@ -113,17 +121,17 @@
         let Ok(command) = command else {
             self.door.insert(call, PatchStep::ReadsFate);
             let id = asked.id.clone();
-            return self.read(machine, call, asked, Reading::Fate { id });
+            return self.read(machine, call, asked, Query::Fate { id });
         };
         self.witness.proposed(self.now, &asked.id, &command, base);
         let builds_on = match basis {
-            Some(Basis::Epoch(epoch)) => Some(Epoch(epoch)),
+            Some(Basis::ConfigEpoch(epoch)) => Some(ConfigEpoch(epoch)),
             _ => None,
         };
         let proposal = Proposal {
             id: asked.id.clone(),
             builds_on,
-            seen: Epoch(0),
+            seen: ConfigEpoch(0),
             command: command.clone(),
         };
         asked.command = Some(command);
@@ -132,7 +140,7 @@
             machine,
             ControllerInput::Operator {
                 number: call,
-                ask: OperatorAsk::Propose(proposal),
+                ask: OperatorRequest::Propose(proposal),
             },
         );
     }
@@ -152,7 +160,7 @@
                     return;
                 };
                 let (epoch, plan) = body.split_at(8);
-                let epoch = Epoch(u64::from_be_bytes(epoch.try_into().unwrap_or_default()));
+                let epoch = ConfigEpoch(u64::from_be_bytes(epoch.try_into().unwrap_or_default()));
                 let command =
                     Command::change_in(&OwnPlans, bytes, epoch, plan, base_revision(basis));
                 self.propose(machine, number, asked, command, Some(basis), plan);
@@ -182,7 +190,9 @@
             return;
         };
         self.witness.not_proposed(&asked.id);
-        asked.command = Some(Command::Settle { since: Epoch(0) });
+        asked.command = Some(Command::Settle {
+            since: ConfigEpoch(0),
+        });
         self.operators.asked.insert(number, asked);
         self.on_operator_response(number, 200, body);
     }
@@ -190,7 +200,7 @@
 
 fn base_revision(basis: Basis) -> Option<u64> {
     match basis {
-        Basis::Epoch(_) => None,
+        Basis::ConfigEpoch(_) => None,
         Basis::Revision { base, .. } => Some(base),
     }
 }
--- a/crates/testbed/src/world/faults.rs
+++ b/crates/testbed/src/world/faults.rs
@@ -277,7 +277,7 @@
                 }
             }
             FaultKind::LeaveServer => {
-                self.servers[model].leaving_since = Some(self.now);
+                self.servers[model].draining_since = Some(self.now);
                 self.publish();
             }
             FaultKind::PlanStorm => self.operators.storm_until = self.now + span.min(3000),
--- a/crates/testbed/src/world/happening.rs
+++ b/crates/testbed/src/world/happening.rs
@@ -8,39 +8,39 @@
 #[derive(Debug, Clone)]
 #[allow(clippy::large_enum_variant)] // Most happenings are letters.
 pub(super) enum Happening {
-    Letter {
+    Message {
         to: Address,
         from: Address,
-        letter: Letter,
+        message: Message,
     },
     Tick {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Synced {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
     },
     Reopen {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     NodeTick {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Polls {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     Arrival,
     /// A request that waited for credit of its tenant's quota is placed or turned away.
     Placed {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
-        outcome: Result<router::Placing, router::Denial>,
+        outcome: Result<router::Placement, router::Rejection>,
     },
     Connected {
         request: RequestId,
@@ -75,13 +75,13 @@
     /// An operator's call reaches a controller.
     CallReaches {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
     },
     /// An operator's connection is closed.
     HangUp {
         machine: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
     },
     /// An operator has heard nothing of a call.
@@ -127,7 +127,7 @@
     },
     RelayTick {
         machine: usize,
-        life: u64,
+        incarnation: u64,
     },
     /// Running processes read their settings' seeds.
     ReadSettings,
@@ -147,22 +147,41 @@
 impl World {
     pub(super) fn happen(&mut self, happening: Happening) {
         match happening {
-            Happening::Letter { to, from, letter } => self.on_letter(to, from, letter),
+            Happening::Message { to, from, message } => self.on_message(to, from, message),
             Happening::StartRelay { machine } => self.start_relay(machine),
-            Happening::RelayTick { machine, life } => self.on_relay_tick(machine, life),
+            Happening::RelayTick {
+                machine,
+                incarnation,
+            } => self.on_relay_tick(machine, incarnation),
             Happening::ReadSettings => self.on_read_settings(),
-            Happening::Tick { machine, life } => self.on_tick(machine, life),
-            Happening::Synced { machine, life, id } => self.on_synced(machine, life, id),
-            Happening::Reopen { machine, life } => self.on_reopen(machine, life),
-            Happening::NodeTick { machine, life } => self.on_node_tick(machine, life),
-            Happening::Polls { machine, life } => self.on_polls(machine, life),
+            Happening::Tick {
+                machine,
+                incarnation,
+            } => self.on_tick(machine, incarnation),
+            Happening::Synced {
+                machine,
+                incarnation,
+                id,
+            } => self.on_synced(machine, incarnation, id),
+            Happening::Reopen {
+                machine,
+                incarnation,
+            } => self.on_reopen(machine, incarnation),
+            Happening::NodeTick {
+                machine,
+                incarnation,
+            } => self.on_node_tick(machine, incarnation),
+            Happening::Polls {
+                machine,
+                incarnation,
+            } => self.on_polls(machine, incarnation),
             Happening::Arrival => self.on_arrival(),
             Happening::Placed {
                 machine,
-                life,
+                incarnation,
                 number,
                 outcome,
-            } => self.on_placed(machine, life, number, outcome),
+            } => self.on_placed(machine, incarnation, number, outcome),
             Happening::Connected {
                 request,
                 server,
@@ -181,14 +200,14 @@
             Happening::Operate => self.on_operate(),
             Happening::CallReaches {
                 machine,
-                life,
+                incarnation,
                 call,
-            } => self.on_call_reaches(machine, life, call),
+            } => self.on_call_reaches(machine, incarnation, call),
             Happening::HangUp {
                 machine,
-                life,
+                incarnation,
                 call,
-            } => self.on_hang_up(machine, life, call),
+            } => self.on_hang_up(machine, incarnation, call),
             Happening::Silence { call } => self.on_silence(call),
             Happening::SendAgain { task } => self.send_call(task),
             Happening::StrikeArmed { place, machine } => self.strike_armed(place, machine),
--- a/crates/testbed/src/world/machines.rs
+++ b/crates/testbed/src/world/machines.rs
@@ -5,8 +5,8 @@
 use config::{History, REMEMBERED_CHANGES};
 use controller::RelayInput;
 use placement::mix;
-use types::{Address, Moment, RequestId, Span, TokenKey};
-use wire::PollResponse;
+use types::{Address, Milliseconds, MonotonicInstant, RequestId, TokenKey};
+use wire::LeaseResponse;
 
 impl World {
     pub(super) fn start_controller(&mut self, machine: usize) {
@@ -19,48 +19,49 @@
         timing.quota = self.tails_bounds();
         timing.replica.copies = self.rules.copies;
         if self.rules.mutant == Some(Mutant::SkipFencing) {
-            timing.replica.lease = Span(0);
+            timing.replica.lease = Milliseconds(0);
         }
         if self.rules.mutant == Some(Mutant::IgnoreLease) {
-            timing.lease = Span::seconds(60);
+            timing.lease = Milliseconds::seconds(60);
         }
         if self.rules.mutant == Some(Mutant::ForgetHolders) {
-            timing.lease = Span(0);
+            timing.lease = Milliseconds(0);
         }
         let seeds = self.seeds_of(machine);
         let contacts = {
             let m = &self.controllers[machine];
-            self.contacts_of(m.address, Moment(self.now + m.offset))
+            self.contacts_of(m.address, MonotonicInstant(self.now + m.offset))
         };
         let key = TokenKey([self.draw() as u8; 32]);
-        let life = mix(mix(self.rules.seed ^ machine as u64) ^ self.controllers[machine].life);
+        let incarnation =
+            mix(mix(self.rules.seed ^ machine as u64) ^ self.controllers[machine].incarnation);
         let incarnation = if self.rules.mutant == Some(Mutant::ReuseNumbers) {
             0
         } else {
-            life
+            incarnation
         };
         let span = if self.rules.mutant == Some(Mutant::ForgetTooEarly) {
             2
         } else {
             REMEMBERED_CHANGES
         };
-        let empty = Ledger {
+        let empty = ConfigStateMachine {
             history: History::of_span(span),
-            ..Ledger::default()
+            ..ConfigStateMachine::default()
         };
         let m = &mut self.controllers[machine];
         if m.controller.is_some() || m.is_gone {
             return;
         }
-        m.life += 1;
+        m.incarnation += 1;
         m.disk.pending.clear();
-        let now = Moment(self.now + m.offset);
+        let now = MonotonicInstant(self.now + m.offset);
         let me = Voter {
             address: m.address,
             disk: m.disk.id,
         };
         // Told that it is a founder at its first start alone, as on the users' platform.
-        let is_first = m.life == 1 && founders.contains(&m.address);
+        let is_first = m.incarnation == 1 && founders.contains(&m.address);
         let others = || {
             founders
                 .iter()
@@ -73,7 +74,7 @@
             (false, Some(seeds)) => seeds,
             (false, None) => others(),
         };
-        let kept = Kept {
+        let kept = RecoveredRecords {
             records: m.disk.durable.clone(),
         };
         match Replica::new(me, known, timing.replica, kept, empty, now) {
@@ -92,8 +93,14 @@
                 format!("a disk gave back what can't be used: {fault}"),
             ),
         }
-        let life = self.controllers[machine].life;
-        self.put(1, Happening::Tick { machine, life });
+        let incarnation = self.controllers[machine].incarnation;
+        self.put(
+            1,
+            Happening::Tick {
+                machine,
+                incarnation,
+            },
+        );
     }
 
     /// Whom the settings of a machine that came later name: three of those that were there.
@@ -116,7 +123,7 @@
         let keeps_unsynced = self.rules.mutant != Some(Mutant::SkipSync) && self.chance(50);
         let m = &mut self.controllers[machine];
         m.controller = None;
-        m.life += 1;
+        m.incarnation += 1;
         m.late.clear();
         m.frozen_until = 0;
         self.connections.close_from(m.address);
@@ -140,7 +147,7 @@
         let seeds = self.settings_seeds.clone();
         let mut scheduler_rules = self.rules.scheduler.clone();
         if self.rules.mutant == Some(Mutant::SkipRamp) {
-            scheduler_rules.ramp = Span(0);
+            scheduler_rules.ramp = Milliseconds(0);
         }
         if self.rules.mutant == Some(Mutant::FreeRepeats) {
             scheduler_rules.repeat_percent = 300;
@@ -149,11 +156,11 @@
         if m.node.is_some() || m.is_lost {
             return;
         }
-        m.life += 1;
+        m.incarnation += 1;
         m.next_tick = 0;
-        m.may_act_until = Moment(0);
+        m.may_act_until = MonotonicInstant(0);
         m.touch = touch::Touch::default();
-        let now = Moment(self.now + m.offset);
+        let now = MonotonicInstant(self.now + m.offset);
         let old = m
             .old
             .take()
@@ -170,15 +177,27 @@
             )
         };
         m.node = Some(old.map_or_else(fresh, |(_, node)| node));
-        let life = m.life;
-        self.put(1, Happening::NodeTick { machine, life });
-        self.put(5, Happening::Polls { machine, life });
+        let incarnation = m.incarnation;
+        self.put(
+            1,
+            Happening::NodeTick {
+                machine,
+                incarnation,
+            },
+        );
+        self.put(
+            5,
+            Happening::Polls {
+                machine,
+                incarnation,
+            },
+        );
     }
 
     pub(super) fn kill_router(&mut self, machine: usize) {
         let m = &mut self.routers[machine];
         m.node = None;
-        m.life += 1;
+        m.incarnation += 1;
         m.late.clear();
         m.frozen_until = 0;
         self.connections.close_from(m.address);
@@ -227,42 +246,42 @@
         }
     }
 
-    pub(super) fn on_letter(&mut self, to: Address, from: Address, mut letter: Letter) {
-        let happening = Happening::Letter {
+    pub(super) fn on_message(&mut self, to: Address, from: Address, mut message: Message) {
+        let happening = Happening::Message {
             to,
             from,
-            letter: letter.clone(),
+            message: message.clone(),
         };
         if let Some(machine) = self.controllers.iter().position(|m| m.address == to) {
             if self.is_awake(true, machine, &happening) {
-                self.answer_twice(&letter);
-                self.step_controller(machine, ControllerInput::Letter { from, letter });
+                self.answer_twice(&message);
+                self.step_controller(machine, ControllerInput::Message { from, message });
             }
         } else if let Some(machine) = self.routers.iter().position(|m| m.address == to)
             && self.is_awake(false, machine, &happening)
         {
-            self.restore_span(&mut letter);
-            self.spoil_grant(&mut letter);
-            self.routers[machine].touch.got(self.now, &letter);
-            self.make_stale(to, &mut letter);
-            self.step_node(machine, NodeInput::Letter { from, letter });
+            self.restore_span(&mut message);
+            self.spoil_grant(&mut message);
+            self.routers[machine].touch.got(self.now, &message);
+            self.make_stale(to, &mut message);
+            self.step_node(machine, NodeInput::Message { from, message });
         } else if let Some(machine) = self.relays.iter().position(|m| m.address == to) {
-            self.step_relay(machine, RelayInput::Letter { from, letter });
+            self.step_relay(machine, RelayInput::Message { from, message });
         }
     }
 
     /// For the mutant: the lease that its tail counts as over at once runs as usual where it was given.
-    fn restore_span(&self, letter: &mut Letter) {
+    fn restore_span(&self, message: &mut Message) {
         if self.rules.mutant == Some(Mutant::ForgetHolders)
-            && let Letter::PollResponse { response, .. } = letter
-            && let PollResponse::Lease { span, .. } = response.as_mut()
+            && let Message::LeaseResponse { response, .. } = message
+            && let LeaseResponse::Lease { span, .. } = response.as_mut()
         {
             *span = ControllerTiming::default().lease;
         }
     }
 
     /// For the mutant: the lease of a poll's response without its news.
-    fn make_stale(&mut self, to: Address, letter: &mut Letter) {
+    fn make_stale(&mut self, to: Address, message: &mut Message) {
         if self.rules.mutant != Some(Mutant::StaleNews)
             || !to.0.port().is_multiple_of(3)
             || self.chance(2)
@@ -277,22 +296,22 @@
         else {
             return;
         };
-        match letter {
-            Letter::PollResponse { response, .. } => {
-                let PollResponse::Lease { epoch, news, .. } = &mut **response else {
+        match message {
+            Message::LeaseResponse { response, .. } => {
+                let LeaseResponse::Lease { epoch, update, .. } = &mut **response else {
                     return;
                 };
                 *epoch = node.epoch();
-                if let Some(news) = news {
-                    (news.epoch, news.plan_epoch, news.withdrawn) =
+                if let Some(update) = update {
+                    (update.epoch, update.plan_epoch, update.withdrawn) =
                         (node.epoch(), node.plan_epoch(), node.withdrawn().to_vec());
                 }
             }
-            Letter::News { news } => {
-                (news.epoch, news.plan_epoch, news.withdrawn) =
+            Message::ConfigUpdate { update } => {
+                (update.epoch, update.plan_epoch, update.withdrawn) =
                     (node.epoch(), node.plan_epoch(), node.withdrawn().to_vec());
             }
-            Letter::PeerCheckRequest { epoch, .. } | Letter::PeerCheckResponse { epoch, .. } => {
+            Message::PeerCheckRequest { epoch, .. } | Message::PeerCheckResponse { epoch, .. } => {
                 *epoch = (*epoch).min(node.epoch())
             }
             _ => {}
@@ -300,12 +319,12 @@
     }
 
     /// For the mutant: the second of two good answers goes to the operator.
-    fn answer_twice(&mut self, letter: &Letter) {
-        let Letter::Told {
+    fn answer_twice(&mut self, message: &Message) {
+        let Message::Told {
             number,
             status: 200,
             body,
-        } = letter
+        } = message
         else {
             return;
         };
@@ -318,24 +337,45 @@
         }
     }
 
-    pub(super) fn on_tick(&mut self, machine: usize, life: u64) {
-        if self.controllers[machine].life != life {
+    pub(super) fn on_tick(&mut self, machine: usize, incarnation: u64) {
+        if self.controllers[machine].incarnation != incarnation {
             return;
         }
-        if self.is_awake(true, machine, &Happening::Tick { machine, life }) {
+        if self.is_awake(
+            true,
+            machine,
+            &Happening::Tick {
+                machine,
+                incarnation,
+            },
+        ) {
             self.step_controller(machine, ControllerInput::ClockEvent);
             let m = &self.controllers[machine];
-            let local = Moment(self.now + m.offset);
+            let local = MonotonicInstant(self.now + m.offset);
             let pause = m.controller.as_ref().map_or(25, |controller| {
                 local.until(controller.next_timer()).0.clamp(1, 100)
             });
-            self.put(pause, Happening::Tick { machine, life });
+            self.put(
+                pause,
+                Happening::Tick {
+                    machine,
+                    incarnation,
+                },
+            );
         }
     }
 
-    pub(super) fn on_synced(&mut self, machine: usize, life: u64, id: u64) {
-        if self.controllers[machine].life != life
-            || !self.is_awake(true, machine, &Happening::Synced { machine, life, id })
+    pub(super) fn on_synced(&mut self, machine: usize, incarnation: u64, id: u64) {
+        if self.controllers[machine].incarnation != incarnation
+            || !self.is_awake(
+                true,
+                machine,
+                &Happening::Synced {
+                    machine,
+                    incarnation,
+                    id,
+                },
+            )
         {
             return;
         }
@@ -353,14 +393,20 @@
     }
 
     /// A disk that was full takes writes again.
-    pub(super) fn on_reopen(&mut self, machine: usize, life: u64) {
+    pub(super) fn on_reopen(&mut self, machine: usize, incarnation: u64) {
         let now = self.now;
         let m = &mut self.controllers[machine];
-        if m.life != life || m.controller.is_none() {
+        if m.incarnation != incarnation || m.controller.is_none() {
             return;
         }
         if now < m.disk.full_until {
-            self.put(500, Happening::Reopen { machine, life });
+            self.put(
+                500,
+                Happening::Reopen {
+                    machine,
+                    incarnation,
+                },
+            );
             return;
         }
         m.controller = None;
@@ -369,8 +415,8 @@
 
     pub(super) fn step_controller(&mut self, machine: usize, input: ControllerInput) {
         let m = &mut self.controllers[machine];
-        let now = Moment(self.now + m.offset);
-        let (address, life) = (m.address, m.life);
+        let now = MonotonicInstant(self.now + m.offset);
+        let (address, incarnation) = (m.address, m.incarnation);
         let Some(controller) = &mut m.controller else {
             return;
         };
@@ -380,13 +426,13 @@
                 ControllerOutput::Send {
                     to,
                     is_bulk,
-                    letter,
-                } => self.post(address, to, is_bulk, letter),
+                    message,
+                } => self.post(address, to, is_bulk, message),
                 ControllerOutput::Write {
                     id,
                     records,
                     is_whole,
-                } => self.write(machine, life, id, records, is_whole),
+                } => self.write(machine, incarnation, id, records, is_whole),
                 ControllerOutput::Response {
                     number,
                     status,
@@ -397,7 +443,14 @@
         }
     }
 
-    fn write(&mut self, machine: usize, life: u64, id: u64, records: Vec<Record>, is_whole: bool) {
+    fn write(
+        &mut self,
+        machine: usize,
+        incarnation: u64,
+        id: u64,
+        records: Vec<Record>,
+        is_whole: bool,
+    ) {
         let jitter = self.below(4);
         let now = self.now;
         let m = &mut self.controllers[machine];
@@ -405,10 +458,16 @@
             // Said by the disk's own thread a moment later; here at once.
             m.disk.pending.clear();
             if let Some(controller) = &mut m.controller {
-                let local = Moment(now + m.offset);
+                let local = MonotonicInstant(now + m.offset);
                 drop(controller.step(local, ControllerInput::DiskFault));
             }
-            self.put(500, Happening::Reopen { machine, life });
+            self.put(
+                500,
+                Happening::Reopen {
+                    machine,
+                    incarnation,
+                },
+            );
             return;
         }
         // What comes while the disk is at work goes to it together afterwards, with one sync.
@@ -426,21 +485,35 @@
         let deadline = (busy.max(stall) + m.disk.delay + jitter).max(last);
         m.disk
             .pending
-            .push((now + deadline, life, id, records, is_whole));
+            .push((now + deadline, incarnation, id, records, is_whole));
         if self.rules.mutant == Some(Mutant::SkipSync) {
             // Called synced at once; what is pending is lost with the power all the same.
             self.step_controller(machine, ControllerInput::Written { id });
         }
-        self.put(deadline, Happening::Synced { machine, life, id });
+        self.put(
+            deadline,
+            Happening::Synced {
+                machine,
+                incarnation,
+                id,
+            },
+        );
         self.strike_in_write(machine);
     }
 
-    pub(super) fn on_node_tick(&mut self, machine: usize, life: u64) {
-        if self.routers[machine].life != life {
+    pub(super) fn on_node_tick(&mut self, machine: usize, incarnation: u64) {
+        if self.routers[machine].incarnation != incarnation {
             return;
         }
         if self.now >= self.routers[machine].next_tick
-            && self.is_awake(false, machine, &Happening::NodeTick { machine, life })
+            && self.is_awake(
+                false,
+                machine,
+                &Happening::NodeTick {
+                    machine,
+                    incarnation,
+                },
+            )
         {
             self.routers[machine].next_tick = u64::MAX;
             self.step_node(machine, NodeInput::ClockEvent);
@@ -458,26 +531,45 @@
         let m = &mut self.routers[machine];
         let Some(node) = &m.node else { return };
         let deadline = self.now
-            + Moment(self.now + m.offset)
+            + MonotonicInstant(self.now + m.offset)
                 .until(node.next_timer())
                 .0
                 .clamp(1, 250);
         if deadline < m.next_tick {
             m.next_tick = deadline;
-            let life = m.life;
-            self.put(deadline - self.now, Happening::NodeTick { machine, life });
+            let incarnation = m.incarnation;
+            self.put(
+                deadline - self.now,
+                Happening::NodeTick {
+                    machine,
+                    incarnation,
+                },
+            );
         }
     }
 
     /// A node reads the platform's list and the servers' reports.
-    pub(super) fn on_polls(&mut self, machine: usize, life: u64) {
-        if self.routers[machine].life != life {
+    pub(super) fn on_polls(&mut self, machine: usize, incarnation: u64) {
+        if self.routers[machine].incarnation != incarnation {
             return;
         }
-        if !self.is_awake(false, machine, &Happening::Polls { machine, life }) {
+        if !self.is_awake(
+            false,
+            machine,
+            &Happening::Polls {
+                machine,
+                incarnation,
+            },
+        ) {
             return;
         }
-        self.put(400, Happening::Polls { machine, life });
+        self.put(
+            400,
+            Happening::Polls {
+                machine,
+                incarnation,
+            },
+        );
         if self.routers[machine].is_cut_off {
             return;
         }
@@ -492,13 +584,13 @@
         if self.rules.mutant == Some(Mutant::IgnoreLeaving) {
             servers
                 .iter_mut()
-                .for_each(|entry| entry.is_leaving = false);
+                .for_each(|entry| entry.is_draining = false);
         }
         self.step_node(
             machine,
             NodeInput::Event(SchedulerEvent::ServerList { servers }),
         );
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         let reports: Vec<SchedulerEvent> = self
             .servers
             .iter()
@@ -509,7 +601,7 @@
         }
     }
 
-    fn report_of(&self, server: &ServerMachine, now: Moment) -> Option<SchedulerEvent> {
+    fn report_of(&self, server: &ServerMachine, now: MonotonicInstant) -> Option<SchedulerEvent> {
         if !server.is_up {
             return server.is_listed.then(|| SchedulerEvent::Unreachable {
                 server: server.name.clone(),
@@ -522,7 +614,9 @@
         Some(SchedulerEvent::Load {
             server: server.name.clone(),
             incarnation: server.incarnation,
-            up: Span(self.now - server.started + if server.started == 0 { 600_000 } else { 0 }),
+            up: Milliseconds(
+                self.now - server.started + if server.started == 0 { 600_000 } else { 0 },
+            ),
             running,
             waiting,
             slots: server.schedule.slots() as u32,
@@ -532,8 +626,8 @@
 
     pub(super) fn step_node(&mut self, machine: usize, input: NodeInput) -> Vec<NodeOutput> {
         let m = &mut self.routers[machine];
-        let now = Moment(self.now + m.offset);
-        let (address, life) = (m.address, m.life);
+        let now = MonotonicInstant(self.now + m.offset);
+        let (address, incarnation) = (m.address, m.incarnation);
         let Some(node) = &mut m.node else {
             return vec![];
         };
@@ -547,8 +641,8 @@
                 NodeOutput::Send {
                     to,
                     is_bulk,
-                    letter,
-                } => self.post(address, to, is_bulk, letter),
+                    message,
+                } => self.post(address, to, is_bulk, message),
                 NodeOutput::Decision(_, decision) => {
                     if let Decision::Placed { epoch, .. } = &decision {
                         self.witness.placed(self.now, address, *epoch);
@@ -571,7 +665,7 @@
                         0,
                         Happening::Placed {
                             machine,
-                            life,
+                            incarnation,
                             number,
                             outcome,
                         },
--- a/crates/testbed/src/world/operators.rs
+++ b/crates/testbed/src/world/operators.rs
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Basis {
     /// An epoch that its operator looked at.
-    Epoch(u64),
+    ConfigEpoch(u64),
     /// A revision of the operators' own, and the plan's own.
     Revision { base: u64, own: u64 },
 }
@@ -145,7 +145,7 @@
 
     fn newest_basis(&self) -> Basis {
         if self.counts_by_epochs() {
-            return Basis::Epoch(self.operators.epoch);
+            return Basis::ConfigEpoch(self.operators.epoch);
         }
         Basis::Revision {
             base: self.operators.revision,
@@ -321,12 +321,12 @@
                 is_answer_lost,
             },
         );
-        let life = self.controllers[machine].life;
+        let incarnation = self.controllers[machine].incarnation;
         self.put(
             1,
             Happening::CallReaches {
                 machine,
-                life,
+                incarnation,
                 call,
             },
         );
@@ -386,13 +386,16 @@
             return;
         };
         self.history.given_up(self.now, call);
-        let (machine, life) = (given_up.machine, self.controllers[given_up.machine].life);
+        let (machine, incarnation) = (
+            given_up.machine,
+            self.controllers[given_up.machine].incarnation,
+        );
         let notices = 1 + self.below(HANG_UP_NOTICED);
         self.put(
             notices,
             Happening::HangUp {
                 machine,
-                life,
+                incarnation,
                 call,
             },
         );
@@ -577,7 +580,7 @@
     };
     match wish {
         Wish::Plan { basis, .. } | Wish::Patch { basis, .. } => match *basis {
-            Basis::Epoch(_) => None,
+            Basis::ConfigEpoch(_) => None,
             Basis::Revision { base, own } => Some(CallAction::Put {
                 change: task,
                 base,
--- a/crates/testbed/src/world/relays.rs
+++ b/crates/testbed/src/world/relays.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::world::{Mutant, World};
-use controller::{Contacts, Relay, RelayInput};
+use controller::{DisklessController, PeerDiscovery, RelayInput};
 use replication::LeaseStatus;
-use types::{Address, Moment, ZoneName};
+use types::{Address, MonotonicInstant, ZoneName};
 
 /// Running processes read their settings this often.
 const SETTINGS_PERIOD: u64 = 1000;
@@ -16,8 +16,8 @@
     pub address: Address,
     zone: ZoneName,
     offset: u64,
-    relay: Option<Relay>,
-    pub life: u64,
+    relay: Option<DisklessController>,
+    pub incarnation: u64,
 }
 
 impl World {
@@ -33,7 +33,7 @@
                 zone,
                 offset,
                 relay: None,
-                life: 0,
+                incarnation: 0,
             });
             self.put(place as u64 * 5, Happening::StartRelay { machine: place });
         }
@@ -50,13 +50,13 @@
     }
 
     /// What a controller that starts now knows of where the core is.
-    pub(super) fn contacts_of(&self, address: Address, now: Moment) -> Contacts {
+    pub(super) fn contacts_of(&self, address: Address, now: MonotonicInstant) -> PeerDiscovery {
         let seeds = if self.is_exchanging() {
             self.settings_seeds.clone()
         } else {
             vec![]
         };
-        Contacts::new(address, Some(address), seeds, now)
+        PeerDiscovery::new(address, Some(address), seeds, now)
     }
 
     fn is_exchanging(&self) -> bool {
@@ -96,16 +96,26 @@
         if m.relay.is_some() {
             return;
         }
-        m.life += 1;
-        m.relay = Some(Relay::new(m.address, seeds, Moment(self.now + m.offset)));
-        let life = m.life;
-        self.put(1, Happening::RelayTick { machine, life });
+        m.incarnation += 1;
+        m.relay = Some(DisklessController::new(
+            m.address,
+            seeds,
+            MonotonicInstant(self.now + m.offset),
+        ));
+        let incarnation = m.incarnation;
+        self.put(
+            1,
+            Happening::RelayTick {
+                machine,
+                incarnation,
+            },
+        );
     }
 
     pub(super) fn kill_relay(&mut self, machine: usize) {
         let m = &mut self.relays[machine];
         m.relay = None;
-        m.life += 1;
+        m.incarnation += 1;
         let address = m.address;
         self.connections.close_from(address);
     }
@@ -122,32 +132,38 @@
 
     pub(super) fn step_relay(&mut self, machine: usize, input: RelayInput) {
         let m = &mut self.relays[machine];
-        let now = Moment(self.now + m.offset);
+        let now = MonotonicInstant(self.now + m.offset);
         let address = m.address;
         let Some(relay) = &mut m.relay else { return };
         // For the mutant, it does not know more than its settings.
-        let letters = if self.rules.mutant == Some(Mutant::LonelySeeds) {
+        let messages = if self.rules.mutant == Some(Mutant::LonelySeeds) {
             vec![]
         } else {
             relay.step(now, input)
         };
-        letters
+        messages
             .into_iter()
-            .for_each(|(to, letter)| self.post(address, to, false, letter));
+            .for_each(|(to, message)| self.post(address, to, false, message));
     }
 
-    pub(super) fn on_relay_tick(&mut self, machine: usize, life: u64) {
-        if self.relays[machine].life != life {
+    pub(super) fn on_relay_tick(&mut self, machine: usize, incarnation: u64) {
+        if self.relays[machine].incarnation != incarnation {
             return;
         }
         self.step_relay(machine, RelayInput::ClockEvent);
         let m = &self.relays[machine];
-        let local = Moment(self.now + m.offset);
+        let local = MonotonicInstant(self.now + m.offset);
         let pause = m
             .relay
             .as_ref()
             .map_or(250, |relay| local.until(relay.next_timer()).0.clamp(1, 250));
-        self.put(pause, Happening::RelayTick { machine, life });
+        self.put(
+            pause,
+            Happening::RelayTick {
+                machine,
+                incarnation,
+            },
+        );
     }
 
     /// The settings name nobody who is gone for good.
@@ -192,7 +208,7 @@
         }
         for machine in 0..self.routers.len() {
             let m = &self.routers[machine];
-            let now = Moment(self.now + m.offset);
+            let now = MonotonicInstant(self.now + m.offset);
             let has_lease = |node: &Node| node.lease_state().reason(now) == LeaseStatus::Leased;
             if self.now >= m.frozen_until && m.node.as_ref().is_some_and(|node| !has_lease(node)) {
                 self.step_node(machine, NodeInput::Seeds(seeds.clone()));
--- a/crates/testbed/src/world/rules.rs
+++ b/crates/testbed/src/world/rules.rs
@@ -1,10 +1,10 @@
 //! How a run goes.
 
 use super::*;
-use crate::crew::Deployment;
+use crate::process_group::Deployment;
 use crate::schedule::ScheduleRules;
 use crate::world::{FaultKind, Mutant};
-use types::Span;
+use types::Milliseconds;
 
 /// How a run goes.
 #[derive(Debug, Clone)]
@@ -14,9 +14,9 @@
     /// Where everything is drawn from.
     pub seed: u64,
     /// Faults strike within this.
-    pub span: Span,
+    pub span: Milliseconds,
     /// After it all is healed, and the run goes on for this long.
-    pub calm: Span,
+    pub calm: Milliseconds,
     /// How many routers, if not as the deployment has.
     pub routers: Option<usize>,
     /// How many faults.
@@ -26,7 +26,7 @@
     /// Requests a second.
     pub requests_a_second: u64,
     /// Operators do something each time after one to six times this.
-    pub operators_gap: Span,
+    pub operators_gap: Milliseconds,
     /// Percent of answers to operators that are lost on their way.
     pub answer_loss: u64,
     /// Percent of plans that are large.
@@ -40,7 +40,7 @@
     /// Percent of drafts that belong to the burst at hand.
     pub hot_share: u64,
     /// How soon controllers take each other for gone, if not as usual.
-    pub suspect: Option<Span>,
+    pub suspect: Option<Milliseconds>,
     /// How many controllers, if not as the deployment has.
     pub controllers: Option<usize>,
     /// Controllers without a disk, which settings may come to name as seeds.
@@ -81,13 +81,13 @@
         WorldRules {
             deployment,
             seed,
-            span: Span::seconds(30),
-            calm: Span::seconds(25),
+            span: Milliseconds::seconds(30),
+            calm: Milliseconds::seconds(25),
             routers: None,
             faults: 8,
             kinds: vec![],
             requests_a_second: 25,
-            operators_gap: Span(300),
+            operators_gap: Milliseconds(300),
             answer_loss: 3,
             large_plans: 3,
             btb: serde_json::json!({}),
--- a/crates/testbed/src/world/streams.rs
+++ b/crates/testbed/src/world/streams.rs
@@ -6,8 +6,8 @@
 use crate::world::{Mutant, World};
 use loadgen::print_of;
 use router::RunPiece;
-use router::{ChartInput, Passed, PieceReader, resume_id};
-use types::{Moment, RequestId, RunId};
+use router::{ChunkReader, Passed, RequestInput, resume_id};
+use types::{MonotonicInstant, RequestId, RunId};
 
 /// A stream as it stands, on its client's side and on its router's.
 pub(super) struct SimStream {
@@ -15,7 +15,7 @@
     run: RunId,
     /// The next piece that the client wants.
     next: u64,
-    reader: PieceReader,
+    reader: ChunkReader,
     /// Pieces that the router has read from the server.
     read: u64,
     resumes: u32,
@@ -25,7 +25,7 @@
 
 impl SimStream {
     pub(super) fn new(token: Option<String>, run: RunId) -> Self {
-        let reader = PieceReader::new(run.clone(), 0);
+        let reader = ChunkReader::new(run.clone(), 0);
         SimStream {
             token,
             run,
@@ -48,7 +48,7 @@
             return;
         };
         let router = &self.routers[request.router];
-        if router.life != request.life {
+        if router.incarnation != request.incarnation {
             return;
         }
         if self.now < router.frozen_until {
@@ -59,7 +59,7 @@
             return;
         };
         let s = &self.servers[server];
-        let progress = s.schedule.progress(&run, Moment(self.now));
+        let progress = s.schedule.progress(&run, MonotonicInstant(self.now));
         let is_lost = !s.is_up || s.is_dark || s.incarnation != request.server_life;
         let (Some(Progress::Pieces(there, _) | Progress::All(there)), false) = (progress, is_lost)
         else {
@@ -88,7 +88,7 @@
             }
         }
         if let Some(Progress::Pieces(_, next)) = progress {
-            let wait = Moment(self.now).until(next).0.clamp(5, 200);
+            let wait = MonotonicInstant(self.now).until(next).0.clamp(5, 200);
             self.put(wait, Happening::Watch { request: id });
         }
     }
@@ -186,7 +186,7 @@
             }
             None => {
                 self.ended(id, Outcome::Complete);
-                self.carried(id, ChartInput::Finish);
+                self.carried(id, RequestInput::Finish);
             }
         }
         false
@@ -207,7 +207,7 @@
             .as_ref()
             .is_some_and(|stream| stream.resumed_as.is_none())
         {
-            self.carried(id, ChartInput::Give);
+            self.carried(id, RequestInput::Give);
         }
     }
 
@@ -216,8 +216,8 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (machine, life) = (request.router, request.life);
-        if self.routers[machine].life == life {
+        let (machine, incarnation) = (request.router, request.incarnation);
+        if self.routers[machine].incarnation == incarnation {
             self.step_node(
                 machine,
                 NodeInput::Close {
@@ -242,7 +242,7 @@
             }
             None => {
                 self.ended(id, Outcome::Failed);
-                self.carried(id, ChartInput::Break);
+                self.carried(id, RequestInput::Break);
             }
         }
     }
@@ -286,7 +286,7 @@
             return;
         };
         let router = &self.routers[machine];
-        let life = router.life;
+        let incarnation = router.incarnation;
         if router.node.is_none() || self.now < router.frozen_until || router.is_cut_off {
             self.read_on(&id, "broken");
             return;
@@ -306,7 +306,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        (request.router, request.life) = (machine, life);
+        (request.router, request.incarnation) = (machine, incarnation);
         let server = self
             .servers
             .iter()
@@ -314,7 +314,7 @@
         let has_run = |place: usize| {
             self.servers[place]
                 .schedule
-                .progress(&token.run, Moment(self.now))
+                .progress(&token.run, MonotonicInstant(self.now))
                 .is_some()
         };
         let Some(server) = server.filter(|place| has_run(*place)) else {
@@ -327,7 +327,7 @@
         request.run = Some((server, token.run.clone()));
         if let Some(stream) = &mut request.stream {
             let from = if is_again { 0 } else { stream.next };
-            stream.reader = PieceReader::new(token.run, from);
+            stream.reader = ChunkReader::new(token.run, from);
             (stream.read, stream.resumed_as) = (from, Some(number));
         }
         self.witness.resumed += 1;
--- a/crates/testbed/src/world/tenants.rs
+++ b/crates/testbed/src/world/tenants.rs
@@ -6,11 +6,11 @@
 use config::KeyDigest;
 use quota::{Amount, QuotaBounds, QuotaLimit};
 use router::Access;
-use types::{RequestId, Span};
+use types::{Milliseconds, RequestId};
 
 /// By how much quotas may be exceeded here.
 pub(super) const QUOTA_BOUNDS: QuotaBounds = QuotaBounds {
-    window: Span(8000),
+    window: Milliseconds(8000),
     excess_percent: 10,
     tolerance: 4,
 };
@@ -99,8 +99,8 @@
     }
 
     /// For the mutants: grants that are worth twice as much, and a tail that waits for nobody.
-    pub(super) fn spoil_grant(&self, letter: &mut Letter) {
-        let Letter::CreditGrant { grant } = letter else {
+    pub(super) fn spoil_grant(&self, message: &mut Message) {
+        let Message::CreditGrant { grant } = message else {
             return;
         };
         match self.rules.mutant {
@@ -110,7 +110,7 @@
                     .iter_mut()
                     .for_each(|entry| entry.granted = entry.granted.plus(entry.granted));
             }
-            Some(Mutant::ForgetCredit) => grant.life = QUOTA_BOUNDS.credit_life(),
+            Some(Mutant::ForgetCredit) => grant.incarnation = QUOTA_BOUNDS.credit_life(),
             _ => {}
         }
     }
@@ -120,7 +120,7 @@
         match self.rules.mutant {
             // Credit is out for longer than the tail thinks.
             Some(Mutant::ForgetCredit) => QuotaBounds {
-                window: Span(200),
+                window: Milliseconds(200),
                 tolerance: 60,
                 ..QUOTA_BOUNDS
             },
--- a/crates/testbed/src/world/tests.rs
+++ b/crates/testbed/src/world/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::crew::Deployment;
+use crate::process_group::Deployment;
 use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
-use types::{ResultCode, Span};
+use types::{Milliseconds, ResultCode};
 use yare::parameterized;
 
 /// A short run of this seed; prints how to play it again where it fails.
@@ -34,7 +34,7 @@
 fn without_faults_all_goes_well() {
     let rules = WorldRules {
         faults: 0,
-        span: Span::seconds(10),
+        span: Milliseconds::seconds(10),
         ..WorldRules::new(Deployment::Pahana, 1)
     };
     let witness = play(rules);
@@ -229,8 +229,8 @@
 fn a_seed_gives_the_same_run() {
     let run = || {
         let rules = WorldRules {
-            span: Span::seconds(12),
-            calm: Span::seconds(14),
+            span: Milliseconds::seconds(12),
+            calm: Milliseconds::seconds(14),
             ..WorldRules::new(Deployment::Valodu, 5)
         };
         World::new(rules).run().trace
@@ -276,7 +276,7 @@
         faults,
         kinds: kinds.to_vec(),
         requests_a_second,
-        suspect: suspect.map(Span),
+        suspect: suspect.map(Milliseconds),
         mutant,
         quorum,
         ..WorldRules::new(Deployment::Pahana, seed)
--- a/crates/testbed/src/world/touch.rs
+++ b/crates/testbed/src/world/touch.rs
@@ -1,7 +1,7 @@
 //! Whom a router was in touch with, judged by the letters that reached it: its leases, and who knew more.
 
 use super::*;
-use wire::PollResponse;
+use wire::LeaseResponse;
 
 /// Whoever told it of more, and is out of reach for this long, stops it no more.
 const TOLD_FOR: u64 = 3000;
@@ -22,21 +22,21 @@
 
 impl Touch {
     /// The router sends a letter.
-    pub fn sent(&mut self, now: u64, letter: &Letter) {
-        if let Letter::Poll { poll } = letter {
+    pub fn sent(&mut self, now: u64, message: &Message) {
+        if let Message::LeaseRequest { poll } = message {
             self.polls.retain(|_, at| *at + 10_000 > now);
             self.polls.insert(poll.round, now);
         }
     }
     /// A letter reaches the router, awake.
-    pub fn got(&mut self, now: u64, letter: &Letter) {
-        let epoch = match letter {
-            Letter::News { news } => news.epoch,
-            Letter::PeerCheckRequest { epoch, .. } | Letter::PeerCheckResponse { epoch, .. } => {
+    pub fn got(&mut self, now: u64, message: &Message) {
+        let epoch = match message {
+            Message::ConfigUpdate { update } => update.epoch,
+            Message::PeerCheckRequest { epoch, .. } | Message::PeerCheckResponse { epoch, .. } => {
                 *epoch
             }
-            Letter::PollResponse { round, response } => match response.as_ref() {
-                PollResponse::Lease { span, epoch, .. } => {
+            Message::LeaseResponse { round, response } => match response.as_ref() {
+                LeaseResponse::Lease { span, epoch, .. } => {
                     let asked = self.polls.get(round).copied();
                     if !self.is_leased(now) {
                         self.leased_since = now;
@@ -46,7 +46,7 @@
                         .max(asked.map_or(0, |asked| asked + span.0));
                     *epoch
                 }
-                PollResponse::Elsewhere { .. } => return,
+                LeaseResponse::Elsewhere { .. } => return,
             },
             _ => return,
         };
--- a/crates/testbed/src/world/traffic.rs
+++ b/crates/testbed/src/world/traffic.rs
@@ -3,14 +3,16 @@
 use super::*;
 use crate::schedule::Schedule;
 use crate::world::{Mutant, World};
-use placement::Demand;
+use placement::RequestCost;
 use placement::block_hashes;
 use router::RunRequest;
 use router::{
-    Access, ChartInput, ChartOutput, Denial, Errand, ErrandInput, ErrandOutput, Failure, KvTask,
-    PlaceAsk, Placing, run_id,
+    Access, AttemptInput, AttemptOutput, AttemptSequence, Failure, KvTask, Placement,
+    PlacementRequest, Rejection, RequestInput, RequestOutput, run_id,
+};
+use types::{
+    Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, RunId, ServerName,
 };
-use types::{Address, Epoch, Moment, RequestId, ResultCode, RunId, ServerName, Span};
 
 impl World {
     pub(super) fn on_arrival(&mut self) {
@@ -50,7 +52,7 @@
             Ok(owner) => owner,
             Err(()) => return self.witness.told(&id, "unauthorized"),
         };
-        let (errand, first) = Errand::begin();
+        let (attempts, first) = AttemptSequence::begin();
         let router = &self.routers[machine];
         let request = SimRequest {
             owner,
@@ -59,14 +61,14 @@
             number,
             service: service.into(),
             router: machine,
-            life: router.life,
-            errand,
+            incarnation: router.incarnation,
+            attempts,
             prompt,
             asked: None,
             run: None,
             server_life: 0,
             had_first: false,
-            epoch: Epoch(0),
+            epoch: ConfigEpoch(0),
             meant_for: None,
             is_apart: false,
             pieces: if service == "drafts" { 20 } else { 6 },
@@ -78,28 +80,28 @@
     }
 
     /// Moves a request's errand on and does what it wants.
-    fn errand(&mut self, id: &RequestId, input: ErrandInput) {
+    fn attempts(&mut self, id: &RequestId, input: AttemptInput) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let mut output = request.errand.step(input);
+        let mut output = request.attempts.step(input);
         if self.rules.mutant == Some(Mutant::RepeatAnything)
-            && matches!(&output, ErrandOutput::Tell(denial) if denial.code == ResultCode::Unknown)
+            && matches!(&output, AttemptOutput::Tell(rejection) if rejection.code == ResultCode::Unknown)
         {
-            (request.errand, output) = Errand::begin();
+            (request.attempts, output) = AttemptSequence::begin();
         }
         self.on_errand(id, output);
     }
 
-    fn on_errand(&mut self, id: &RequestId, output: ErrandOutput) {
+    fn on_errand(&mut self, id: &RequestId, output: AttemptOutput) {
         match output {
-            ErrandOutput::AskScheduler {
+            AttemptOutput::AskScheduler {
                 round,
                 tried,
                 may_have_run,
             } => self.ask_scheduler(id, round, tried, may_have_run),
-            ErrandOutput::AskServer(placing) => self.ask_server(id, placing),
-            ErrandOutput::Carry(placing) => {
+            AttemptOutput::AskServer(placing) => self.ask_server(id, placing),
+            AttemptOutput::Carry(placing) => {
                 if let Some(request) = self
                     .requests
                     .get_mut(id)
@@ -109,11 +111,11 @@
                 }
             }
             // No errand of the simulator's is told of a torn stream.
-            ErrandOutput::Cut(_) => {}
-            ErrandOutput::Tell(denial) => {
+            AttemptOutput::Cut(_) => {}
+            AttemptOutput::Tell(rejection) => {
                 self.close(
                     id,
-                    if denial.code.is_refusal() {
+                    if rejection.code.is_refusal() {
                         "refused"
                     } else {
                         "unknown"
@@ -124,26 +126,26 @@
     }
 
     /// What the answer that a server gives does to the request's chart.
-    pub(super) fn carried(&mut self, id: &RequestId, input: ChartInput) {
+    pub(super) fn carried(&mut self, id: &RequestId, input: RequestInput) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        match request.errand.carried(input) {
-            ChartOutput::Tell(ResultCode::Complete) => self.close(id, "complete"),
-            ChartOutput::Tell(_) => self.close(id, "unknown"),
-            ChartOutput::Cut => self.close(id, "broken"),
-            ChartOutput::AskScheduler
-            | ChartOutput::AskServer
-            | ChartOutput::Carry
-            | ChartOutput::Rest => {}
+        match request.attempts.carried(input) {
+            RequestOutput::Tell(ResultCode::Complete) => self.close(id, "complete"),
+            RequestOutput::Tell(_) => self.close(id, "unknown"),
+            RequestOutput::Cut => self.close(id, "broken"),
+            RequestOutput::AskScheduler
+            | RequestOutput::AskServer
+            | RequestOutput::Carry
+            | RequestOutput::Rest => {}
         }
     }
 
     pub(super) fn close(&mut self, id: &RequestId, word: &'static str) {
         if let Some(request) = self.requests.get(id)
-            && self.routers[request.router].life == request.life
+            && self.routers[request.router].incarnation == request.incarnation
         {
-            let may_have_run = request.errand.chart().may_have_run();
+            let may_have_run = request.attempts.request_state().may_have_run();
             let close = NodeInput::Close {
                 request: id.clone(),
                 number: request.number,
@@ -182,7 +184,7 @@
         if let Some((server, run)) = run {
             self.servers[server]
                 .schedule
-                .abandon(&run, Moment(self.now));
+                .abandon(&run, MonotonicInstant(self.now));
         }
     }
 
@@ -211,8 +213,8 @@
         };
         let run = run_id((u128::from(self.draw()) << 64 | u128::from(self.draw())).to_be_bytes());
         let request = id.clone();
-        let (route, demand) = (None, Demand::default());
-        let place = NodeInput::Place(PlaceAsk {
+        let (route, demand) = (None, RequestCost::default());
+        let place = NodeInput::Place(PlacementRequest {
             number,
             request,
             service,
@@ -241,24 +243,24 @@
             return;
         }
         let why = "the node gave no answer".to_owned();
-        let silence = Denial {
+        let silence = Rejection {
             code: ResultCode::Busy,
             why,
-            retry_after: Span(1000),
+            retry_after: Milliseconds(1000),
         };
-        self.errand(id, ErrandInput::Scheduler(outcome.unwrap_or(Err(silence))));
+        self.attempts(id, AttemptInput::Scheduler(outcome.unwrap_or(Err(silence))));
     }
 
     /// The node tells what became of a request that waited.
     pub(super) fn on_placed(
         &mut self,
         machine: usize,
-        life: u64,
+        incarnation: u64,
         number: u64,
-        outcome: Result<Placing, Denial>,
+        outcome: Result<Placement, Rejection>,
     ) {
         let is_it = |request: &SimRequest| {
-            (request.router, request.life, request.number) == (machine, life, number)
+            (request.router, request.incarnation, request.number) == (machine, incarnation, number)
         };
         let found = self
             .requests
@@ -266,11 +268,11 @@
             .find(|(_, request)| is_it(request))
             .map(|(id, _)| id.clone());
         if let Some(id) = found {
-            self.errand(&id, ErrandInput::Scheduler(outcome));
+            self.attempts(&id, AttemptInput::Scheduler(outcome));
         }
     }
 
-    fn ask_server(&mut self, id: &RequestId, placing: Placing) {
+    fn ask_server(&mut self, id: &RequestId, placing: Placement) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -284,7 +286,7 @@
         request.keep = placing.token.is_some();
         request.epoch = placing.epoch;
         request.access = placing.access;
-        request.meant_for = placing.life;
+        request.meant_for = placing.incarnation;
         request.asked = Some(placing.server);
         let machine = request.router;
         if !self.may_act(machine) {
@@ -330,7 +332,7 @@
                 .is_some_and(|node| node.epoch() > epoch)
             {
                 self.ended(&id, Outcome::Refused);
-                return self.errand(&id, ErrandInput::Supersede);
+                return self.attempts(&id, AttemptInput::Supersede);
             }
         }
         let m = &self.routers[machine];
@@ -352,22 +354,22 @@
 
     fn may_act(&self, machine: usize) -> bool {
         let m = &self.routers[machine];
-        let now = Moment(self.now + m.offset);
+        let now = MonotonicInstant(self.now + m.offset);
         // What the control thread last said, as carriers see it: it says nothing while it's frozen.
         m.node.is_some() && now < m.may_act_until
     }
 
     fn withhold(&mut self, id: &RequestId) {
         self.ended(id, Outcome::Refused);
-        self.errand(id, ErrandInput::LoseLease);
+        self.attempts(id, AttemptInput::LoseLease);
     }
 
     pub(super) fn ended(&mut self, id: &RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (machine, life) = (request.router, request.life);
-        if self.routers[machine].life == life {
+        let (machine, incarnation) = (request.router, request.incarnation);
+        if self.routers[machine].incarnation == incarnation {
             self.step_node(
                 machine,
                 NodeInput::Event(SchedulerEvent::Ended {
@@ -415,10 +417,10 @@
             return;
         }
         let (keep, pieces) = (request.keep, request.pieces as u32);
-        let life = request
+        let incarnation = request
             .meant_for
             .filter(|_| self.rules.mutant != Some(Mutant::IgnoreLives));
-        if life.is_some_and(|life| life != s.incarnation) {
+        if incarnation.is_some_and(|incarnation| incarnation != s.incarnation) {
             let server = s.name.clone();
             return self.put(
                 2,
@@ -434,10 +436,10 @@
             prompt,
             max_pieces: pieces,
             keep,
-            life,
+            incarnation,
         };
-        let is_taken =
-            service.as_str() == "pages" || s.schedule.take(&run_request, Moment(self.now));
+        let is_taken = service.as_str() == "pages"
+            || s.schedule.take(&run_request, MonotonicInstant(self.now));
         if !is_taken {
             self.put(
                 2,
@@ -448,8 +450,8 @@
             );
             return;
         }
-        let (running, waiting) = s.schedule.load(Moment(self.now));
-        let life = s.incarnation;
+        let (running, waiting) = s.schedule.load(MonotonicInstant(self.now));
+        let incarnation = s.incarnation;
         self.judge_tenant(&id);
         self.witness.run(
             self.now,
@@ -461,7 +463,7 @@
         );
         if let Some(request) = self.requests.get_mut(&id) {
             request.run = Some((server, run));
-            request.server_life = life;
+            request.server_life = incarnation;
         }
         self.put(
             2,
@@ -477,7 +479,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let (machine, life) = (request.router, request.life);
+        let (machine, incarnation) = (request.router, request.incarnation);
         if self.now < self.routers[machine].frozen_until {
             let wake = self.routers[machine].frozen_until - self.now;
             return self.put(
@@ -489,15 +491,15 @@
             );
         }
         self.ended(&id, Outcome::Refused);
-        if self.routers[machine].life == life {
+        if self.routers[machine].incarnation == incarnation {
             self.step_node(
                 machine,
                 NodeInput::Event(SchedulerEvent::Unreachable { server }),
             );
         }
-        self.errand(
+        self.attempts(
             &id,
-            ErrandInput::Fail(Failure::Refused, "it has another life".into()),
+            AttemptInput::Fail(Failure::Refused, "it has another life".into()),
         );
     }
 
@@ -519,17 +521,17 @@
         match failure {
             None => {
                 let is_fetch = request.service.as_str() == "pages";
-                self.errand(&id, ErrandInput::Open);
+                self.attempts(&id, AttemptInput::Open);
                 if is_fetch {
                     self.ended(&id, Outcome::Complete);
-                    self.carried(&id, ChartInput::Finish);
+                    self.carried(&id, RequestInput::Finish);
                 } else {
                     self.put(10, Happening::Watch { request: id });
                 }
             }
             Some(failure) => {
                 self.ended(&id, failure.outcome());
-                self.errand(&id, ErrandInput::Fail(failure, "as simulated".into()));
+                self.attempts(&id, AttemptInput::Fail(failure, "as simulated".into()));
             }
         }
     }
@@ -538,13 +540,13 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (machine, life) = (request.router, request.life);
+        let (machine, incarnation) = (request.router, request.incarnation);
         self.witness
             .first_ms
             .entry(request.service.clone())
             .or_default()
             .push(self.now - request.came);
-        if self.routers[machine].life == life {
+        if self.routers[machine].incarnation == incarnation {
             self.step_node(
                 machine,
                 NodeInput::Event(SchedulerEvent::FirstToken {
@@ -555,7 +557,7 @@
     }
 
     pub(super) fn on_kv(&mut self, machine: usize, task: KvTask) {
-        let now = Moment(self.now);
+        let now = MonotonicInstant(self.now);
         let find = |servers: &[ServerMachine], name: &ServerName| {
             servers
                 .iter()
@@ -610,7 +612,7 @@
         s.is_up = true;
         s.is_dark = false;
         s.is_listed = true;
-        s.leaving_since = None;
+        s.draining_since = None;
         self.publish();
     }
 }
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -4,23 +4,25 @@
 use loadgen::{Asked, Campaign, CampaignRules, Fate, Mix, PlannedRequest, Report, ask};
 use std::sync::{Arc, Mutex, MutexGuard};
 use testbed::{
-    Crew, Daemon, Deployment, Fleet, FleetOptions, ScheduleRules, Strike, join_logs, plan_of,
+    Daemon, Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, Strike, join_logs,
+    plan_of,
 };
-use types::{Address, Clock, Moment, ResultCode, Span};
+use types::{Address, Clock, Milliseconds, MonotonicInstant, ResultCode};
 
-const PATIENCE: Span = Span::seconds(30);
+const PATIENCE: Milliseconds = Milliseconds::seconds(30);
 
 /// One fleet at a time: a dozen processes and their load are enough for one machine.
 static MACHINE: Mutex<()> = Mutex::new(());
 
 /// A fleet that serves, with its crew and its plan, and the machine for itself.
-fn serving(deployment: Deployment) -> (Crew, Fleet, MutexGuard<'static, ()>) {
+fn serving(deployment: Deployment) -> (ProcessGroup, Fleet, MutexGuard<'static, ()>) {
     let machine = MACHINE.lock().unwrap_or_else(|failed| failed.into_inner());
     let shape = deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
+    let process_group =
+        ProcessGroup::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
     let fleet = Fleet::start(
         &shape,
-        crew.platform.address,
+        process_group.platform.address,
         None,
         &FleetOptions::default(),
     )
@@ -30,18 +32,18 @@
         .put_plan("first", 0, &plan_of(deployment, true))
         .expect("the plan is accepted");
     fleet.await_routers(PATIENCE).expect("routers are ready");
-    (crew, fleet, machine)
+    (process_group, fleet, machine)
 }
 
 /// Loads the fleet from a thread of its own while `meanwhile` does something to it.
 fn under_load(
     deployment: Deployment,
     fleet: &mut Fleet,
-    crew: &Crew,
+    process_group: &ProcessGroup,
     seconds: u64,
     meanwhile: impl FnOnce(&mut Fleet),
 ) -> Report {
-    let span = Span::seconds(seconds);
+    let span = Milliseconds::seconds(seconds);
     let rules = CampaignRules {
         routers: fleet.clients_addresses(),
         span,
@@ -58,7 +60,7 @@
     join_logs(
         &mut report,
         &asked,
-        &crew.logs(),
+        &process_group.logs(),
         &plan_of(deployment, true),
     );
     assert_eq!(report.violations, Vec::<String>::new(), "{report}");
@@ -94,8 +96,8 @@
 #[test]
 fn planned_restarts_and_plan_changes_drop_no_stream() {
     let deployment = Deployment::Pahana;
-    let (crew, mut fleet, _machine) = serving(deployment);
-    let report = under_load(deployment, &mut fleet, &crew, 60, |fleet| {
+    let (process_group, mut fleet, _machine) = serving(deployment);
+    let report = under_load(deployment, &mut fleet, &process_group, 60, |fleet| {
         let mut epoch = 0;
         for place in 0..fleet.routers.len() {
             let router = &mut fleet.routers[place];
@@ -160,7 +162,7 @@
 #[test]
 fn streams_go_on_through_another_router_where_they_stopped_when_one_is_killed() {
     let deployment = Deployment::Pahana;
-    let (crew, mut fleet, _machine) = serving(deployment);
+    let (process_group, mut fleet, _machine) = serving(deployment);
     let routers = fleet.clients_addresses();
     let knows_servers = |fleet: &Fleet| {
         let servers = fleet.routers[0].believes()["servers"].clone();
@@ -204,7 +206,7 @@
         asked.iter().all(|one| one.resumed > 0),
         "the streams were over before the router was killed"
     );
-    assert_eq!(crew.logs().len(), 6, "nothing ran twice");
+    assert_eq!(process_group.logs().len(), 6, "nothing ran twice");
 }
 
 #[test]
@@ -327,12 +329,12 @@
 #[test]
 fn frozen_machines_wake_into_a_fleet_that_went_on_and_do_no_harm() {
     let deployment = Deployment::Pahana;
-    let (crew, mut fleet, _machine) = serving(deployment);
+    let (process_group, mut fleet, _machine) = serving(deployment);
     fleet
         .await_settled_membership(PATIENCE)
         .expect("the membership is settled");
     let zone = fleet.routers[2].zone.clone();
-    under_load(deployment, &mut fleet, &crew, 30, |fleet| {
+    under_load(deployment, &mut fleet, &process_group, 30, |fleet| {
         // A router and the tail sleep while the router's zone is withdrawn.
         fleet.routers[0].freeze();
         let is_tail = |d: &&Daemon| d.believes()["may_respond"] == true;
@@ -367,16 +369,16 @@
             .await_core(PATIENCE)
             .expect("the old tail is back in the chain");
         // Time for new work to show up where it must not.
-        let deadline = told + Span::seconds(7);
-        Fleet::await_that(Span::seconds(8), "seven seconds", || {
+        let deadline = told + Milliseconds::seconds(7);
+        Fleet::await_that(Milliseconds::seconds(8), "seven seconds", || {
             Clock::now() >= deadline
         })
         .expect("time goes by");
-        let late: Vec<Moment> = (0..crew.models.len())
+        let late: Vec<MonotonicInstant> = (0..process_group.models.len())
             .filter(|place| deployment.shape().zones[place % 3] == zone)
-            .flat_map(|place| crew.models[place].log())
+            .flat_map(|place| process_group.models[place].log())
             .map(|log| log.at)
-            .filter(|at| *at > told + Span::seconds(5))
+            .filter(|at| *at > told + Milliseconds::seconds(5))
             .collect();
         assert_eq!(late, vec![], "new work in a withdrawn zone");
     });
@@ -410,7 +412,7 @@
             .expect("a response");
         assert_eq!(status, 200);
         assert!(
-            Clock::now().since(began) < Span::seconds(5),
+            Clock::now().since(began) < Milliseconds::seconds(5),
             "the withdrawal waited for the plan"
         );
         putting.join().expect("it ends")
@@ -435,7 +437,7 @@
             chain.len() == 4
                 && chain
                     .iter()
-                    .any(|seat| seat["address"] == own && seat["is_level"] == true)
+                    .any(|position| position["address"] == own && position["is_level"] == true)
         })
     };
     Fleet::await_that(PATIENCE, "the newcomer sits in the chain, level", is_seated)
@@ -542,8 +544,8 @@
 #[test]
 fn a_brownout_makes_few_repeats_and_dark_servers_are_left_alone() {
     let deployment = Deployment::Pahana;
-    let (crew, mut fleet, _machine) = serving(deployment);
-    for (place, server) in crew.models.iter().enumerate() {
+    let (process_group, mut fleet, _machine) = serving(deployment);
+    for (place, server) in process_group.models.iter().enumerate() {
         match place {
             0..2 => server.strike(Strike {
                 is_dark: true,
@@ -556,12 +558,12 @@
             _ => {}
         }
     }
-    let report = under_load(deployment, &mut fleet, &crew, 8, |_| {
+    let report = under_load(deployment, &mut fleet, &process_group, 8, |_| {
         std::thread::sleep(std::time::Duration::from_secs(8));
     });
     let questions = &report.services["questions"];
     // As the servers count: every ask, those refused and never answered included.
-    for (service, (asks, requests)) in crew.asks() {
+    for (service, (asks, requests)) in process_group.asks() {
         assert!(
             (asks - requests) * 5 <= requests + 5 * 10,
             "{service}: {asks} asks for {requests} requests: {report}"
@@ -569,7 +571,7 @@
     }
     assert!(questions.complete > 0, "{report}");
     let suspected = |place: usize| {
-        let name = crew.models[place].name().0;
+        let name = process_group.models[place].name().0;
         fleet
             .routers
             .iter()
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,26 +1,30 @@
 //! A fleet of real processes on loopback. Needs the workspace to be built: `cargo build --workspace`.
 
 use loadgen::{Asked, Campaign, CampaignRules, Mix, Report};
-use testbed::{Crew, Deployment, Fleet, FleetOptions, ScheduleRules, join_logs, plan_of};
-use types::Span;
+use testbed::{Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, join_logs, plan_of};
+use types::Milliseconds;
 
 /// A fleet that serves, with its crew.
-fn serving(deployment: Deployment, options: &FleetOptions) -> (Crew, Fleet) {
+fn serving(deployment: Deployment, options: &FleetOptions) -> (ProcessGroup, Fleet) {
     let shape = deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
-    let fleet = Fleet::start(&shape, crew.platform.address, None, options).expect("daemons start");
-    fleet.await_core(Span::seconds(30)).expect("the core forms");
+    let process_group =
+        ProcessGroup::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
+    let fleet =
+        Fleet::start(&shape, process_group.platform.address, None, options).expect("daemons start");
+    fleet
+        .await_core(Milliseconds::seconds(30))
+        .expect("the core forms");
     fleet
         .put_plan("first", 0, &plan_of(deployment, true))
         .expect("the plan is accepted");
     fleet
-        .await_routers(Span::seconds(30))
+        .await_routers(Milliseconds::seconds(30))
         .expect("routers are ready");
-    (crew, fleet)
+    (process_group, fleet)
 }
 
 fn load(fleet: &Fleet, deployment: Deployment, seconds: u64, seed: u64) -> (Vec<Asked>, u64) {
-    let span = Span::seconds(seconds);
+    let span = Milliseconds::seconds(seconds);
     let rules = CampaignRules {
         routers: fleet.clients_addresses(),
         span,
@@ -33,13 +37,13 @@
 #[test]
 fn a_whole_fleet_serves_and_stops() {
     let deployment = Deployment::Valodu;
-    let (crew, mut fleet) = serving(deployment, &FleetOptions::default());
+    let (process_group, mut fleet) = serving(deployment, &FleetOptions::default());
     let (asked, late) = load(&fleet, deployment, 4, 11);
     let mut report = Report::of(&asked, late);
     join_logs(
         &mut report,
         &asked,
-        &crew.logs(),
+        &process_group.logs(),
         &plan_of(deployment, true),
     );
     assert_eq!(report.violations, Vec::<String>::new());
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -7,8 +7,8 @@
 
 use serde_json::Value;
 use std::collections::BTreeSet;
-use testbed::{Crew, Daemon, Deployment, Fleet, FleetOptions, ScheduleRules, plan_of};
-use types::Span;
+use testbed::{Daemon, Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, plan_of};
+use types::Milliseconds;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_testbed");
 
@@ -24,7 +24,7 @@
     assert_eq!(code(&["--version"]), Some(0));
 }
 
-const PATIENCE: Span = Span::seconds(30);
+const PATIENCE: Milliseconds = Milliseconds::seconds(30);
 
 /// The keys of a JSON value, each with those above it; keys that are addresses or names of servers are one.
 fn keys(value: &Value, path: &str, found: &mut BTreeSet<String>) {
@@ -73,8 +73,9 @@
 fn daemons_show_operators_the_golden_keys_and_metrics() {
     let deployment = Deployment::Pahana;
     let shape = deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
-    let platform = crew.platform.address;
+    let process_group =
+        ProcessGroup::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
+    let platform = process_group.platform.address;
     let fleet =
         Fleet::start(&shape, platform, None, &FleetOptions::default()).expect("daemons start");
     fleet.await_core(PATIENCE).expect("the core forms");
--- a/crates/testbed/tests/interfaces.rs
+++ b/crates/testbed/tests/interfaces.rs
@@ -4,11 +4,11 @@
 use loadgen::{Fate, PlannedRequest, ask};
 use serde_json::Value;
 use std::process::Command;
-use testbed::{Crew, Deployment, Fleet, FleetOptions, ScheduleRules, Strike, plan_of};
-use transport::{ask_post, read_all};
-use types::{Address, RunId, ServerName, Span, TokenKey};
+use testbed::{Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, Strike, plan_of};
+use transport::{http_post, read_all};
+use types::{Address, Milliseconds, RunId, ServerName, TokenKey};
 
-const PATIENCE: Span = Span::seconds(30);
+const PATIENCE: Milliseconds = Milliseconds::seconds(30);
 
 fn json(response: Result<(u16, Vec<u8>), String>) -> (u16, Value) {
     let (status, body) = response.expect("a response");
@@ -23,10 +23,11 @@
 fn operators_and_clients_are_told_what_became_of_each_thing() {
     let deployment = Deployment::Pahana;
     let shape = deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
+    let process_group =
+        ProcessGroup::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
     let fleet = Fleet::start(
         &shape,
-        crew.platform.address,
+        process_group.platform.address,
         None,
         &FleetOptions::default(),
     )
@@ -230,7 +231,7 @@
 
 /// What a router says to a body: status, when to come back, JSON lines.
 fn say(router: Address, path: &str, body: &Value) -> (u16, Option<u64>, Vec<Value>) {
-    let heard = ask_post(
+    let heard = http_post(
         &format!("http://{router}{path}"),
         body.to_string().into_bytes(),
         PATIENCE,
@@ -257,10 +258,11 @@
 fn a_token_is_good_for_its_own_run_alone_and_a_run_out_of_reach_is_not_lost() {
     let deployment = Deployment::Valodu;
     let shape = deployment.shape();
-    let crew = Crew::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
+    let process_group =
+        ProcessGroup::start(&shape, &ScheduleRules::default()).expect("stand-ins start");
     let mut fleet = Fleet::start(
         &shape,
-        crew.platform.address,
+        process_group.platform.address,
         None,
         &FleetOptions::default(),
     )
@@ -347,7 +349,7 @@
         })
     };
     let long = serde_json::json!({"id": "long", "service": "reviews", "prompt": "long", "max_pieces": 400});
-    let heard = ask_post(
+    let heard = http_post(
         &format!("http://{}/v1/requests", routers[0]),
         long.to_string().into_bytes(),
         PATIENCE,
@@ -378,7 +380,7 @@
     };
     Fleet::await_that(PATIENCE, "a restarted router reads on", is_read).expect("it does");
     // Its server out of reach: come back. Its server there without the run: gone for good.
-    let holder = crew
+    let holder = process_group
         .models
         .iter()
         .find(|server| server.has_run(&forged.run))
@@ -397,7 +399,7 @@
     holder.forget_runs();
     let (status, back, lines) = resume(router_2, token, 0);
     assert_eq!((status, back, &lines[0]["code"]), (410, None, &202.into()));
-    assert_eq!(crew.logs().len(), 3, "nothing ran twice");
+    assert_eq!(process_group.logs().len(), 3, "nothing ran twice");
 }
 
 #[test]
--- a/crates/testbed/tests/lives.rs
+++ b/crates/testbed/tests/lives.rs
@@ -3,7 +3,7 @@
 use router::{LIFE_HEADER, RunRequest};
 use testbed::{ScheduleRules, StandIn};
 use transport::{Ask, read_all};
-use types::{Address, RunId, ServiceName, Span};
+use types::{Address, Milliseconds, RunId, ServiceName};
 use yare::parameterized;
 
 #[parameterized(
@@ -11,10 +11,13 @@
     of_a_former_one = { Some(6), 409 },
     of_whichever_there_is = { None, 200 },
 )]
-fn a_run_or_a_page_meant_for_another_life_is_refused_unrun(life: Option<u64>, expected: u16) {
+fn a_run_or_a_page_meant_for_another_life_is_refused_unrun(
+    incarnation: Option<u64>,
+    expected: u16,
+) {
     let rules = ScheduleRules::default();
-    let server =
-        StandIn::start(Address::loopback(0), rules, 7, Span::seconds(60)).expect("it starts");
+    let server = StandIn::start(Address::loopback(0), rules, 7, Milliseconds::seconds(60))
+        .expect("it starts");
     let (run, service) = (RunId::from("r1"), ServiceName::from("drafts"));
     let request = RunRequest {
         run: run.clone(),
@@ -22,7 +25,7 @@
         prompt: "a".into(),
         max_pieces: 1,
         keep: false,
-        life,
+        incarnation,
     };
     let body = serde_json::to_vec(&request).expect("a run request is JSON");
     let told = Ask::post(body)
@@ -35,9 +38,11 @@
         assert_eq!(told, serde_json::json!({"ran": false, "incarnation": 7}));
     }
     assert_eq!(server.has_run(&run), expected == 200);
-    let page = life.into_iter().fold(Ask::get(), |ask, life| {
-        ask.header(LIFE_HEADER, life.to_string())
-    });
+    let page = incarnation
+        .into_iter()
+        .fold(Ask::get(), |ask, incarnation| {
+            ask.header(LIFE_HEADER, incarnation.to_string())
+        });
     let told = page
         .send(&format!("http://{}/pages/a", server.address))
         .expect("an answer");
--- a/crates/transport/src/ask.rs
+++ b/crates/transport/src/ask.rs
@@ -3,11 +3,11 @@
 use std::io::{self, Read, Write};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
-use types::Span;
+use types::Milliseconds;
 
 /// Why an asked server gave no head.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum HttpClientError {
     /// The connection was never made, so no byte of the request left.
     #[error("no connection: {0}")]
     Unsent(String),
@@ -20,13 +20,13 @@
 }
 
 /// How we ask: no redirects, no proxies from the environment, bounded waits.
-pub trait AskExt: Sized {
+pub trait HttpRequestExt: Sized {
     /// Sets those.
-    fn plainly(self, connect: Span, read: Span) -> Self;
+    fn plainly(self, connect: Milliseconds, read: Milliseconds) -> Self;
 }
 
-impl<B> AskExt for RequestBuilder<B> {
-    fn plainly(self, connect: Span, read: Span) -> Self {
+impl<B> HttpRequestExt for RequestBuilder<B> {
+    fn plainly(self, connect: Milliseconds, read: Milliseconds) -> Self {
         self.follow_redirects(false)
             .proxy_settings(ProxySettings::builder().build())
             .connect_timeout(connect.duration())
@@ -122,8 +122,8 @@
     method: http::Method,
     json: Vec<u8>,
     headers: Vec<(&'static str, String)>,
-    connect: Span,
-    read: Span,
+    connect: Milliseconds,
+    read: Milliseconds,
     may_leave: Box<dyn Fn() -> bool + Send>,
 }
 
@@ -133,8 +133,8 @@
             method,
             json,
             headers: vec![],
-            connect: Span(1000),
-            read: Span(1000),
+            connect: Milliseconds(1000),
+            read: Milliseconds(1000),
             may_leave: Box::new(|| true),
         }
     }
@@ -152,12 +152,12 @@
         self
     }
     /// Waits for the connection this long.
-    pub fn connect(mut self, span: Span) -> Self {
+    pub fn connect(mut self, span: Milliseconds) -> Self {
         self.connect = span;
         self
     }
     /// Waits for the head, and for each part of the body, this long.
-    pub fn read(mut self, span: Span) -> Self {
+    pub fn read(mut self, span: Milliseconds) -> Self {
         self.read = span;
         self
     }
@@ -167,12 +167,12 @@
         self
     }
     /// Sends it; gives the head as soon as it comes, the body to be read on.
-    pub fn send(self, url: &str) -> Result<Heard, AskError> {
+    pub fn send(self, url: &str) -> Result<Heard, HttpClientError> {
         if !(self.may_leave)() {
-            return Err(AskError::Withheld);
+            return Err(HttpClientError::Withheld);
         }
         let state = Arc::new(AtomicU8::new(Marked::UNASKED));
-        let unsent = |fault: attohttpc::Error| AskError::Unsent(fault.to_string());
+        let unsent = |fault: attohttpc::Error| HttpClientError::Unsent(fault.to_string());
         let mut builder = attohttpc::RequestBuilder::try_new(self.method, url).map_err(unsent)?;
         for (name, value) in self.headers {
             builder = builder.try_header(name, value).map_err(unsent)?;
@@ -186,39 +186,52 @@
         outcome
             .map(Heard::new)
             .map_err(|fault| match state.load(Ordering::SeqCst) {
-                Marked::UNASKED => AskError::Unsent(fault.to_string()),
-                Marked::WITHHELD => AskError::Withheld,
-                _ => AskError::Unknown(fault.to_string()),
+                Marked::UNASKED => HttpClientError::Unsent(fault.to_string()),
+                Marked::WITHHELD => HttpClientError::Withheld,
+                _ => HttpClientError::Unknown(fault.to_string()),
             })
     }
 }
 
 /// Posts JSON.
-pub fn ask_post(url: &str, json: Vec<u8>, connect: Span, read: Span) -> Result<Heard, AskError> {
+pub fn http_post(
+    url: &str,
+    json: Vec<u8>,
+    connect: Milliseconds,
+    read: Milliseconds,
+) -> Result<Heard, HttpClientError> {
     Ask::post(json).connect(connect).read(read).send(url)
 }
 
 /// Asks with any method and a JSON body.
-pub fn ask_with(
+pub fn http_request(
     method: &str,
     url: &str,
     json: Vec<u8>,
-    connect: Span,
-    read: Span,
-) -> Result<Heard, AskError> {
+    connect: Milliseconds,
+    read: Milliseconds,
+) -> Result<Heard, HttpClientError> {
     let method = http::Method::from_bytes(method.as_bytes())
-        .map_err(|fault| AskError::Unsent(fault.to_string()))?;
+        .map_err(|fault| HttpClientError::Unsent(fault.to_string()))?;
     Ask::new(method, json).connect(connect).read(read).send(url)
 }
 
 /// Gets a page.
-pub fn ask_get(url: &str, connect: Span, read: Span) -> Result<Heard, AskError> {
+pub fn http_get(
+    url: &str,
+    connect: Milliseconds,
+    read: Milliseconds,
+) -> Result<Heard, HttpClientError> {
     Ask::get().connect(connect).read(read).send(url)
 }
 
 /// Asks to delete something, such as a run.
-pub fn ask_delete(url: &str, connect: Span, read: Span) -> Result<Heard, AskError> {
-    ask_with("DELETE", url, vec![], connect, read)
+pub fn http_delete(
+    url: &str,
+    connect: Milliseconds,
+    read: Milliseconds,
+) -> Result<Heard, HttpClientError> {
+    http_request("DELETE", url, vec![], connect, read)
 }
 
 /// Reads a whole body up to a bound; a body that ends early is a fault.
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -341,7 +341,7 @@
 
 /// Reads a head, given without its last empty line.
 fn read_framing(head: &[u8]) -> Result<Framing, &'static str> {
-    let mut lines = Lines { rest: head };
+    let mut lines = ConnectionPool { rest: head };
     let (target, is_newest) = read_request_line(lines.next().ok_or("no request line")??)?;
     let mut fields = Fields::default();
     for line in lines {
@@ -402,11 +402,11 @@
 }
 
 /// Lines of a head; each ends with CR LF, and neither stands anywhere else.
-struct Lines<'a> {
+struct ConnectionPool<'a> {
     rest: &'a [u8],
 }
 
-impl<'a> Iterator for Lines<'a> {
+impl<'a> Iterator for ConnectionPool<'a> {
     type Item = Result<&'a [u8], &'static str>;
 
     fn next(&mut self) -> Option<Self::Item> {
--- a/crates/transport/src/gate.rs
+++ b/crates/transport/src/http_server.rs
@@ -4,7 +4,7 @@
 mod intake;
 mod state;
 
-pub use self::state::GateLimits;
+pub use self::state::HttpServerLimits;
 
 use self::connection::serve_connection;
 use self::state::GateState;
@@ -16,7 +16,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use types::{Address, Span};
+use types::{Address, Milliseconds};
 
 /// One request over HTTP, read whole.
 pub struct Request {
@@ -86,42 +86,42 @@
 
 /// What a gate takes at most. Those of [`GateLimits`] may be changed while it serves.
 #[derive(Debug, Clone, Copy)]
-pub struct GateBounds {
+pub struct HttpServerBounds {
     /// Connections at once; each has a thread. More are closed unread.
     pub connections: usize,
     /// Bytes of a body.
     pub body_bytes: usize,
     /// For a head, from its first byte (without `keep_alive` from the connection's beginning), and once
     /// more for the body behind it.
-    pub read_span: Span,
+    pub read_span: Milliseconds,
     /// Whether a connection takes one request after the other.
     pub keep_alive: bool,
     /// With `keep_alive`, how long a connection may stay without a request.
-    pub idle_span: Span,
+    pub idle_span: Milliseconds,
     /// Bytes of a head.
     pub header_bytes: usize,
     /// Stack of each connection's thread, handlers included.
     pub stack_bytes: usize,
 }
 
-impl Default for GateBounds {
+impl Default for HttpServerBounds {
     fn default() -> Self {
-        GateBounds {
+        HttpServerBounds {
             connections: 512,
             body_bytes: 4 << 20,
-            read_span: Span::seconds(10),
+            read_span: Milliseconds::seconds(10),
             keep_alive: false,
-            idle_span: Span::seconds(15),
+            idle_span: Milliseconds::seconds(15),
             header_bytes: 64 << 10,
             stack_bytes: 512 << 10,
         }
     }
 }
 
-impl GateBounds {
+impl HttpServerBounds {
     /// The limits that hold until others are set.
-    pub fn limits(&self) -> GateLimits {
-        GateLimits {
+    pub fn limits(&self) -> HttpServerLimits {
+        HttpServerLimits {
             request: RequestLimits {
                 header_bytes: self.header_bytes,
                 body_bytes: self.body_bytes,
@@ -133,18 +133,18 @@
 }
 
 /// A listening HTTP door.
-pub struct Gate {
+pub struct HttpServer {
     listener: TcpListener,
-    bounds: GateBounds,
+    bounds: HttpServerBounds,
     is_closed: Arc<AtomicBool>,
     state: Arc<GateState>,
     open_count: Arc<AtomicUsize>,
 }
 
-impl Gate {
+impl HttpServer {
     /// Listens there.
-    pub fn open(address: SocketAddr, bounds: GateBounds) -> io::Result<Self> {
-        Ok(Gate {
+    pub fn open(address: SocketAddr, bounds: HttpServerBounds) -> io::Result<Self> {
+        Ok(HttpServer {
             listener: TcpListener::bind(address)?,
             state: Arc::new(GateState::new(bounds.limits())?),
             bounds,
@@ -161,16 +161,16 @@
         )
     }
     /// What closes it again.
-    pub fn closer(&self) -> GateCloser {
-        GateCloser {
+    pub fn closer(&self) -> HttpServerCloser {
+        HttpServerCloser {
             is_closed: self.is_closed.clone(),
             state: self.state.clone(),
             address: self.address(),
         }
     }
     /// What changes its limits.
-    pub fn limiter(&self) -> GateLimiter {
-        GateLimiter(self.state.clone())
+    pub fn limiter(&self) -> HttpServerLimiter {
+        HttpServerLimiter(self.state.clone())
     }
     /// How many connections are open.
     pub fn open_count(&self) -> Arc<AtomicUsize> {
@@ -201,12 +201,12 @@
                 continue;
             }
             let (bounds, handler, state) = (self.bounds, handler.clone(), self.state.clone());
-            let seat = Seat(self.open_count.clone());
+            let position = ChainPosition(self.open_count.clone());
             let builder = std::thread::Builder::new()
                 .name("gate".into())
                 .stack_size(bounds.stack_bytes);
             let spawned = builder.spawn(move || {
-                let _seat = seat;
+                let _seat = position;
                 serve_connection(stream, bounds, &state, handler);
             });
             if let Err(fault) = spawned {
@@ -218,13 +218,13 @@
 
 /// Closes a gate: it stops listening; connections that are open go on.
 #[derive(Debug, Clone)]
-pub struct GateCloser {
+pub struct HttpServerCloser {
     is_closed: Arc<AtomicBool>,
     state: Arc<GateState>,
     address: Address,
 }
 
-impl GateCloser {
+impl HttpServerCloser {
     /// From now on every answer says `Connection: close`, and kept connections without a request are
     /// closed shortly after: what was on the wire is still taken. New connections are served too.
     pub fn leave(&self) {
@@ -240,24 +240,24 @@
 
 /// Changes a gate's limits while it serves.
 #[derive(Debug, Clone)]
-pub struct GateLimiter(Arc<GateState>);
+pub struct HttpServerLimiter(Arc<GateState>);
 
-impl GateLimiter {
+impl HttpServerLimiter {
     /// From now on these hold, for the connections that are open too: for the request that is being read
     /// on one, and, counted from now, for the time that it may stay without one.
-    pub fn set(&self, limits: GateLimits) {
+    pub fn set(&self, limits: HttpServerLimits) {
         self.0.set_limits(limits);
     }
     /// Those in force.
-    pub fn limits(&self) -> GateLimits {
+    pub fn limits(&self) -> HttpServerLimits {
         self.0.rules().limits
     }
 }
 
 /// Gives its place back when the thread ends, however it ends.
-struct Seat(Arc<AtomicUsize>);
+struct ChainPosition(Arc<AtomicUsize>);
 
-impl Drop for Seat {
+impl Drop for ChainPosition {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/transport/src/gate/connection.rs
+++ b/crates/transport/src/http_server/connection.rs
@@ -2,7 +2,7 @@
 
 use super::intake::{Exchange, Intake};
 use super::state::{GateRules, GateState};
-use super::{GateBounds, Request};
+use super::{HttpServerBounds, Request};
 use crate::framing::{RequestFault, RequestProgress};
 use crate::response::{Response, ResponseBody};
 use crate::socket::{Alarm, Client, Duct, Peeked, Wire, Woken, await_wire};
@@ -21,22 +21,22 @@
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use types::{Clock, Moment, ResultCode, Span};
+use types::{Clock, Milliseconds, MonotonicInstant, ResultCode};
 
 /// After leaving, requests that were on the wire have this long to come in.
-const LEAVE_LINGER: Span = Span(500);
+const LEAVE_LINGER: Milliseconds = Milliseconds(500);
 /// The library's own bound on a head; limits beyond it act as this.
 const HEAD_MOST: usize = 384 << 10;
 /// A refusal is written within this.
 const REFUSAL_WRITE: Duration = Duration::from_secs(1);
 /// For so long, and so many bytes, what a client still sends is read and dropped once this side has ended.
-const CLOSE_LINGER: Span = Span::seconds(1);
+const CLOSE_LINGER: Milliseconds = Milliseconds::seconds(1);
 const CLOSE_DRAIN: usize = 16 << 20;
 
 /// Since when the connection has been waiting for what it waits for now.
 struct Wait {
     progress: RequestProgress,
-    since: Moment,
+    since: MonotonicInstant,
 }
 
 /// What a wait came to.
@@ -52,7 +52,7 @@
 /// Serves a connection until either side ends it.
 pub(super) fn serve_connection<H: Fn(Request) -> Response + Clone>(
     stream: TcpStream,
-    bounds: GateBounds,
+    bounds: HttpServerBounds,
     state: &GateState,
     handler: H,
 ) {
@@ -166,8 +166,8 @@
         if state.is_mutant(GateMutant::IgnoreLimits) {
             rules.limits.request.header_bytes = HEAD_MOST;
             rules.limits.request.body_bytes = usize::MAX;
-            rules.limits.head_span = Span::seconds(3600);
-            rules.limits.idle_span = Span::seconds(3600);
+            rules.limits.head_span = Milliseconds::seconds(3600);
+            rules.limits.idle_span = Milliseconds::seconds(3600);
         }
         if state.is_mutant(GateMutant::IgnoreChanges) {
             rules.limits.request = exchange.limits.get();
@@ -204,7 +204,7 @@
     };
     exchange.is_responding.set(true);
     let mut response = response.into_hyper(is_head);
-    if state.is_leaving() || !is_whole {
+    if state.is_draining() || !is_whole {
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -213,7 +213,11 @@
 }
 
 /// Until when what is awaited may come, and whether that is a request's first byte.
-fn wait_deadline(bounds: &GateBounds, rules: &GateRules, wait: &Wait) -> (Moment, bool) {
+fn wait_deadline(
+    bounds: &HttpServerBounds,
+    rules: &GateRules,
+    wait: &Wait,
+) -> (MonotonicInstant, bool) {
     match wait.progress {
         RequestProgress::Nothing if bounds.keep_alive => {
             // A limit binds a connection that rested when it came into force from then on.
@@ -232,7 +236,7 @@
 }
 
 /// Waits until there is something to do, as long as may be.
-fn wait_on(socket: &Wire, bounds: &GateBounds, rules: &GateRules, wait: &Wait) -> Waited {
+fn wait_on(socket: &Wire, bounds: &HttpServerBounds, rules: &GateRules, wait: &Wait) -> Waited {
     let (deadline, is_idle) = wait_deadline(bounds, rules, wait);
     match await_wire(socket, None, Some(&rules.bell), deadline) {
         Woken::Ready | Woken::Bell => Waited::Go,
--- a/crates/transport/src/gate/state.rs
+++ b/crates/transport/src/http_server/state.rs
@@ -6,17 +6,17 @@
 use std::os::fd::OwnedFd;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use types::{Clock, Moment, Span};
+use types::{Clock, Milliseconds, MonotonicInstant};
 
 /// Limits of a gate that may change while it serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GateLimits {
+pub struct HttpServerLimits {
     /// On each request.
     pub request: RequestLimits,
     /// For a head to come, from its first byte.
-    pub head_span: Span,
+    pub head_span: Milliseconds,
     /// How long a connection may stay without a request.
-    pub idle_span: Span,
+    pub idle_span: Milliseconds,
 }
 
 /// A deliberate fault, by which the tests show that they see it.
@@ -36,11 +36,11 @@
 pub(crate) struct GateRules {
     /// How often they have changed.
     pub generation: u64,
-    pub limits: GateLimits,
+    pub limits: HttpServerLimits,
     /// Since when those are in force.
-    pub limits_since: Moment,
+    pub limits_since: MonotonicInstant,
     /// Since when it leaves.
-    pub left: Option<Moment>,
+    pub left: Option<MonotonicInstant>,
     /// Its other end is closed once anything here changes.
     pub bell: Arc<File>,
 }
@@ -62,7 +62,7 @@
 }
 
 impl GateState {
-    pub fn new(limits: GateLimits) -> io::Result<Self> {
+    pub fn new(limits: HttpServerLimits) -> io::Result<Self> {
         let (bell, rope) = new_bell()?;
         let rules = GateRules {
             generation: 0,
@@ -95,7 +95,7 @@
         self.generation.load(Ordering::SeqCst) != rules.generation
     }
 
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.held().rules.left.is_some()
     }
 
@@ -105,7 +105,7 @@
         self.tell_change(&mut held);
     }
 
-    pub fn set_limits(&self, limits: GateLimits) {
+    pub fn set_limits(&self, limits: HttpServerLimits) {
         let mut held = self.held();
         if held.rules.limits != limits {
             held.rules.limits = limits;
--- a/crates/transport/src/gate/tests.rs
+++ b/crates/transport/src/http_server/tests.rs
@@ -10,7 +10,7 @@
 use std::net::Shutdown;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
-use types::{Address, Span};
+use types::{Address, Milliseconds};
 
 /// Nothing is judged by it but that something came at all.
 const GUARD: Duration = Duration::from_secs(20);
@@ -19,10 +19,10 @@
 /// The seed of the mixes.
 const SEED: [u8; 32] = [18; 32];
 
-fn bounds() -> GateBounds {
-    GateBounds {
+fn bounds() -> HttpServerBounds {
+    HttpServerBounds {
         keep_alive: true,
-        ..GateBounds::default()
+        ..HttpServerBounds::default()
     }
 }
 
@@ -36,16 +36,16 @@
 
 /// A gate with a deliberate fault or none.
 fn serve(
-    bounds: GateBounds,
+    bounds: HttpServerBounds,
     mutant: Option<GateMutant>,
     handler: impl Fn(Request) -> Response + Send + Sync + Clone + 'static,
-) -> (Address, GateLimiter) {
-    let mut gate = Gate::open(Address::loopback(0).0, bounds).expect("a port");
-    Arc::get_mut(&mut gate.state)
+) -> (Address, HttpServerLimiter) {
+    let mut http_server = HttpServer::open(Address::loopback(0).0, bounds).expect("a port");
+    Arc::get_mut(&mut http_server.state)
         .expect("nobody else has it")
         .mutant = mutant;
-    let (address, limiter) = (gate.address(), gate.limiter());
-    std::thread::spawn(move || gate.serve(handler));
+    let (address, limiter) = (http_server.address(), http_server.limiter());
+    std::thread::spawn(move || http_server.serve(handler));
     (address, limiter)
 }
 
@@ -335,13 +335,13 @@
     }
 }
 
-const NARROW: GateLimits = GateLimits {
+const NARROW: HttpServerLimits = HttpServerLimits {
     request: RequestLimits {
         header_bytes: 1000,
         body_bytes: 2000,
     },
-    head_span: Span(200),
-    idle_span: Span(200),
+    head_span: Milliseconds(200),
+    idle_span: Milliseconds(200),
 };
 
 /// What is seen of limits that are set while connections are open; the first thing that is wrong.
@@ -357,9 +357,9 @@
             .ok_or("the wide limits")
     };
     let (mut large_head, mut large_body, mut slow, mut idle) = (open()?, open()?, open()?, open()?);
-    limiter.set(GateLimits {
-        idle_span: Span::seconds(3600),
-        head_span: Span::seconds(3600),
+    limiter.set(HttpServerLimits {
+        idle_span: Milliseconds::seconds(3600),
+        head_span: Milliseconds::seconds(3600),
         ..NARROW
     });
     large_head.post(1500, 0);
@@ -410,9 +410,9 @@
         Response::passed(200, HeaderMap::new(), "")
     });
     let wide = limiter.limits();
-    limiter.set(GateLimits {
-        idle_span: Span::seconds(3600),
-        head_span: Span::seconds(3600),
+    limiter.set(HttpServerLimits {
+        idle_span: Milliseconds::seconds(3600),
+        head_span: Milliseconds::seconds(3600),
         ..NARROW
     });
     limiter.set(wide);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -5,18 +5,23 @@
 
 mod ask;
 mod framing;
-mod gate;
+mod http_server;
 mod lines;
 mod post;
 mod response;
 mod socket;
 
 pub use ask::{
-    Ask, AskError, AskExt, Heard, ask_delete, ask_get, ask_post, ask_with, read_all, read_page,
+    Ask, Heard, HttpClientError, HttpRequestExt, http_delete, http_get, http_post, http_request,
+    read_all, read_page,
 };
 pub use framing::RequestLimits;
-pub use gate::{Gate, GateBounds, GateCloser, GateLimiter, GateLimits, Request};
-pub use lines::{CHECK_LIFE, Line, LineError, LinePull, Lines, LinesBounds, Waits};
-pub use post::{Post, PostClass, PostTally};
+pub use http_server::{
+    HttpServer, HttpServerBounds, HttpServerCloser, HttpServerLimiter, HttpServerLimits, Request,
+};
+pub use lines::{
+    CHECK_LIFE, ConnectionError, ConnectionPool, ConnectionPoolBounds, Line, LinePull, Waits,
+};
+pub use post::{MessageTransport, PostClass, PostTally};
 pub use response::{PieceSource, Pull, Response};
 pub use socket::Client;
--- a/crates/transport/src/lines.rs
+++ b/crates/transport/src/lines.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use types::{Clock, Moment, Span};
+use types::{Clock, Milliseconds, MonotonicInstant};
 
 /// Kept-alive connections to servers, shared by all threads.
 ///
@@ -19,23 +19,23 @@
 /// was written whole, its answer ended whole by a length or a last chunk, nothing has come since, and
 /// its time is not over. Once a byte of a request was written, no fault is told as `Unsent`.
 #[derive(Clone)]
-pub struct Lines {
+pub struct ConnectionPool {
     pool: Arc<Mutex<Pool>>,
 }
 
 /// What the connections to servers are held to.
 #[derive(Debug, Clone, Copy)]
-pub struct LinesBounds {
+pub struct ConnectionPoolBounds {
     /// Open at once to one address, those in use included; 0 for no bound.
     pub per_address: usize,
     /// Kept for reuse to one address.
     pub idle_per_address: usize,
     /// How long one is kept if its server tells nothing.
-    pub idle_span: Span,
+    pub idle_span: Milliseconds,
 }
 
 struct Pool {
-    bounds: LinesBounds,
+    bounds: ConnectionPoolBounds,
     addresses: HashMap<SocketAddr, Held>,
     #[cfg(test)]
     mutant: Option<Mutant>,
@@ -67,12 +67,12 @@
 
 struct Idle {
     link: Box<Link>,
-    deadline: Moment,
+    deadline: MonotonicInstant,
 }
 
 /// What allows a request to leave is checked no longer than this before its first byte is written, by the
 /// clock as it's read right before that write.
-pub const CHECK_LIFE: Span = Span(5);
+pub const CHECK_LIFE: Milliseconds = Milliseconds(5);
 
 /// What the check right before the first byte found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -88,9 +88,9 @@
 /// What a request waits for.
 pub struct Waits<'a> {
     /// For the connection, within the head's deadline.
-    pub connect: Span,
+    pub connect: Milliseconds,
     /// By when the head must have come.
-    pub head_deadline: Moment,
+    pub head_deadline: MonotonicInstant,
     /// Asked before connecting, and again at most [`CHECK_LIFE`] before the first byte leaves.
     pub may_leave: &'a dyn Fn() -> bool,
     /// Watched while the head is awaited.
@@ -99,7 +99,7 @@
 
 /// Why a request got no head, or its body didn't end whole.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum LineError {
+pub enum ConnectionError {
     /// No byte of the request left.
     #[error("not sent: {0}")]
     Unsent(String),
@@ -160,16 +160,16 @@
     waker: Waker,
     /// Why a request that was given to hyper doesn't leave.
     held_back: Option<Departure>,
-    _seat: Seat,
+    _seat: ChainPosition,
 }
 
 /// Gives the place of a connection back when it closes.
-struct Seat {
+struct ChainPosition {
     pool: Arc<Mutex<Pool>>,
     address: SocketAddr,
 }
 
-impl Drop for Seat {
+impl Drop for ChainPosition {
     fn drop(&mut self) {
         let mut pool = lock(&self.pool);
         if let Some(held) = pool.addresses.get_mut(&self.address) {
@@ -194,16 +194,16 @@
     false
 }
 
-impl Lines {
+impl ConnectionPool {
     /// With no connection yet.
-    pub fn new(bounds: LinesBounds) -> Self {
+    pub fn new(bounds: ConnectionPoolBounds) -> Self {
         let pool = Pool {
             bounds,
             addresses: HashMap::new(),
             #[cfg(test)]
             mutant: None,
         };
-        Lines {
+        ConnectionPool {
             pool: Arc::new(Mutex::new(pool)),
         }
     }
@@ -265,14 +265,14 @@
         to: SocketAddr,
         request: http::Request<Bytes>,
         waits: &Waits<'_>,
-    ) -> Result<Line, LineError> {
+    ) -> Result<Line, ConnectionError> {
         let mut request = request;
         request.headers_mut().remove(http::header::CONTENT_LENGTH);
         request
             .headers_mut()
             .remove(http::header::TRANSFER_ENCODING);
         if !(waits.may_leave)() {
-            return Err(LineError::Withheld);
+            return Err(ConnectionError::Withheld);
         }
         loop {
             let idle = self.take_idle(to);
@@ -281,14 +281,14 @@
                 Some(idle) => idle,
                 None => Idle {
                     link: Box::new(self.connect(to, waits)?),
-                    deadline: Moment(0),
+                    deadline: MonotonicInstant(0),
                 },
             };
             match idle.link.check_departure(waits) {
                 Departure::Clear => {}
                 Departure::Unclean if is_reused => continue,
                 Departure::Unclean => {
-                    return Err(LineError::Unsent(
+                    return Err(ConnectionError::Unsent(
                         "the server spoke or closed unasked".into(),
                     ));
                 }
@@ -296,12 +296,13 @@
                     if is_reused {
                         self.put_idle(to, idle);
                     }
-                    return Err(LineError::Withheld);
+                    return Err(ConnectionError::Withheld);
                 }
             }
             match idle.link.send(request.clone(), waits, is_reused) {
                 // It was closed between the look at it and the first byte: another one is taken.
-                Err(LineError::Unsent(_)) if is_reused && Clock::now() < waits.head_deadline => {}
+                Err(ConnectionError::Unsent(_))
+                    if is_reused && Clock::now() < waits.head_deadline => {}
                 outcome => return outcome,
             }
         }
@@ -334,26 +335,26 @@
         drop(pool);
         drop(surplus);
     }
-    fn connect(&self, to: SocketAddr, waits: &Waits<'_>) -> Result<Link, LineError> {
-        let seat = {
+    fn connect(&self, to: SocketAddr, waits: &Waits<'_>) -> Result<Link, ConnectionError> {
+        let position = {
             let mut pool = lock(&self.pool);
             let general = pool.bounds.per_address;
             let held = pool.addresses.entry(to).or_default();
             let most = held.most.unwrap_or(general);
             if most > 0 && held.open_count >= most {
-                return Err(LineError::Full);
+                return Err(ConnectionError::Full);
             }
             held.open_count += 1;
-            Seat {
+            ChainPosition {
                 pool: self.pool.clone(),
                 address: to,
             }
         };
         let patience = waits.connect.min(Clock::now().until(waits.head_deadline));
         if patience.0 == 0 {
-            return Err(LineError::Unsent("no time to connect".into()));
+            return Err(ConnectionError::Unsent("no time to connect".into()));
         }
-        let unsent = |fault: &dyn std::fmt::Display| LineError::Unsent(fault.to_string());
+        let unsent = |fault: &dyn std::fmt::Display| ConnectionError::Unsent(fault.to_string());
         let stream =
             TcpStream::connect_timeout(&to, patience.duration()).map_err(|fault| unsent(&fault))?;
         let socket = Arc::new(Wire::new(stream));
@@ -375,10 +376,10 @@
                 alarm,
                 waker,
                 held_back: None,
-                _seat: seat,
+                _seat: position,
             }),
             Poll::Ready(Err(fault)) => Err(unsent(&fault)),
-            Poll::Pending => Err(LineError::Unsent("no handshake".into())),
+            Poll::Pending => Err(ConnectionError::Unsent("no handshake".into())),
         }
     }
 }
@@ -415,7 +416,7 @@
     /// byte whose check has grown old is checked anew.
     fn wait<T>(
         &mut self,
-        deadline: Moment,
+        deadline: MonotonicInstant,
         client: Option<&Client>,
         departure: Option<&Waits<'_>>,
         mut poll_it: impl FnMut(&mut Context<'_>) -> Poll<T>,
@@ -457,7 +458,7 @@
         request: http::Request<Bytes>,
         waits: &Waits<'_>,
         is_reused: bool,
-    ) -> Result<Line, LineError> {
+    ) -> Result<Line, ConnectionError> {
         let sent_before = self.socket.sent_count.load(Ordering::Relaxed);
         let is_head = request.method() == http::Method::HEAD;
         let mut answer = pin!(self.sender.send_request(request.map(Full::new)));
@@ -466,7 +467,7 @@
         });
         let has_left = self.socket.sent_count.load(Ordering::Relaxed) > sent_before
             && !(is_reused && is_mutant(&self._seat.pool, Mutant::ForgetSent));
-        let (what, why): (fn(String) -> LineError, String) = match outcome {
+        let (what, why): (fn(String) -> ConnectionError, String) = match outcome {
             Ok(Ok(response)) => {
                 let (head, body) = response.into_parts();
                 let is_early = self.socket.wants_room.load(Ordering::Relaxed);
@@ -483,19 +484,19 @@
                     is_torn,
                 });
             }
-            Ok(Err(fault)) => (LineError::Unknown, detail(&fault)),
-            Err(Woken::Late) => (LineError::Late, "no head by its deadline".into()),
+            Ok(Err(fault)) => (ConnectionError::Unknown, detail(&fault)),
+            Err(Woken::Late) => (ConnectionError::Late, "no head by its deadline".into()),
             Err(_) if self.held_back == Some(Departure::Withheld) && !has_left => {
-                return Err(LineError::Withheld);
+                return Err(ConnectionError::Withheld);
             }
-            Err(Woken::ClientGone) if has_left => return Err(LineError::ClientGone),
-            Err(Woken::ClientGone) => (LineError::Unknown, "the client has gone".into()),
-            Err(_) => (LineError::Unknown, "the connection ended".into()),
+            Err(Woken::ClientGone) if has_left => return Err(ConnectionError::ClientGone),
+            Err(Woken::ClientGone) => (ConnectionError::Unknown, "the client has gone".into()),
+            Err(_) => (ConnectionError::Unknown, "the connection ended".into()),
         };
         Err(if has_left {
             what(why)
         } else {
-            LineError::Unsent(why)
+            ConnectionError::Unsent(why)
         })
     }
 }
@@ -524,10 +525,10 @@
     }
     /// Waits for the next bytes of the body at most this long; also watches the client.
     pub fn pull(&mut self, patience: Duration, client: Option<&Client>) -> LinePull {
-        let span = Span(u64::try_from(patience.as_millis()).unwrap_or(u64::MAX / 2));
+        let span = Milliseconds(u64::try_from(patience.as_millis()).unwrap_or(u64::MAX / 2));
         self.pull_until(Clock::now() + span, client)
     }
-    fn pull_until(&mut self, deadline: Moment, client: Option<&Client>) -> LinePull {
+    fn pull_until(&mut self, deadline: MonotonicInstant, client: Option<&Client>) -> LinePull {
         if self.is_ended {
             return LinePull::End;
         }
@@ -571,23 +572,23 @@
     /// bound; one that has not ended by the deadline is `Late`.
     pub fn read_all(
         &mut self,
-        deadline: Moment,
+        deadline: MonotonicInstant,
         bound: usize,
         client: Option<&Client>,
-    ) -> Result<Bytes, LineError> {
+    ) -> Result<Bytes, ConnectionError> {
         let mut first = Bytes::new();
         let mut rest = BytesMut::new();
         loop {
             match self.pull_until(deadline, client) {
                 LinePull::Data(data) if first.len() + rest.len() + data.len() > bound => {
-                    return Err(LineError::Unknown(format!(
+                    return Err(ConnectionError::Unknown(format!(
                         "the body is over {bound} bytes"
                     )));
                 }
                 LinePull::Data(data) if first.is_empty() => first = data,
                 LinePull::Data(data) => rest.extend_from_slice(&data),
                 LinePull::Nothing => {
-                    return Err(LineError::Late(
+                    return Err(ConnectionError::Late(
                         "the body has not ended by its deadline".into(),
                     ));
                 }
@@ -598,8 +599,8 @@
                     whole.extend_from_slice(&rest);
                     return Ok(whole.freeze());
                 }
-                LinePull::Torn(why) => return Err(LineError::Unknown(why)),
-                LinePull::ClientGone => return Err(LineError::ClientGone),
+                LinePull::Torn(why) => return Err(ConnectionError::Unknown(why)),
+                LinePull::ClientGone => return Err(ConnectionError::ClientGone),
             }
         }
     }
@@ -637,7 +638,7 @@
         if !is_whole || !is_request_whole || link.ended.is_some() || !link.sender.is_ready() {
             return;
         }
-        let lines = Lines {
+        let lines = ConnectionPool {
             pool: link._seat.pool.clone(),
         };
         let span = kept_span(&head.headers).unwrap_or_else(|| lock(&lines.pool).bounds.idle_span);
@@ -670,7 +671,7 @@
 }
 
 /// How long a server keeps the connection by its own `Keep-Alive: timeout=N`, less a margin for the way.
-fn kept_span(headers: &http::HeaderMap) -> Option<Span> {
+fn kept_span(headers: &http::HeaderMap) -> Option<Milliseconds> {
     let words = headers
         .get_all("keep-alive")
         .iter()
@@ -680,9 +681,9 @@
         .filter_map(|word| word.split_once('='));
     let (_, seconds) = words.find(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))?;
     match seconds.trim().trim_matches('"').parse::<u32>().ok()? {
-        0 => Some(Span(0)),
-        1 => Some(Span(500)),
-        seconds => Some(Span::seconds(u64::from(seconds) - 1)),
+        0 => Some(Milliseconds(0)),
+        1 => Some(Milliseconds(500)),
+        seconds => Some(Milliseconds::seconds(u64::from(seconds) - 1)),
     }
 }
 
--- a/crates/transport/src/lines/tests.rs
+++ b/crates/transport/src/lines/tests.rs
@@ -5,16 +5,16 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
 use std::sync::mpsc;
-use types::{Clock, Span};
+use types::{Clock, Milliseconds};
 
-const PATIENCE: Span = Span::seconds(5);
+const PATIENCE: Milliseconds = Milliseconds::seconds(5);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-fn lines(mutant: Option<Mutant>) -> Lines {
-    let lines = Lines::new(LinesBounds {
+fn lines(mutant: Option<Mutant>) -> ConnectionPool {
+    let lines = ConnectionPool::new(ConnectionPoolBounds {
         per_address: 0,
         idle_per_address: 4,
-        idle_span: Span::seconds(30),
+        idle_span: Milliseconds::seconds(30),
     });
     lock(&lines.pool).mutant = mutant;
     lines
@@ -37,11 +37,11 @@
 }
 
 fn ask(
-    lines: &Lines,
+    lines: &ConnectionPool,
     to: SocketAddr,
     body: Bytes,
     may_leave: &dyn Fn() -> bool,
-) -> Result<(Line, Bytes), LineError> {
+) -> Result<(Line, Bytes), ConnectionError> {
     let request = http::Request::post("/")
         .header("host", "a")
         .body(body)
@@ -62,10 +62,10 @@
 }
 
 fn ask_and_keep(
-    lines: &Lines,
+    lines: &ConnectionPool,
     to: SocketAddr,
     may_leave: &dyn Fn() -> bool,
-) -> Result<Bytes, LineError> {
+) -> Result<Bytes, ConnectionError> {
     let (line, body) = ask(lines, to, Bytes::from_static(b"{}"), may_leave)?;
     line.keep();
     Ok(body)
@@ -141,7 +141,7 @@
         }
         asked.get() < 3
     };
-    ask_and_keep(&lines(mutant), to, &may_leave) == Err(LineError::Withheld)
+    ask_and_keep(&lines(mutant), to, &may_leave) == Err(ConnectionError::Withheld)
 }
 
 /// A used connection that ends after a byte of the request was written doesn't pass as unsent.
@@ -158,7 +158,7 @@
     ask_and_keep(&lines, to, &always).unwrap();
     matches!(
         ask_and_keep(&lines, to, &always),
-        Err(LineError::Unknown(_))
+        Err(ConnectionError::Unknown(_))
     )
 }
 
--- a/crates/transport/src/post.rs
+++ b/crates/transport/src/post.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 use types::Address;
-use wire::{Letter, SealFault, open, seal};
+use wire::{Message, SealError, open, seal};
 
 /// Which of a peer's two connections a letter takes: pieces of snapshots never delay the rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -21,8 +21,8 @@
 
 impl PostClass {
     /// That of a letter, which its sender may want on the bulk line.
-    pub fn of(letter: &Letter, is_bulk: bool) -> Self {
-        match (is_bulk, letter.is_datagram()) {
+    pub fn of(message: &Message, is_bulk: bool) -> Self {
+        match (is_bulk, message.is_datagram()) {
             (true, _) => PostClass::Bulk,
             (false, true) => PostClass::Datagram,
             (false, false) => PostClass::Swift,
@@ -34,25 +34,25 @@
 /// request on each, dropped when the peer can't be reached. Whoever needs an answer asks again.
 ///
 /// Invariant: a connection and its thread last only while there is something to say.
-pub struct Post {
+pub struct MessageTransport {
     own: Address,
     datagrams: UdpSocket,
-    outboxes: HashMap<(Address, PostClass), flume::Sender<Letter>>,
-    tallies: HashMap<Address, Arc<PostTally>>,
+    outboxes: HashMap<(Address, PostClass), flume::Sender<Message>>,
+    metrics: HashMap<Address, Arc<PostTally>>,
 }
 
 /// What was sent to one peer.
 #[derive(Debug, Default)]
 pub struct PostTally {
     /// Letters.
-    pub letters: AtomicU64,
+    pub messages: AtomicU64,
     /// Bytes of them, sealed.
     pub bytes: AtomicU64,
 }
 
 impl PostTally {
     fn more(&self, bytes: usize) {
-        self.letters.fetch_add(1, Ordering::Relaxed);
+        self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
@@ -74,12 +74,12 @@
 const LINE_STACK: usize = 256 << 10;
 const DATAGRAM_BOUND: usize = 1200;
 
-impl Post {
+impl MessageTransport {
     /// Listens for letters and hands each to `inbox`.
     pub fn open(
         listener: TcpListener,
-        inbox: impl Fn(Address, Letter) + Send + Sync + Clone + 'static,
-    ) -> io::Result<Post> {
+        inbox: impl Fn(Address, Message) + Send + Sync + Clone + 'static,
+    ) -> io::Result<MessageTransport> {
         let own = Address(listener.local_addr()?);
         // Datagrams come to the same port, and leave from it without waiting.
         let inbound = UdpSocket::bind(own.0)?;
@@ -95,8 +95,8 @@
                     let Ok((length, _)) = inbound.recv_from(&mut buffer) else {
                         continue;
                     };
-                    if let Ok((from, letter)) = open(&mut &buffer[..length]) {
-                        take_datagram(from, letter);
+                    if let Ok((from, message)) = open(&mut &buffer[..length]) {
+                        take_datagram(from, message);
                     }
                 }
             })?;
@@ -126,11 +126,11 @@
                     }
                 }
             })?;
-        Ok(Post {
+        Ok(MessageTransport {
             own,
             datagrams,
             outboxes: HashMap::new(),
-            tallies: HashMap::new(),
+            metrics: HashMap::new(),
         })
     }
 
@@ -140,36 +140,36 @@
     }
 
     /// What was sent, by peer.
-    pub fn tallies(&self) -> impl Iterator<Item = (&Address, &PostTally)> {
-        self.tallies.iter().map(|(to, tally)| (to, tally.as_ref()))
+    pub fn metrics(&self) -> impl Iterator<Item = (&Address, &PostTally)> {
+        self.metrics.iter().map(|(to, tally)| (to, tally.as_ref()))
     }
 
     /// Sends a letter if it can be sent; never waits. It's sealed on the line's own thread.
-    pub fn send(&mut self, to: Address, class: PostClass, letter: Letter) {
+    pub fn send(&mut self, to: Address, class: PostClass, message: Message) {
         if class == PostClass::Datagram {
             // Lost, like on a bad wire, if it can't leave now.
-            if let Ok(bytes) = seal(self.own, &letter)
+            if let Ok(bytes) = seal(self.own, &message)
                 && self.datagrams.send_to(&bytes, to.0).is_ok()
             {
-                self.tallies.entry(to).or_default().more(bytes.len());
+                self.metrics.entry(to).or_default().more(bytes.len());
             }
             return;
         }
         let unsent = match self.outboxes.get(&(to, class)) {
-            Some(outbox) => match outbox.try_send(letter) {
+            Some(outbox) => match outbox.try_send(message) {
                 // Its line was idle and is closed.
-                Err(flume::TrySendError::Disconnected(letter)) => letter,
+                Err(flume::TrySendError::Disconnected(message)) => message,
                 // A full outbox means that the peer is slow or gone; the letter is lost, as on a bad wire.
                 Ok(()) | Err(flume::TrySendError::Full(_)) => return,
             },
-            None => letter,
+            None => message,
         };
         self.outboxes.retain(|_, outbox| !outbox.is_disconnected());
         let (sender, receiver) = flume::bounded(if class == PostClass::Swift { 256 } else { 16 });
         let line = std::thread::Builder::new()
             .name("post-out".into())
             .stack_size(LINE_STACK);
-        let (own, tally) = (self.own, self.tallies.entry(to).or_default().clone());
+        let (own, tally) = (self.own, self.metrics.entry(to).or_default().clone());
         if let Err(fault) = line.spawn(move || deliver(own, to, class, &receiver, &tally)) {
             tracing::warn!("post: no thread for {to}: {fault}.");
             return;
@@ -197,13 +197,13 @@
     own: Address,
     to: Address,
     class: PostClass,
-    outbox: &flume::Receiver<Letter>,
+    outbox: &flume::Receiver<Message>,
     tally: &PostTally,
 ) {
     let mut line: Option<TcpStream> = None;
     // A letter that comes just as the line is given up is lost, as on a bad wire.
-    while let Ok(letter) = outbox.recv_timeout(LINE_IDLE) {
-        let bytes = match seal(own, &letter) {
+    while let Ok(message) = outbox.recv_timeout(LINE_IDLE) {
+        let bytes = match seal(own, &message) {
             Ok(bytes) => bytes,
             Err(fault) => {
                 tracing::warn!("post: {} {fault}.", fault.code());
@@ -231,13 +231,13 @@
     }
 }
 
-fn receive(stream: TcpStream, inbox: impl Fn(Address, Letter)) {
+fn receive(stream: TcpStream, inbox: impl Fn(Address, Message)) {
     let _ = stream.set_read_timeout(Some(IDLE_PATIENCE));
     let mut reader = io::BufReader::new(stream);
     loop {
         match open(&mut reader) {
-            Ok((from, letter)) => inbox(from, letter),
-            Err(SealFault::Io(_)) => return,
+            Ok((from, message)) => inbox(from, message),
+            Err(SealError::Io(_)) => return,
             Err(fault) => {
                 tracing::warn!("post: {} {fault}.", fault.code());
                 return;
--- a/crates/transport/src/response.rs
+++ b/crates/transport/src/response.rs
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use std::time::Duration;
-use types::{ResultCode, Span};
+use types::{Milliseconds, ResultCode};
 
 /// What a stream gives when asked for its next piece.
 pub enum Pull {
@@ -86,10 +86,10 @@
     }
     /// A numbered result with a sentence of its own, and when to come back if that helps.
     pub fn result(code: ResultCode, why: impl Into<String>) -> Self {
-        Self::result_after(code, why, Span(0))
+        Self::result_after(code, why, Milliseconds(0))
     }
     /// The same, to come back not before this.
-    pub fn result_after(code: ResultCode, why: impl Into<String>, earliest: Span) -> Self {
+    pub fn result_after(code: ResultCode, why: impl Into<String>, earliest: Milliseconds) -> Self {
         let ran = if code.is_refusal() {
             serde_json::json!(false)
         } else {
@@ -105,7 +105,7 @@
     }
     /// Says when to come back, where the code says that it helps.
     #[must_use]
-    pub fn to_come_back(self, code: ResultCode, earliest: Span) -> Self {
+    pub fn to_come_back(self, code: ResultCode, earliest: Milliseconds) -> Self {
         match code.comes_back() {
             Some(span) => self.with_header(
                 "retry-after",
@@ -137,7 +137,7 @@
     }
     /// Says when to come back, in seconds with their fraction, such as `0.25`.
     #[must_use]
-    pub fn retry_after(mut self, span: Span) -> Self {
+    pub fn retry_after(mut self, span: Milliseconds) -> Self {
         let text = format!("{}.{:03}", span.0 / 1000, span.0 % 1000);
         let text = text.trim_end_matches('0').trim_end_matches('.');
         self.headers.insert(
--- a/crates/transport/src/response/tests.rs
+++ b/crates/transport/src/response/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use types::{ResultCode, Span};
+use types::{Milliseconds, ResultCode};
 
 #[test]
 fn each_code_tells_when_to_come_back_exactly_where_that_helps() {
@@ -9,7 +9,7 @@
             .header("retry-after")
             .map(|value| value.parse::<u64>().expect("seconds"));
         assert_eq!(said, code.comes_back().map(|span| span.0 / 1000), "{code}");
-        let later = Response::result_after(*code, "why", Span(2500));
+        let later = Response::result_after(*code, "why", Milliseconds(2500));
         let said = later
             .header("retry-after")
             .map(|value| value.parse::<u64>().expect("seconds"));
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Weak};
 use std::task::{Context, Poll, Wake};
 use std::time::Duration;
-use types::{Clock, Moment};
+use types::{Clock, MonotonicInstant};
 
 /// A TCP connection and what is known of it between two polls, so that no system call asks again.
 pub(crate) struct Wire {
@@ -59,7 +59,7 @@
     /// Whether a write may be made now; notes it if what allows it has grown old.
     fn may_write(&self) -> bool {
         let by = self.write_by.load(Ordering::Relaxed);
-        let is_old = by != Self::UNBOUND && Clock::now() > Moment(by);
+        let is_old = by != Self::UNBOUND && Clock::now() > MonotonicInstant(by);
         if is_old {
             self.is_check_old.store(true, Ordering::Relaxed);
         }
@@ -139,7 +139,7 @@
     socket: &Wire,
     client: Option<&Client>,
     bell: Option<&File>,
-    deadline: Moment,
+    deadline: MonotonicInstant,
 ) -> Woken {
     let client = match client {
         Some(client) => match client.socket() {
