--- a/crates/transport/tests/gate_keep_alive.rs
+++ b/crates/transport/tests/gate_keep_alive.rs
@@ -6,28 +6,30 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc;
 use std::time::Duration;
-use transport::{Gate, GateBounds, GateCloser, PieceSource, Pull, Request, Response};
-use types::{Address, Clock, Span};
+use transport::{
+    HttpServer, HttpServerBounds, HttpServerCloser, PieceSource, Pull, Request, Response,
+};
+use types::{Address, Clock, Milliseconds};
 
 const PATIENCE: Duration = Duration::from_secs(5);
 
-fn bounds() -> GateBounds {
-    GateBounds {
+fn bounds() -> HttpServerBounds {
+    HttpServerBounds {
         keep_alive: true,
-        read_span: Span(300),
-        idle_span: Span::seconds(30),
-        ..GateBounds::default()
+        read_span: Milliseconds(300),
+        idle_span: Milliseconds::seconds(30),
+        ..HttpServerBounds::default()
     }
 }
 
 /// A gate with this handler, and what closes it.
-fn gate(
-    bounds: GateBounds,
+fn http_server(
+    bounds: HttpServerBounds,
     handler: impl Fn(Request) -> Response + Send + Sync + Clone + 'static,
-) -> (Address, GateCloser) {
-    let gate = Gate::open(Address::loopback(0).0, bounds).unwrap();
-    let (address, closer) = (gate.address(), gate.closer());
-    std::thread::spawn(move || gate.serve(handler));
+) -> (Address, HttpServerCloser) {
+    let http_server = HttpServer::open(Address::loopback(0).0, bounds).unwrap();
+    let (address, closer) = (http_server.address(), http_server.closer());
+    std::thread::spawn(move || http_server.serve(handler));
     (address, closer)
 }
 
@@ -93,7 +95,7 @@
 
 #[test]
 fn requests_follow_each_other_on_one_connection() {
-    let (address, _closer) = gate(bounds(), echo);
+    let (address, _closer) = http_server(bounds(), echo);
     let mut client = Client::connect(address);
     for body in ["one", "two", "three"] {
         client.post(body);
@@ -108,7 +110,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let (address, _closer) = gate(bounds(), echo);
+    let (address, _closer) = http_server(bounds(), echo);
     let mut client = Client::connect(address);
     let one = |body: &str| {
         format!(
@@ -124,7 +126,7 @@
 
 #[test]
 fn a_request_tells_its_target_headers_and_parts() {
-    let (address, _closer) = gate(bounds(), |request| {
+    let (address, _closer) = http_server(bounds(), |request| {
         assert!(!request.client.is_gone());
         assert_eq!(request.headers().get_all("x").iter().count(), 2);
         let (method, target, headers, body) = request.into_parts();
@@ -141,7 +143,7 @@
 
 #[test]
 fn each_request_has_its_own_read_deadline_and_idle_time_is_not_part_of_it() {
-    let (address, _closer) = gate(bounds(), echo);
+    let (address, _closer) = http_server(bounds(), echo);
     let mut client = Client::connect(address);
     // The connection lives on past the read deadline of its first request: a helper takes that time to end.
     for body in ["one", "two"] {
@@ -161,9 +163,9 @@
 
 #[test]
 fn idle_connections_are_closed_quietly() {
-    let (address, _closer) = gate(
-        GateBounds {
-            idle_span: Span(100),
+    let (address, _closer) = http_server(
+        HttpServerBounds {
+            idle_span: Milliseconds(100),
             ..bounds()
         },
         echo,
@@ -177,8 +179,8 @@
 
 #[test]
 fn too_long_a_head_is_turned_away() {
-    let (address, _closer) = gate(
-        GateBounds {
+    let (address, _closer) = http_server(
+        HttpServerBounds {
             header_bytes: 16 << 10,
             ..bounds()
         },
@@ -199,8 +201,8 @@
 
 #[test]
 fn a_head_beyond_what_the_library_reads_is_turned_away_whatever_the_limit_is() {
-    let (address, _closer) = gate(
-        GateBounds {
+    let (address, _closer) = http_server(
+        HttpServerBounds {
             header_bytes: 1 << 20,
             ..bounds()
         },
@@ -228,9 +230,15 @@
 }
 
 /// A gate that answers each request with a stream fed by the sender that it gives out.
-fn fed_gate(headers: HeaderMap) -> (Address, GateCloser, mpsc::Receiver<mpsc::Sender<Pull>>) {
+fn fed_gate(
+    headers: HeaderMap,
+) -> (
+    Address,
+    HttpServerCloser,
+    mpsc::Receiver<mpsc::Sender<Pull>>,
+) {
     let (feeds, fed) = mpsc::channel();
-    let (address, closer) = gate(bounds(), move |_| {
+    let (address, closer) = http_server(bounds(), move |_| {
         let (feed, source) = mpsc::channel();
         feeds.send(feed).unwrap();
         Response::passed_stream(200, headers.clone(), Box::new(Fed(source)))
@@ -354,7 +362,7 @@
 
 #[test]
 fn what_a_server_says_of_its_own_connection_is_not_passed_on() {
-    let (address, _closer) = gate(bounds(), |_| {
+    let (address, _closer) = http_server(bounds(), |_| {
         let response = Response::passed(103, HeaderMap::new(), "x");
         let headers = [
             ("keep-alive", "timeout=60"),
@@ -389,7 +397,7 @@
 #[test]
 fn an_answer_is_never_written_to_a_later_connection_of_the_same_number() {
     let (waiting, releases) = mpsc::channel();
-    let (address, _closer) = gate(bounds(), move |request| {
+    let (address, _closer) = http_server(bounds(), move |request| {
         if request.path == "/wait" {
             let (release, released) = mpsc::channel::<()>();
             waiting.send((request.client.clone(), release)).unwrap();
@@ -418,7 +426,7 @@
 
 #[test]
 fn a_last_answer_comes_whole_whatever_was_sent_behind_its_request() {
-    let (address, _closer) = gate(bounds(), |_| {
+    let (address, _closer) = http_server(bounds(), |_| {
         Response::passed(200, HeaderMap::new(), "x".repeat(1 << 20))
     });
     let mut client = Client::connect(address);
@@ -453,7 +461,7 @@
         feed.send(Pull::Piece("x".repeat(LENGTH).into())).unwrap();
         feed.send(Pull::End).unwrap();
         // The gate is done with the answer: most of it still waits for its client to read it.
-        let deadline = Clock::now() + Span::seconds(5);
+        let deadline = Clock::now() + Milliseconds::seconds(5);
         while feed.send(Pull::Nothing).is_ok() {
             assert!(Clock::now() < deadline, "the answer was never ended");
             std::thread::yield_now();
@@ -478,9 +486,9 @@
 #[test]
 fn bytes_that_cross_an_idle_close_take_nothing_from_the_answer_before() {
     for spins in (0..20).map(|round| round * 400) {
-        let (address, _closer) = gate(
-            GateBounds {
-                idle_span: Span(20),
+        let (address, _closer) = http_server(
+            HttpServerBounds {
+                idle_span: Milliseconds(20),
                 ..bounds()
             },
             |request| {
@@ -518,7 +526,7 @@
 
 #[test]
 fn a_client_that_asks_first_whether_to_go_on_is_told_to() {
-    let (address, _closer) = gate(bounds(), echo);
+    let (address, _closer) = http_server(bounds(), echo);
     let mut client = Client::connect(address);
     let head = "POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n";
     for _ in 0..2 {
@@ -533,7 +541,7 @@
 fn a_client_that_has_gone_is_seen_also_behind_pipelined_bytes() {
     for said in ["", "GET /next HTTP/1.1\r\n"] {
         let (clients, seen) = mpsc::channel();
-        let (address, _closer) = gate(bounds(), move |request| {
+        let (address, _closer) = http_server(bounds(), move |request| {
             let (gone, is_gone) = mpsc::channel::<()>();
             clients.send((request.client.clone(), gone)).unwrap();
             let _ = is_gone.recv_timeout(PATIENCE);
@@ -545,7 +553,7 @@
         client.say(said);
         assert!(!peer.is_gone());
         drop(client);
-        let deadline = Clock::now() + Span::seconds(5);
+        let deadline = Clock::now() + Milliseconds::seconds(5);
         while !peer.is_gone() {
             assert!(Clock::now() < deadline, "not seen behind {said:?}");
             std::thread::yield_now();
@@ -556,11 +564,15 @@
 
 #[test]
 fn leaving_says_close_and_ends_idle_connections_but_takes_what_comes_meanwhile() {
-    let gate = Gate::open(Address::loopback(0).0, bounds()).unwrap();
-    let (address, closer, open_count) = (gate.address(), gate.closer(), gate.open_count());
+    let http_server = HttpServer::open(Address::loopback(0).0, bounds()).unwrap();
+    let (address, closer, open_count) = (
+        http_server.address(),
+        http_server.closer(),
+        http_server.open_count(),
+    );
     let (at_work, working) = mpsc::channel();
     std::thread::spawn(move || {
-        gate.serve(move |request| {
+        http_server.serve(move |request| {
             let (release, released) = mpsc::channel::<()>();
             if request.path == "/wait" {
                 at_work.send(release).unwrap();
@@ -589,7 +601,7 @@
         assert_eq!((body.as_str(), client.rest().as_str()), ("done", ""));
     }
     assert_eq!(idle.rest(), "");
-    let deadline = Clock::now() + Span::seconds(5);
+    let deadline = Clock::now() + Milliseconds::seconds(5);
     while open_count.load(Ordering::Relaxed) > 0 {
         assert!(Clock::now() < deadline, "a thread is stuck");
         std::thread::yield_now();
@@ -608,7 +620,7 @@
     ] {
         assert_eq!(
             Response::passed(503, HeaderMap::new(), "")
-                .retry_after(Span(span))
+                .retry_after(Milliseconds(span))
                 .header("retry-after"),
             Some(said)
         );
--- a/crates/transport/tests/golden.rs
+++ b/crates/transport/tests/golden.rs
@@ -7,8 +7,8 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
-use transport::{Gate, GateBounds, Response};
-use types::{ResultCode, Span};
+use transport::{HttpServer, HttpServerBounds, Response};
+use types::{Milliseconds, ResultCode};
 
 /// Nothing is judged by it: it ends a test that would hang.
 const GUARD: Duration = Duration::from_secs(30);
@@ -16,17 +16,17 @@
 /// A gate that answers the path `/N` with the result code of this number, and `/N/late` with a later time to come back.
 fn open_gate() -> SocketAddr {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let gate = Gate::open(any, GateBounds::default()).expect("a gate");
-    let address = gate.address().0;
+    let http_server = HttpServer::open(any, HttpServerBounds::default()).expect("a gate");
+    let address = http_server.address().0;
     std::thread::spawn(move || {
-        gate.serve(|request| {
+        http_server.serve(|request| {
             let parts = request.parts();
             let number: u16 = parts[0].parse().expect("a number");
             let code = ResultCode::ALL.iter().find(|code| code.number() == number);
             let code = *code.expect("a result code");
             match parts.len() {
                 1 => Response::result(code, "because"),
-                _ => Response::result_after(code, "because", Span(2500)),
+                _ => Response::result_after(code, "because", Milliseconds(2500)),
             }
         });
     });
@@ -67,6 +67,6 @@
 fn the_bounds_of_a_gate_are_as_ever() {
     golden_file::compare_text(
         "bounds.txt",
-        &golden_file::values_of(&GateBounds::default()),
+        &golden_file::values_of(&HttpServerBounds::default()),
     );
 }
--- a/crates/transport/tests/library_traps.rs
+++ b/crates/transport/tests/library_traps.rs
@@ -5,11 +5,12 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use transport::{
-    Ask, AskError, Gate, GateBounds, PieceSource, Pull, Response, ask_get, ask_post, read_all,
+    Ask, HttpClientError, HttpServer, HttpServerBounds, PieceSource, Pull, Response, http_get,
+    http_post, read_all,
 };
-use types::{Address, Clock, Span};
+use types::{Address, Clock, Milliseconds};
 
-const PATIENCE: Span = Span::seconds(5);
+const PATIENCE: Milliseconds = Milliseconds::seconds(5);
 
 /// Gives what the test feeds it.
 struct Fed(mpsc::Receiver<Option<&'static str>>);
@@ -46,10 +47,11 @@
     let (feed, fed) = mpsc::channel();
     let (drop_sender, dropped) = mpsc::channel();
     let fed = std::sync::Arc::new(std::sync::Mutex::new(Some(Fed(fed))));
-    let gate = Gate::open(Address::loopback(0).0, GateBounds::default()).unwrap();
-    let address = gate.address();
+    let http_server =
+        HttpServer::open(Address::loopback(0).0, HttpServerBounds::default()).unwrap();
+    let address = http_server.address();
     std::thread::spawn(move || {
-        gate.serve(move |_| {
+        http_server.serve(move |_| {
             let source = fed.lock().unwrap().take().expect("one request a gate");
             Response::streamed("text/plain", Box::new(Watched(source, drop_sender.clone())))
         });
@@ -61,7 +63,7 @@
 fn the_gate_gives_each_piece_when_it_is_there() {
     let (address, feed, _dropped) = fed_gate();
     feed.send(Some("one\n")).unwrap();
-    let response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+    let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     let mut lines = BufReader::new(response).lines();
     assert_eq!(lines.next().unwrap().unwrap(), "one");
     for piece in ["two\n", "three\n"] {
@@ -81,7 +83,7 @@
             .unwrap()
     });
     feed.send(None).unwrap();
-    let response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+    let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     assert_eq!(read_all(response, 1 << 20).unwrap().len(), 160_000);
 }
 
@@ -90,7 +92,7 @@
     let (address, feed, _dropped) = fed_gate();
     feed.send(Some("one\n")).unwrap();
     feed.send(Some("cut")).unwrap();
-    let mut response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+    let mut response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     let mut text = String::new();
     assert!(
         response.read_to_string(&mut text).is_err(),
@@ -102,7 +104,7 @@
 fn a_client_that_goes_away_is_noticed_between_pieces() {
     let (address, feed, dropped) = fed_gate();
     feed.send(Some("one\n")).unwrap();
-    let response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+    let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     drop(response);
     dropped
         .recv_timeout(Duration::from_secs(5))
@@ -136,7 +138,7 @@
             server.poll_timeout(Duration::from_millis(20));
         }
     });
-    let response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+    let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     let body = read_all(response, 1 << 20);
     drop(stop);
     // Should this fail one day, rouille no longer does so, and docs/style.md is to be looked at again.
@@ -169,7 +171,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nshort",
     ] {
         let address = raw_server(said);
-        let response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+        let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
         assert!(
             read_all(response, 100).is_err(),
             "taken for whole: {said:?}"
@@ -182,7 +184,7 @@
     let address = raw_server(
         "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
     );
-    let response = ask_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
+    let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     assert_eq!(response.status(), 302);
 }
 
@@ -192,25 +194,31 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let nobody = ask_post(&format!("http://{closed}/"), vec![1], PATIENCE, PATIENCE);
-    assert!(matches!(nobody, Err(AskError::Unsent(_))), "{nobody:?}");
+    let nobody = http_post(&format!("http://{closed}/"), vec![1], PATIENCE, PATIENCE);
+    assert!(
+        matches!(nobody, Err(HttpClientError::Unsent(_))),
+        "{nobody:?}"
+    );
     let mute = raw_server("");
-    let silence = ask_post(&format!("http://{mute}/"), vec![1], PATIENCE, PATIENCE);
-    assert!(matches!(silence, Err(AskError::Unknown(_))), "{silence:?}");
+    let silence = http_post(&format!("http://{mute}/"), vec![1], PATIENCE, PATIENCE);
+    assert!(
+        matches!(silence, Err(HttpClientError::Unknown(_))),
+        "{silence:?}"
+    );
 }
 
 #[test]
 fn slow_torn_and_oversize_requests_free_their_thread() {
-    let bounds = GateBounds {
+    let bounds = HttpServerBounds {
         connections: 8,
         body_bytes: 100,
-        read_span: Span(300),
-        ..GateBounds::default()
+        read_span: Milliseconds(300),
+        ..HttpServerBounds::default()
     };
-    let gate = Gate::open(Address::loopback(0).0, bounds).unwrap();
-    let (address, open_count) = (gate.address(), gate.open_count());
+    let http_server = HttpServer::open(Address::loopback(0).0, bounds).unwrap();
+    let (address, open_count) = (http_server.address(), http_server.open_count());
     std::thread::spawn(move || {
-        gate.serve(|request| Response::whole(200, "text/plain", request.body))
+        http_server.serve(|request| Response::whole(200, "text/plain", request.body))
     });
     let say = |text: &str| {
         let mut stream = TcpStream::connect(address.0).unwrap();
@@ -252,10 +260,11 @@
 #[test]
 fn a_request_that_may_not_leave_any_more_once_connected_runs_nowhere() {
     let taken = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let gate = Gate::open(Address::loopback(0).0, GateBounds::default()).unwrap();
-    let (address, counter) = (gate.address(), taken.clone());
+    let http_server =
+        HttpServer::open(Address::loopback(0).0, HttpServerBounds::default()).unwrap();
+    let (address, counter) = (http_server.address(), taken.clone());
     std::thread::spawn(move || {
-        gate.serve(move |_| {
+        http_server.serve(move |_| {
             counter.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
             Response::whole(200, "text/plain", "ran")
         });
@@ -275,7 +284,10 @@
     };
     for times in [0, 1] {
         let outcome = ask_once(times);
-        assert!(matches!(outcome, Err(AskError::Withheld)), "{outcome:?}");
+        assert!(
+            matches!(outcome, Err(HttpClientError::Withheld)),
+            "{outcome:?}"
+        );
         assert_eq!(
             asked.load(std::sync::atomic::Ordering::SeqCst),
             times + 1,
@@ -298,7 +310,7 @@
         .read(PATIENCE)
         .only_if(may_leave)
         .send(&url);
-    assert!(matches!(outcome, Err(AskError::Withheld)));
+    assert!(matches!(outcome, Err(HttpClientError::Withheld)));
     let mut text = String::new();
     listener
         .accept()
@@ -333,7 +345,7 @@
         kept.len()
     });
     for _ in 0..2 {
-        let heard = ask_get(&url, PATIENCE, PATIENCE).unwrap();
+        let heard = http_get(&url, PATIENCE, PATIENCE).unwrap();
         assert_eq!(read_all(heard, 100).unwrap(), b"ok");
     }
     // Should this fail one day, attohttpc pools, and docs/style.md is to be looked at again.
--- a/crates/transport/tests/lines.rs
+++ b/crates/transport/tests/lines.rs
@@ -7,16 +7,16 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use transport::{
-    CHECK_LIFE, Client, Gate, GateBounds, Line, LineError, LinePull, Lines, LinesBounds, Response,
-    Waits,
+    CHECK_LIFE, Client, ConnectionError, ConnectionPool, ConnectionPoolBounds, HttpServer,
+    HttpServerBounds, Line, LinePull, Response, Waits,
 };
-use types::{Address, Clock, Span};
+use types::{Address, Clock, Milliseconds};
 
-const PATIENCE: Span = Span::seconds(5);
-const BOUNDS: LinesBounds = LinesBounds {
+const PATIENCE: Milliseconds = Milliseconds::seconds(5);
+const BOUNDS: ConnectionPoolBounds = ConnectionPoolBounds {
     per_address: 0,
     idle_per_address: 4,
-    idle_span: Span::seconds(30),
+    idle_span: Milliseconds::seconds(30),
 };
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
@@ -40,16 +40,16 @@
     }
 }
 
-fn ask(lines: &Lines, to: SocketAddr) -> Result<Line, LineError> {
+fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<Line, ConnectionError> {
     lines.ask(to, request(), &waits())
 }
 
-fn read_all(line: &mut Line) -> Result<Bytes, LineError> {
+fn read_all(line: &mut Line) -> Result<Bytes, ConnectionError> {
     line.read_all(Clock::now() + PATIENCE, 1 << 20, None)
 }
 
 /// Asks, reads whole and keeps; tells whether the connection had been used before.
-fn ask_and_keep(lines: &Lines, to: SocketAddr) -> bool {
+fn ask_and_keep(lines: &ConnectionPool, to: SocketAddr) -> bool {
     let mut line = ask(lines, to).unwrap();
     assert_eq!(read_all(&mut line).unwrap(), "ok");
     let was_reused = line.was_reused();
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_connection_is_reused() {
-    let (lines, to) = (Lines::new(BOUNDS), answering(OK));
+    let (lines, to) = (ConnectionPool::new(BOUNDS), answering(OK));
     assert!(!ask_and_keep(&lines, to));
     assert!(ask_and_keep(&lines, to));
     assert!(ask_and_keep(&lines, to));
@@ -124,7 +124,7 @@
         sender.send(served.hear().unwrap()).unwrap();
         served.say(OK);
     });
-    read_all(&mut ask(&Lines::new(BOUNDS), to).unwrap()).unwrap();
+    read_all(&mut ask(&ConnectionPool::new(BOUNDS), to).unwrap()).unwrap();
     assert_eq!(
         heard.recv().unwrap(),
         "POST /a?b HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\n{}"
@@ -137,7 +137,7 @@
     let together = answering(
         "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad",
     );
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     assert!(!ask_and_keep(&lines, together));
     assert_eq!(lines.idle_count(together), 0);
     assert!(!ask_and_keep(&lines, together));
@@ -178,7 +178,7 @@
         drop(served);
         let _ = closed.send(());
     });
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     assert!(!ask_and_keep(&lines, to));
     is_closed.recv().unwrap();
     assert!(!ask_and_keep(&lines, to));
@@ -194,11 +194,11 @@
         // Read by half: closing then resets.
         let _ = served.0.read(&mut [0; 10]);
     });
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     assert!(!ask_and_keep(&lines, to));
     let outcome = ask(&lines, to);
     assert!(
-        matches!(outcome, Err(LineError::Unknown(_))),
+        matches!(outcome, Err(ConnectionError::Unknown(_))),
         "{:?}",
         outcome.err()
     );
@@ -211,10 +211,10 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     let outcome = ask(&lines, closed);
     assert!(
-        matches!(outcome, Err(LineError::Unsent(_))),
+        matches!(outcome, Err(ConnectionError::Unsent(_))),
         "{:?}",
         outcome.err()
     );
@@ -224,17 +224,17 @@
 #[test]
 fn a_silent_server_is_late() {
     let to = server(|_, mut served| while served.hear().is_some() {});
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     let outcome = lines.ask(
         to,
         request(),
         &Waits {
-            head_deadline: Clock::now() + Span(50),
+            head_deadline: Clock::now() + Milliseconds(50),
             ..waits()
         },
     );
     assert!(
-        matches!(outcome, Err(LineError::Late(_))),
+        matches!(outcome, Err(ConnectionError::Late(_))),
         "{:?}",
         outcome.err()
     );
@@ -248,7 +248,7 @@
         let _ = served.0.read_to_end(&mut all);
         sender.send(all.len()).unwrap();
     });
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     for times in [0, 1] {
         let asked = Cell::new(0);
         let may_leave = || asked.replace(asked.get() + 1) < times;
@@ -261,7 +261,7 @@
             },
         );
         assert!(
-            matches!(outcome, Err(LineError::Withheld)),
+            matches!(outcome, Err(ConnectionError::Withheld)),
             "{:?}",
             outcome.err()
         );
@@ -282,7 +282,7 @@
         },
     );
     assert!(
-        matches!(outcome, Err(LineError::Withheld)),
+        matches!(outcome, Err(ConnectionError::Withheld)),
         "{:?}",
         outcome.err()
     );
@@ -290,7 +290,7 @@
 }
 
 /// Waits until the clock has gone on by this much.
-fn pass(span: Span) {
+fn pass(span: Milliseconds) {
     let deadline = Clock::now() + span;
     while Clock::now() <= deadline {
         std::thread::yield_now();
@@ -299,7 +299,7 @@
 
 /// Asks where the check right before the first byte grows old at once, and the check anew says this; tells
 /// the outcome and the bytes that came.
-fn ask_after_stall(may_still_leave: bool) -> (Result<Bytes, LineError>, usize) {
+fn ask_after_stall(may_still_leave: bool) -> (Result<Bytes, ConnectionError>, usize) {
     let (sender, heard) = mpsc::channel();
     let to = server(move |_, mut served| {
         let mut all = served.hear().unwrap_or_default().into_bytes();
@@ -316,7 +316,7 @@
         }
         asked.get() < 3 || may_still_leave
     };
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     let outcome = lines.ask(
         to,
         request(),
@@ -333,7 +333,7 @@
 #[test]
 fn a_check_that_has_grown_old_before_the_first_byte_is_made_again() {
     // As when the process stands still between the check and the write.
-    assert_eq!(ask_after_stall(false), (Err(LineError::Withheld), 0));
+    assert_eq!(ask_after_stall(false), (Err(ConnectionError::Withheld), 0));
     let (outcome, bytes) = ask_after_stall(true);
     assert_eq!(outcome, Ok("ok".into()));
     assert!(bytes > 0);
@@ -362,7 +362,7 @@
             }
             true
         };
-        let outcome = Lines::new(BOUNDS).ask(
+        let outcome = ConnectionPool::new(BOUNDS).ask(
             to,
             request(),
             &Waits {
@@ -371,7 +371,7 @@
             },
         );
         assert!(
-            matches!(outcome, Err(LineError::Unsent(_))),
+            matches!(outcome, Err(ConnectionError::Unsent(_))),
             "{said:?}: {:?}",
             outcome.err()
         );
@@ -402,18 +402,18 @@
             served.hear();
             served.say(said);
         });
-        let lines = Lines::new(BOUNDS);
+        let lines = ConnectionPool::new(BOUNDS);
         match ask(&lines, to) {
             Ok(mut line) => {
                 let outcome = read_all(&mut line);
                 assert!(
-                    matches!(outcome, Err(LineError::Unknown(_))),
+                    matches!(outcome, Err(ConnectionError::Unknown(_))),
                     "{said:?}: {outcome:?}"
                 );
                 line.keep();
             }
             Err(fault) => assert!(
-                matches!(fault, LineError::Unknown(_)),
+                matches!(fault, ConnectionError::Unknown(_)),
                 "{said:?}: {fault:?}"
             ),
         }
@@ -426,7 +426,7 @@
     let to = answering(
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
     );
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     let mut line = ask(&lines, to).unwrap();
     assert_eq!(
         (line.head().status.as_u16(), read_all(&mut line).unwrap()),
@@ -445,7 +445,7 @@
         served.say(OK);
         let _ = wait.lock().unwrap().recv();
     });
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     // More than the buffers between the two hold.
     let large = http::Request::post("/a")
         .header("host", "a")
@@ -457,7 +457,7 @@
     line.keep();
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (0, 0));
     drop(done);
-    let (lines, to) = (Lines::new(BOUNDS), answering(OK));
+    let (lines, to) = (ConnectionPool::new(BOUNDS), answering(OK));
     let mut line = ask(&lines, to).unwrap();
     assert!(line.is_sole_answer(), "the first one");
     read_all(&mut line).unwrap();
@@ -472,9 +472,9 @@
         served.0.shutdown(std::net::Shutdown::Write).unwrap();
         served.hear();
     });
-    let outcome = ask(&Lines::new(BOUNDS), to);
+    let outcome = ask(&ConnectionPool::new(BOUNDS), to);
     assert!(
-        matches!(outcome, Err(LineError::Unknown(_))),
+        matches!(outcome, Err(ConnectionError::Unknown(_))),
         "{:?}",
         outcome.err()
     );
@@ -491,13 +491,13 @@
             }
             let _ = served.0.read(&mut [0; 1]);
         });
-        let lines = Lines::new(BOUNDS);
+        let lines = ConnectionPool::new(BOUNDS);
         if is_reused {
             ask_and_keep(&lines, to);
         }
         let outcome = ask(&lines, to);
         assert!(
-            matches!(outcome, Err(LineError::Unknown(_))),
+            matches!(outcome, Err(ConnectionError::Unknown(_))),
             "reused {is_reused}: {:?}",
             outcome.err()
         );
@@ -507,18 +507,18 @@
 
 /// A client of a gate, and the connection that it called on.
 fn client() -> (Client, TcpStream, mpsc::Sender<()>) {
-    let gate = Gate::open(
+    let http_server = HttpServer::open(
         Address::loopback(0).0,
-        GateBounds {
+        HttpServerBounds {
             keep_alive: true,
-            ..GateBounds::default()
+            ..HttpServerBounds::default()
         },
     )
     .unwrap();
-    let address = gate.address();
+    let address = http_server.address();
     let (sender, clients) = mpsc::channel();
     std::thread::spawn(move || {
-        gate.serve(move |request| {
+        http_server.serve(move |request| {
             let (end, ended) = mpsc::channel();
             sender.send((request.client, end)).unwrap();
             let _ = ended.recv();
@@ -553,7 +553,7 @@
                 heard.recv().unwrap();
                 drop(stream);
             });
-            let lines = Lines::new(BOUNDS);
+            let lines = ConnectionPool::new(BOUNDS);
             let outcome = lines.ask(
                 to,
                 request(),
@@ -565,9 +565,11 @@
             match outcome {
                 Ok(mut line) => {
                     let outcome = line.read_all(Clock::now() + PATIENCE, 100, Some(&client));
-                    assert_eq!(outcome, Err(LineError::ClientGone));
+                    assert_eq!(outcome, Err(ConnectionError::ClientGone));
+                }
+                Err(fault) => {
+                    assert_eq!(fault, ConnectionError::ClientGone, "{pipelined:?} {said:?}")
                 }
-                Err(fault) => assert_eq!(fault, LineError::ClientGone, "{pipelined:?} {said:?}"),
             }
             drop(end);
         }
@@ -586,11 +588,11 @@
             served.hear();
             served.say(said);
         });
-        let lines = Lines::new(BOUNDS);
+        let lines = ConnectionPool::new(BOUNDS);
         let mut line = ask(&lines, to).unwrap();
         let outcome = read_all(&mut line);
         assert!(
-            matches!(outcome, Err(LineError::Unknown(_))),
+            matches!(outcome, Err(ConnectionError::Unknown(_))),
             "{said:?}: {outcome:?}"
         );
         drop(line);
@@ -609,9 +611,9 @@
 #[test]
 fn what_is_not_http_is_unknown() {
     let to = answering("certainly not\r\n\r\n");
-    let outcome = ask(&Lines::new(BOUNDS), to);
+    let outcome = ask(&ConnectionPool::new(BOUNDS), to);
     assert!(
-        matches!(outcome, Err(LineError::Unknown(_))),
+        matches!(outcome, Err(ConnectionError::Unknown(_))),
         "{:?}",
         outcome.err()
     );
@@ -619,7 +621,7 @@
 
 #[test]
 fn what_the_server_says_of_keeping_is_honoured() {
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     for (said, is_kept) in [
         (
             "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok",
@@ -644,19 +646,19 @@
         assert_eq!(lines.idle_count(to) == 1, is_kept, "{said}");
     }
     // One second means half of one; a short time of ours ends as well.
-    let short = LinesBounds {
-        idle_span: Span(50),
+    let short = ConnectionPoolBounds {
+        idle_span: Milliseconds(50),
         ..BOUNDS
     };
     for (said, span, bounds) in [
         (
             "HTTP/1.1 200 OK\r\nkeep-alive: timeout=1\r\ncontent-length: 2\r\n\r\nok",
-            Span(500),
+            Milliseconds(500),
             BOUNDS,
         ),
-        (OK, Span(50), short),
+        (OK, Milliseconds(50), short),
     ] {
-        let (lines, to) = (Lines::new(bounds), answering(said));
+        let (lines, to) = (ConnectionPool::new(bounds), answering(said));
         ask_and_keep(&lines, to);
         let deadline = Clock::now() + span;
         while Clock::now() <= deadline {
@@ -671,7 +673,7 @@
 #[test]
 fn a_body_read_by_half_is_not_kept() {
     let (lines, to) = (
-        Lines::new(BOUNDS),
+        ConnectionPool::new(BOUNDS),
         answering("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
     );
     let mut line = ask(&lines, to).unwrap();
@@ -690,17 +692,17 @@
 #[test]
 fn an_address_has_its_bound() {
     let (lines, to) = (
-        Lines::new(LinesBounds {
+        ConnectionPool::new(ConnectionPoolBounds {
             per_address: 2,
             ..BOUNDS
         }),
         answering(OK),
     );
     let (first, second) = (ask(&lines, to).unwrap(), ask(&lines, to).unwrap());
-    assert!(matches!(ask(&lines, to), Err(LineError::Full)));
+    assert!(matches!(ask(&lines, to), Err(ConnectionError::Full)));
     lines.set_per_address(to, 3);
     let third = ask(&lines, to).unwrap();
-    assert!(matches!(ask(&lines, to), Err(LineError::Full)));
+    assert!(matches!(ask(&lines, to), Err(ConnectionError::Full)));
     drop((first, second));
     assert_eq!(lines.open_count(to), 1);
     drop(third);
@@ -711,7 +713,7 @@
 #[test]
 fn the_newest_is_taken_and_the_oldest_given_up() {
     let (lines, to) = (
-        Lines::new(LinesBounds {
+        ConnectionPool::new(ConnectionPoolBounds {
             idle_per_address: 2,
             ..BOUNDS
         }),
@@ -750,7 +752,7 @@
         }
         served.hear();
     });
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     let mut line = ask(&lines, to).unwrap();
     assert_eq!(line.pull(Duration::ZERO, None), LinePull::Nothing);
     for wanted in [
@@ -788,7 +790,7 @@
             .map(|i: u32| (i % 251) as u8)
             .collect::<Vec<_>>(),
     );
-    let lines = Lines::new(BOUNDS);
+    let lines = ConnectionPool::new(BOUNDS);
     let request = http::Request::post("/")
         .header("host", "a")
         .body(body.clone())
--- a/crates/transport/tests/upstream_fuzz.rs
+++ b/crates/transport/tests/upstream_fuzz.rs
@@ -6,11 +6,11 @@
 use proptest::test_runner::{Config, TestCaseError, TestRunner};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
-use transport::{Line, LineError, Lines, LinesBounds, Waits};
-use types::{Clock, Span};
+use transport::{ConnectionError, ConnectionPool, ConnectionPoolBounds, Line, Waits};
+use types::{Clock, Milliseconds};
 
 const CASES: u32 = 1500;
-const PATIENCE: Span = Span::seconds(10);
+const PATIENCE: Milliseconds = Milliseconds::seconds(10);
 const SECOND: &str = "HTTP/1.1 200 OK\r\nx-call: two\r\ncontent-length: 6\r\n\r\nsecond";
 
 fn always() -> bool {
@@ -209,7 +209,7 @@
         })
 }
 
-fn ask(lines: &Lines, to: SocketAddr) -> Result<(Line, Bytes), LineError> {
+fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<(Line, Bytes), ConnectionError> {
     let request = http::Request::post("/")
         .header("host", "a")
         .body(Bytes::from_static(b"{}"))
@@ -240,10 +240,10 @@
     );
     let whole_counter = std::cell::Cell::new(0);
     let outcome = runner.run(&answers(), |said| {
-        let lines = Lines::new(LinesBounds {
+        let lines = ConnectionPool::new(ConnectionPoolBounds {
             per_address: 0,
             idle_per_address: 4,
-            idle_span: Span::seconds(30),
+            idle_span: Milliseconds::seconds(30),
         });
         let to = server(said.clone());
         match ask(&lines, to) {
@@ -252,14 +252,14 @@
                 prop_assert_eq!(Some(body.to_vec()), strict_body(&said), "taken as whole");
                 line.keep();
             }
-            Err(fault) => prop_assert!(matches!(fault, LineError::Unknown(_)), "{:?}", fault),
+            Err(fault) => prop_assert!(matches!(fault, ConnectionError::Unknown(_)), "{:?}", fault),
         }
         match ask(&lines, to) {
             Ok((line, body)) => {
                 prop_assert_eq!(&body[..], b"second");
                 prop_assert!(!line.was_reused());
             }
-            Err(fault) => prop_assert!(matches!(fault, LineError::Unknown(_)), "{:?}", fault),
+            Err(fault) => prop_assert!(matches!(fault, ConnectionError::Unknown(_)), "{:?}", fault),
         }
         Ok::<(), TestCaseError>(())
     });
--- a/crates/types/src/splice.rs
+++ b/crates/types/src/delta.rs
@@ -3,7 +3,7 @@
 messages! {
     /// What turns one plan's bytes into another's: at `start`, so many bytes go and these come.
     #[derive(Eq, Default)]
-    pub struct Splice {
+    pub struct Delta {
         /// From this byte.
         pub start: u64,
         /// So many go.
@@ -13,9 +13,9 @@
     }
 }
 
-impl Splice {
+impl Delta {
     /// The shortest that makes `new` of `old` in one place.
-    pub fn between(old: &[u8], new: &[u8]) -> Splice {
+    pub fn between(old: &[u8], new: &[u8]) -> Delta {
         let most = old.len().min(new.len());
         let start = old
             .iter()
@@ -25,7 +25,7 @@
         let tail = old.iter().rev().zip(new.iter().rev()).take(most - start);
         let kept = tail.take_while(|(one, other)| one == other).count();
         let removed = (old.len() - kept - start) as u64;
-        Splice {
+        Delta {
             start: start as u64,
             removed,
             inserted: new[start..new.len() - kept].to_vec(),
@@ -33,7 +33,7 @@
     }
     /// What it makes of these bytes; `None` if it isn't for them.
     pub fn apply(&self, old: &[u8]) -> Option<Vec<u8>> {
-        unwind(old, [self])
+        revert(old, [self])
     }
     /// Whether it is for bytes of this length.
     pub fn fits(&self, old: &[u8]) -> bool {
@@ -42,11 +42,11 @@
             .is_some_and(|end| end <= old.len() as u64)
     }
     /// What turns the new bytes back into `old`.
-    pub fn reverse(&self, old: &[u8]) -> Option<Splice> {
+    pub fn reverse(&self, old: &[u8]) -> Option<Delta> {
         let start = usize::try_from(self.start).ok()?;
         let end = start.checked_add(usize::try_from(self.removed).ok()?)?;
         let inserted = old.get(start..end)?.to_vec();
-        Some(Splice {
+        Some(Delta {
             start: self.start,
             removed: self.inserted.len() as u64,
             inserted,
@@ -55,15 +55,15 @@
 }
 
 /// Applies splices one after another. The bytes are copied once, however many splices there are.
-pub fn unwind<'a>(
+pub fn revert<'a>(
     bytes: &'a [u8],
-    splices: impl IntoIterator<Item = &'a Splice>,
+    splices: impl IntoIterator<Item = &'a Delta>,
 ) -> Option<Vec<u8>> {
     let mut parts: Vec<&[u8]> = vec![bytes];
-    for splice in splices {
-        let (mut left, right) = cut(parts, usize::try_from(splice.start).ok()?)?;
-        let (_, rest) = cut(right, usize::try_from(splice.removed).ok()?)?;
-        left.push(&splice.inserted);
+    for delta in splices {
+        let (mut left, right) = cut(parts, usize::try_from(delta.start).ok()?)?;
+        let (_, rest) = cut(right, usize::try_from(delta.removed).ok()?)?;
+        left.push(&delta.inserted);
         left.extend(rest);
         parts = left;
     }
--- a/crates/types/src/splice/tests.rs
+++ b/crates/types/src/delta/tests.rs
@@ -18,14 +18,14 @@
             let fresh: Vec<u8> = (0..draw(9)).map(|_| b'a' + draw(3) as u8).collect();
             next.splice(start.min(end)..start.max(end), fresh);
             let old = &versions[versions.len() - 1];
-            let splice = Splice::between(old, &next);
-            back.push(splice.reverse(old).expect("it is for the old"));
-            forth.push(splice);
+            let delta = Delta::between(old, &next);
+            back.push(delta.reverse(old).expect("it is for the old"));
+            forth.push(delta);
             versions.push(next);
         }
         let newest = &versions[versions.len() - 1];
         for (place, version) in versions.iter().enumerate() {
-            let found = unwind(newest, back[place..].iter().rev());
+            let found = revert(newest, back[place..].iter().rev());
             assert_eq!(
                 found.as_ref(),
                 Some(version),
@@ -33,12 +33,12 @@
             );
         }
         assert_eq!(
-            unwind(&versions[0], &forth).as_ref(),
+            revert(&versions[0], &forth).as_ref(),
             Some(newest),
             "seed {seed}, forth"
         );
     }
-    let wide = Splice {
+    let wide = Delta {
         start: 3,
         removed: 9,
         inserted: vec![],
--- a/crates/types/src/epoch.rs
+++ b/crates/types/src/epoch.rs
@@ -29,11 +29,11 @@
     /// Numbers the configurations (what operators had accepted). Zero: none yet.
     ///
     /// Invariant: grows by one with each accepted change; a node never goes back.
-    Epoch
+    ConfigEpoch
     /// Numbers the views of the control core. Zero: before the founding.
     ///
     /// Invariant: for each number at most one view is ever decided.
-    ViewEpoch
+    ViewNumber
     /// Numbers the changes in the chain, from 1 without gaps.
-    Seq
+    SequenceNumber
 }
--- a/crates/types/src/moment.rs
+++ b/crates/types/src/moment.rs
@@ -22,7 +22,7 @@
     serde::Deserialize,
 )]
 #[serde(transparent)]
-pub struct Moment(pub u64);
+pub struct MonotonicInstant(pub u64);
 
 /// A length of time in milliseconds.
 #[derive(
@@ -42,7 +42,7 @@
     serde::Deserialize,
 )]
 #[serde(transparent)]
-pub struct Span(pub u64);
+pub struct Milliseconds(pub u64);
 
 /// Reads the clock that moments are on.
 #[derive(Debug, Clone, Copy, Default)]
@@ -50,44 +50,44 @@
 
 impl Clock {
     /// Now, from `CLOCK_BOOTTIME`: it goes on while the machine is suspended.
-    pub fn now() -> Moment {
+    pub fn now() -> MonotonicInstant {
         let reading = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-        Moment(reading.tv_sec as u64 * 1000 + reading.tv_nsec as u64 / 1_000_000)
+        MonotonicInstant(reading.tv_sec as u64 * 1000 + reading.tv_nsec as u64 / 1_000_000)
     }
 }
 
-impl Moment {
+impl MonotonicInstant {
     /// How long ago `earlier` was; zero if it's still to come.
-    pub fn since(self, earlier: Moment) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: MonotonicInstant) -> Milliseconds {
+        Milliseconds(self.0.saturating_sub(earlier.0))
     }
     /// How long until `deadline`; zero if it has passed.
-    pub fn until(self, deadline: Moment) -> Span {
+    pub fn until(self, deadline: MonotonicInstant) -> Milliseconds {
         deadline.since(self)
     }
 }
 
-impl Span {
+impl Milliseconds {
     /// As the standard library's type.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
     /// This many seconds.
-    pub const fn seconds(count: u64) -> Span {
-        Span(count * 1000)
+    pub const fn seconds(count: u64) -> Milliseconds {
+        Milliseconds(count * 1000)
     }
 }
 
-impl Add<Span> for Moment {
-    type Output = Moment;
-    fn add(self, span: Span) -> Moment {
-        Moment(self.0.saturating_add(span.0))
+impl Add<Milliseconds> for MonotonicInstant {
+    type Output = MonotonicInstant;
+    fn add(self, span: Milliseconds) -> MonotonicInstant {
+        MonotonicInstant(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Moment {
-    type Output = Moment;
-    fn sub(self, span: Span) -> Moment {
-        Moment(self.0.saturating_sub(span.0))
+impl Sub<Milliseconds> for MonotonicInstant {
+    type Output = MonotonicInstant;
+    fn sub(self, span: Milliseconds) -> MonotonicInstant {
+        MonotonicInstant(self.0.saturating_sub(span.0))
     }
 }
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -16,7 +16,7 @@
             }
             /// Whether it may stand in a path, a log line or a configuration: 1 to 64 letters, digits,
             /// or `-_.:`.
-            pub fn is_sound(&self) -> bool {
+            pub fn is_healthy(&self) -> bool {
                 let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
                 (1..=64).contains(&self.0.len()) && self.0.chars().all(is_plain)
             }
--- a/crates/types/src/names/tests.rs
+++ b/crates/types/src/names/tests.rs
@@ -8,6 +8,6 @@
     slash = { "a/b", false },
     newline = { "a\nb", false },
 )]
-fn only_plain_names_are_sound(text: &str, is_sound: bool) {
-    assert_eq!(ServiceName::from(text).is_sound(), is_sound);
+fn only_plain_names_are_sound(text: &str, is_healthy: bool) {
+    assert_eq!(ServiceName::from(text).is_healthy(), is_healthy);
 }
--- a/crates/types/src/result_code.rs
+++ b/crates/types/src/result_code.rs
@@ -1,4 +1,4 @@
-use crate::moment::Span;
+use crate::moment::Milliseconds;
 use std::fmt;
 
 macro_rules! result_codes {
@@ -26,9 +26,9 @@
                 match self { $(ResultCode::$name => $http),* }
             }
             /// When coming back helps, if it does: said as `retry-after` unless something later is known.
-            pub fn comes_back(self) -> Option<Span> {
+            pub fn comes_back(self) -> Option<Milliseconds> {
                 let seconds = match self { $(ResultCode::$name => $back),* };
-                (seconds > 0).then(|| Span::seconds(seconds))
+                (seconds > 0).then(|| Milliseconds::seconds(seconds))
             }
             /// Its short name.
             pub fn word(self) -> &'static str {
@@ -80,7 +80,7 @@
     TooOldToKnow = 311, 410, 0, "too-old-to-know", "It is older than the changes that are remembered: nothing changed now, and whether it was accepted once is not known.";
     NoLongerKept = 312, 410, 0, "no-longer-kept", "It was accepted so long ago, or is so large, that what was sent is no longer kept.";
     Overtaken = 313, 503, 1, "overtaken", "A later change of this zone was accepted first; nothing changed. Send it again if it is still wanted.";
-    BadLetter = 400, 400, 0, "bad-letter", "An inner letter was torn, too long or failed its check.";
+    BadMessage = 400, 400, 0, "bad-letter", "An inner letter was torn, too long or failed its check.";
     WrongProtocol = 401, 400, 0, "wrong-protocol", "The peer speaks another version of the inner protocol.";
     BadSettings = 402, 500, 0, "bad-settings", "The settings can't be used; exit code 2.";
     DiskFault = 403, 500, 1, "disk-fault", "The disk refused a write; this controller steps out of the chain.";
--- a/crates/types/tests/golden.rs
+++ b/crates/types/tests/golden.rs
@@ -4,8 +4,8 @@
 mod golden_file;
 
 use types::{
-    Address, ApiKey, ApiKeys, DiskId, Epoch, Moment, RequestId, ResultCode, RunId, Seq, ServerName,
-    ServiceName, Span, TenantName, ViewEpoch, ZoneName,
+    Address, ApiKey, ApiKeys, ConfigEpoch, DiskId, Milliseconds, MonotonicInstant, RequestId,
+    ResultCode, RunId, SequenceNumber, ServerName, ServiceName, TenantName, ViewNumber, ZoneName,
 };
 
 #[test]
@@ -32,11 +32,11 @@
     let lines = [
         json(&Address::loopback(7100)),
         json(&address),
-        json(&Epoch(1)),
-        json(&ViewEpoch(2)),
-        json(&Seq(3)),
-        json(&Moment(4)),
-        json(&Span(5)),
+        json(&ConfigEpoch(1)),
+        json(&ViewNumber(2)),
+        json(&SequenceNumber(3)),
+        json(&MonotonicInstant(4)),
+        json(&Milliseconds(5)),
         json(&ZoneName::from("north")),
         json(&RequestId::from("r-1")),
         json(&RunId::from("run-1")),
@@ -47,7 +47,7 @@
         Address::loopback(7100).to_string(),
         address.to_string(),
         DiskId(0xfeed).to_string(),
-        Epoch(1).to_string(),
+        ConfigEpoch(1).to_string(),
     ];
     golden_file::compare_json_lines("ids.txt", &lines);
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! What our processes say to each other, and how a letter is framed. No I/O of its own.
 
-mod letter;
+mod message;
 mod seal;
 
-pub use letter::{
-    ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState,
-    ListVersion, Member, News, Poll, PollResponse, Reading, SPLICE_MOST,
+pub use message::{
+    ConfigUpdate, ControllerContact, CoreLocation, DigestLeg, LeaseRequest, LeaseResponse,
+    ListChange, ListState, ListVersion, Member, Message, Query, SPLICE_MOST, ServerListChunk,
 };
-pub use seal::{PROTOCOL, SealFault, open, seal};
+pub use seal::{PROTOCOL, SealError, open, seal};
--- a/crates/wire/src/letter.rs
+++ b/crates/wire/src/message.rs
@@ -1,7 +1,9 @@
 use placement::{DigestChange, ServerEntry};
 use quota::{CreditAsk, CreditGrant};
 use replication::Note;
-use types::{Address, Epoch, ServerName, Span, Splice, TokenKey, ViewEpoch, ZoneName, messages};
+use types::{
+    Address, ConfigEpoch, Delta, Milliseconds, ServerName, TokenKey, ViewNumber, ZoneName, messages,
+};
 
 messages! {
     /// A node of the data plane, as others see it.
@@ -14,34 +16,34 @@
     }
 
     /// A member asks the core for a lease and for news.
-    pub struct Poll {
+    pub struct LeaseRequest {
         /// Who asks.
         pub member: Member,
         /// Tells polls of one life apart.
         pub round: u64,
         /// The newest epoch that it has whole.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// The view whose voters it knows.
-        pub view: ViewEpoch,
+        pub view: ViewNumber,
         /// Whether it has the token key.
         pub has_key: bool,
         /// Other nodes that it has heard lately.
-        pub hears: Vec<Address>,
+        pub reachable_peers: Vec<Address>,
     }
 
     /// What is in force, but for the plan itself.
     #[derive(Eq)]
-    pub struct News {
+    pub struct ConfigUpdate {
         /// The newest epoch.
-        pub epoch: Epoch,
+        pub epoch: ConfigEpoch,
         /// The epoch of the plan in force, to be asked for if not held.
-        pub plan_epoch: Epoch,
+        pub plan_epoch: ConfigEpoch,
         /// Zones that are withdrawn.
         pub withdrawn: Vec<ZoneName>,
         /// The members; left out for one that knows them, as all do who have an epoch from `members_since` on.
         pub members: Option<Vec<Member>>,
         /// The epoch at which the members last changed.
-        pub members_since: Epoch,
+        pub members_since: ConfigEpoch,
     }
 
     /// Which way a digest goes.
@@ -59,7 +61,7 @@
     #[derive(Copy, Eq, PartialOrd, Ord)]
     pub struct ListVersion {
         /// The life of the node that first read it.
-        pub life: u64,
+        pub incarnation: u64,
         /// Grows by one with each list that this life found changed.
         pub number: u64,
     }
@@ -72,9 +74,9 @@
         /// A hash of its entries, without how long they are cold.
         pub check: u64,
         /// How long all of them together are still cold.
-        pub cold: Span,
+        pub cold: Milliseconds,
         /// How long ago the reading began that it is from, or was last confirmed by.
-        pub age: Span,
+        pub age: Milliseconds,
     }
 
     /// What makes a list of servers of the one before.
@@ -92,7 +94,7 @@
 
     /// A piece of a list of servers.
     #[derive(Eq)]
-    pub struct ListPiece {
+    pub struct ServerListChunk {
         /// The list.
         pub state: ListState,
         /// From this entry on.
@@ -104,11 +106,11 @@
     }
 
     /// What the core answers to a poll.
-    pub enum PollResponse {
+    pub enum LeaseResponse {
         /// Ask that one; these are the core's machines.
         Elsewhere {
             /// The view that this is of: one that was away may know but an old one.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// The tail, if known.
             tail: Option<Address>,
             /// All voters.
@@ -117,13 +119,13 @@
         /// A lease, reckoned from when the poll was sent. What the asker has is not said again.
         Lease {
             /// For this long.
-            span: Span,
+            span: Milliseconds,
             /// The newest epoch.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
             /// The news, if the asker's is older.
-            news: Option<News>,
+            update: Option<ConfigUpdate>,
             /// The view.
-            view: ViewEpoch,
+            view: ViewNumber,
             /// The core's machines, if the asker knows another view's.
             voters: Vec<Address>,
             /// What tokens are checked with, once it was drawn, if the asker lacks it.
@@ -132,18 +134,18 @@
     }
 
     /// What an operator wants read at the tail.
-    pub enum Reading {
+    pub enum Query {
         /// The newest state, without plans.
         Latest,
         /// The plan in force behind its epoch (eight bytes), for a change to be merged into.
         Base {
             /// Known to whoever responds at least up to this epoch.
-            at_least: Epoch,
+            at_least: ConfigEpoch,
         },
         /// What was accepted as this epoch.
-        Epoch {
+        ConfigEpoch {
             /// It.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
         },
         /// Whether these members, said to be lost, are heard by the core or by any member.
         Heard {
@@ -171,7 +173,7 @@
         /// By operators.
         pub admin: Address,
         /// How long ago it was last heard, by whoever heard it.
-        pub age: Span,
+        pub age: Milliseconds,
     }
 
     /// Where the core is, as far as a controller knows. Whoever has just started knows but its seeds, and these may
@@ -179,7 +181,7 @@
     #[derive(Eq)]
     pub struct CoreLocation {
         /// The newest view known; zero: none.
-        pub view: ViewEpoch,
+        pub view: ViewNumber,
         /// Its voters.
         pub voters: Vec<Address>,
         /// Controllers with a disk that were heard lately.
@@ -187,46 +189,46 @@
     }
 
     /// All letters.
-    pub enum Letter {
+    pub enum Message {
         /// Between replicas of the core.
         Note {
             /// It.
             note: Box<Note>,
         },
         /// From a member to the core.
-        Poll {
+        LeaseRequest {
             /// It.
-            poll: Box<Poll>,
+            poll: Box<LeaseRequest>,
         },
         /// From the core to a member.
-        PollResponse {
+        LeaseResponse {
             /// Of the poll.
             round: u64,
             /// It.
-            response: Box<PollResponse>,
+            response: Box<LeaseResponse>,
         },
         /// Asks for a plan, by pieces, from the core or from a peer.
-        PlanAsk {
+        PlanRequest {
             /// The epoch it was accepted as.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
             /// From this byte.
             offset: u64,
             /// The epoch of the plan that the asker holds.
-            have: Epoch,
+            have: ConfigEpoch,
         },
         /// What makes a plan of the one before, for one that holds that.
-        PlanSplice {
+        PlanDelta {
             /// The epoch it was accepted as.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
             /// The epoch of the plan before.
-            base: Epoch,
+            base: ConfigEpoch,
             /// It.
-            splice: Splice,
+            delta: Delta,
         },
         /// A piece of a plan as it is in force.
-        PlanPiece {
+        PlanChunk {
             /// The epoch it was accepted as.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
             /// From this byte.
             offset: u64,
             /// The length of the whole.
@@ -235,32 +237,32 @@
             bytes: Vec<u8>,
         },
         /// News, unasked from the core, or asked for from a peer.
-        News {
+        ConfigUpdate {
             /// It.
-            news: Box<News>,
+            update: Box<ConfigUpdate>,
         },
         /// Asks a peer for its news.
-        NewsAsk,
+        ConfigUpdateRequest,
         /// From a member whose lease is about to lapse, or has: who is there, and what is known?
         PeerCheckRequest {
             /// Tells the checks of one life apart.
             round: u64,
             /// The newest epoch that the asker has whole.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
         },
         /// The answer of whoever gets it.
         PeerCheckResponse {
             /// The round that it answers.
             echo: u64,
             /// The newest epoch that the sender has whole. Zero from one that never held a lease.
-            epoch: Epoch,
+            epoch: ConfigEpoch,
         },
         /// A digest, as what changed since the letter before on the same leg.
         Digest {
             /// The leg.
             leg: DigestLeg,
             /// The sender's life.
-            life: u64,
+            incarnation: u64,
             /// Grows by one with each letter of a leg.
             number: u64,
             /// Whether the change is from nothing, not from the letter before.
@@ -286,23 +288,23 @@
             change: Box<ListChange>,
         },
         /// Asks a zone's collector for its whole list of servers, piece by piece.
-        ListAsk {
+        ServerListRequest {
             /// The version that the asker has begun to take.
             version: ListVersion,
             /// From this entry on.
             offset: u32,
         },
         /// The answer.
-        ListPiece {
+        ServerListChunk {
             /// It; from the beginning if the version is another by now.
-            piece: Box<ListPiece>,
+            piece: Box<ServerListChunk>,
         },
         /// Between controllers: something to be read at the tail.
         Ask {
             /// The asker's number, which no other question or proposal of its has in all its lives.
             number: u64,
             /// What.
-            reading: Box<Reading>,
+            reading: Box<Query>,
         },
         /// The tail's answer: a status and a body for HTTP.
         Told {
@@ -338,22 +340,22 @@
 /// A splice that is longer goes by pieces of the whole plan.
 pub const SPLICE_MOST: usize = PIECE;
 
-impl Letter {
+impl Message {
     /// Whether it's small, goes to many at once, and is asked for again when lost.
     pub fn is_datagram(&self) -> bool {
         matches!(
             self,
-            Letter::PeerCheckRequest { .. }
-                | Letter::PeerCheckResponse { .. }
-                | Letter::ListFresh { .. }
-                | Letter::CoreLocation { .. }
+            Message::PeerCheckRequest { .. }
+                | Message::PeerCheckResponse { .. }
+                | Message::ListFresh { .. }
+                | Message::CoreLocation { .. }
         )
     }
     /// The piece of a plan from this byte on; `None` beyond its end.
-    pub fn plan_piece(epoch: Epoch, plan: &[u8], offset: u64) -> Option<Letter> {
+    pub fn plan_chunk(epoch: ConfigEpoch, plan: &[u8], offset: u64) -> Option<Message> {
         let rest = plan.get(usize::try_from(offset).ok()?..)?;
         let bytes = rest[..rest.len().min(PIECE)].to_vec();
-        Some(Letter::PlanPiece {
+        Some(Message::PlanChunk {
             epoch,
             offset,
             length: plan.len() as u64,
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -1,4 +1,4 @@
-use crate::letter::Letter;
+use crate::message::Message;
 use std::io::{self, Read};
 use types::{Address, ResultCode};
 
@@ -14,7 +14,7 @@
 
 /// Why a letter could not be opened. The connection it came on is given up.
 #[derive(Debug, thiserror::Error)]
-pub enum SealFault {
+pub enum SealError {
     /// The line ended or failed.
     #[error("the line failed: {0}")]
     Io(#[from] io::Error),
@@ -26,28 +26,28 @@
     Protocol(u16),
 }
 
-impl SealFault {
+impl SealError {
     /// Its numbered code.
     pub fn code(&self) -> ResultCode {
         match self {
-            SealFault::Protocol(_) => ResultCode::WrongProtocol,
-            _ => ResultCode::BadLetter,
+            SealError::Protocol(_) => ResultCode::WrongProtocol,
+            _ => ResultCode::BadMessage,
         }
     }
 }
 
 /// Snapshots a letter: magic, protocol, the sender's port and IP number, length, check, body.
-pub fn seal(from: Address, letter: &Letter) -> Result<Vec<u8>, SealFault> {
-    let body = rkyv::to_bytes::<rkyv::rancor::Error>(letter)
-        .map_err(|fault| SealFault::Bad(fault.to_string()))?;
+pub fn seal(from: Address, message: &Message) -> Result<Vec<u8>, SealError> {
+    let body = rkyv::to_bytes::<rkyv::rancor::Error>(message)
+        .map_err(|fault| SealError::Bad(fault.to_string()))?;
     if body.len() > BOUND {
-        return Err(SealFault::Bad(format!(
+        return Err(SealError::Bad(format!(
             "a letter of {} bytes is over the bound",
             body.len()
         )));
     }
     let std::net::IpAddr::V4(ip) = from.0.ip() else {
-        return Err(SealFault::Bad(format!("{from} is not an IPv4 number")));
+        return Err(SealError::Bad(format!("{from} is not an IPv4 number")));
     };
     let mut bytes = Vec::with_capacity(HEAD + body.len());
     bytes.extend_from_slice(&MAGIC);
@@ -63,25 +63,25 @@
 }
 
 /// Reads one letter. Memory grows only with bytes that have come.
-pub fn open(reader: &mut impl Read) -> Result<(Address, Letter), SealFault> {
+pub fn open(reader: &mut impl Read) -> Result<(Address, Message), SealError> {
     let mut head = [0u8; HEAD];
     reader.read_exact(&mut head)?;
     let word = |from: usize| {
         u32::from_be_bytes([head[from], head[from + 1], head[from + 2], head[from + 3]])
     };
     if head[..4] != MAGIC {
-        return Err(SealFault::Bad("a snapshot has no magic".into()));
+        return Err(SealError::Bad("a snapshot has no magic".into()));
     }
     let protocol = u16::from_be_bytes([head[4], head[5]]);
     if protocol != PROTOCOL {
-        return Err(SealFault::Protocol(protocol));
+        return Err(SealError::Protocol(protocol));
     }
     if word(24) != crc32fast::hash(&head[..24]) {
-        return Err(SealFault::Bad("a snapshot's head fails its check".into()));
+        return Err(SealError::Bad("a snapshot's head fails its check".into()));
     }
     let length = (u64::from(word(12)) << 32 | u64::from(word(16))) as usize;
     if length > BOUND {
-        return Err(SealFault::Bad(format!(
+        return Err(SealError::Bad(format!(
             "a snapshot of {length} bytes is over the bound"
         )));
     }
@@ -92,13 +92,13 @@
         reader.read_exact(&mut body[have..])?;
     }
     if crc32fast::hash(&body) != word(20) {
-        return Err(SealFault::Bad("a snapshot's body fails its check".into()));
+        return Err(SealError::Bad("a snapshot's body fails its check".into()));
     }
-    let letter = rkyv::from_bytes::<Letter, rkyv::rancor::Error>(&body)
-        .map_err(|fault| SealFault::Bad(format!("a snapshot holds no letter: {fault}")))?;
+    let message = rkyv::from_bytes::<Message, rkyv::rancor::Error>(&body)
+        .map_err(|fault| SealError::Bad(format!("a snapshot holds no letter: {fault}")))?;
     let port = u16::from_be_bytes([head[6], head[7]]);
     let ip = [head[8], head[9], head[10], head[11]];
-    Ok((Address((ip, port).into()), letter))
+    Ok((Address((ip, port).into()), message))
 }
 
 #[cfg(test)]
--- a/crates/wire/src/seal/tests.rs
+++ b/crates/wire/src/seal/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use types::{Address, Epoch, ResultCode};
+use types::{Address, ConfigEpoch, ResultCode};
 use yare::parameterized;
 
-fn letter() -> Letter {
-    Letter::PlanPiece {
-        epoch: Epoch(3),
+fn message() -> Message {
+    Message::PlanChunk {
+        epoch: ConfigEpoch(3),
         offset: 5,
         length: 99,
         bytes: b"plan".to_vec(),
@@ -14,8 +14,8 @@
 #[test]
 fn a_letter_comes_back_and_any_flipped_or_missing_byte_is_noticed() {
     let from = Address::loopback(7);
-    let sealed = seal(from, &letter()).unwrap();
-    assert_eq!(open(&mut &sealed[..]).unwrap(), (from, letter()));
+    let sealed = seal(from, &message()).unwrap();
+    assert_eq!(open(&mut &sealed[..]).unwrap(), (from, message()));
     for place in 0..sealed.len() {
         let mut bent = sealed.clone();
         bent[place] ^= 0x10;
@@ -32,10 +32,10 @@
 
 #[parameterized(
     other_protocol = { 4, 0, 9, ResultCode::WrongProtocol },
-    no_magic = { 0, b'x', b'x', ResultCode::BadLetter },
+    no_magic = { 0, b'x', b'x', ResultCode::BadMessage },
 )]
 fn strangers_get_a_numbered_code(place: usize, first: u8, second: u8, code: ResultCode) {
-    let mut sealed = seal(Address::loopback(7), &letter()).unwrap();
+    let mut sealed = seal(Address::loopback(7), &message()).unwrap();
     sealed[place] = first;
     sealed[place + 1] = second;
     assert_eq!(open(&mut &sealed[..]).unwrap_err().code(), code);
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -6,42 +6,42 @@
 
 use placement::{DigestChange, ServerEntry};
 use quota::{Amount, CreditAsk, CreditGrant, CreditRequest, QuotaLimit, TenantGrant};
-use replication::{Ballot, Change, Note, Round, Seat, Ticket, View, Voter};
+use replication::{Ballot, ChainPosition, Change, Note, Round, Ticket, View, Voter};
 use types::{
-    Address, DiskId, Epoch, Seq, ServerName, Span, Splice, TenantName, TokenKey, ViewEpoch,
-    ZoneName,
+    Address, ConfigEpoch, Delta, DiskId, Milliseconds, SequenceNumber, ServerName, TenantName,
+    TokenKey, ViewNumber, ZoneName,
 };
 use wire::{
-    ControllerContact, CoreLocation, DigestLeg, Letter, ListChange, ListPiece, ListState,
-    ListVersion, Member, News, Poll, PollResponse, Reading, open, seal,
+    ConfigUpdate, ControllerContact, CoreLocation, DigestLeg, LeaseRequest, LeaseResponse,
+    ListChange, ListState, ListVersion, Member, Message, Query, ServerListChunk, open, seal,
 };
 
-variant_names!(ALL_LETTERS, letter_name(Letter) {
-    Letter::Note { .. } => "Note",
-    Letter::Poll { .. } => "Poll",
-    Letter::PollResponse { .. } => "PollResponse",
-    Letter::PlanAsk { .. } => "PlanAsk",
-    Letter::PlanSplice { .. } => "PlanSplice",
-    Letter::PlanPiece { .. } => "PlanPiece",
-    Letter::News { .. } => "News",
-    Letter::NewsAsk => "NewsAsk",
-    Letter::PeerCheckRequest { .. } => "PeerCheckRequest",
-    Letter::PeerCheckResponse { .. } => "PeerCheckResponse",
-    Letter::Digest { .. } => "Digest",
-    Letter::DigestAck { .. } => "DigestAck",
-    Letter::ListFresh { .. } => "ListFresh",
-    Letter::ListChange { .. } => "ListChange",
-    Letter::ListAsk { .. } => "ListAsk",
-    Letter::ListPiece { .. } => "ListPiece",
-    Letter::Ask { .. } => "Ask",
-    Letter::Told { .. } => "Told",
-    Letter::CreditAsk { .. } => "CreditAsk",
-    Letter::CreditGrant { .. } => "CreditGrant",
-    Letter::CoreLocation { .. } => "CoreLocation",
+variant_names!(ALL_LETTERS, letter_name(Message) {
+    Message::Note { .. } => "Note",
+    Message::LeaseRequest { .. } => "Poll",
+    Message::LeaseResponse { .. } => "PollResponse",
+    Message::PlanRequest { .. } => "PlanAsk",
+    Message::PlanDelta { .. } => "PlanSplice",
+    Message::PlanChunk { .. } => "PlanPiece",
+    Message::ConfigUpdate { .. } => "News",
+    Message::ConfigUpdateRequest => "NewsAsk",
+    Message::PeerCheckRequest { .. } => "PeerCheckRequest",
+    Message::PeerCheckResponse { .. } => "PeerCheckResponse",
+    Message::Digest { .. } => "Digest",
+    Message::DigestAck { .. } => "DigestAck",
+    Message::ListFresh { .. } => "ListFresh",
+    Message::ListChange { .. } => "ListChange",
+    Message::ServerListRequest { .. } => "ListAsk",
+    Message::ServerListChunk { .. } => "ListPiece",
+    Message::Ask { .. } => "Ask",
+    Message::Told { .. } => "Told",
+    Message::CreditAsk { .. } => "CreditAsk",
+    Message::CreditGrant { .. } => "CreditGrant",
+    Message::CoreLocation { .. } => "CoreLocation",
 });
 
 variant_names!(ALL_NOTES, note_name(Note) {
-    Note::Beat { .. } => "Beat",
+    Note::Heartbeat { .. } => "Beat",
     Note::Prepare { .. } => "Prepare",
     Note::Promise { .. } => "Promise",
     Note::Accept { .. } => "Accept",
@@ -63,19 +63,19 @@
     Note::Leaving { .. } => "Leaving",
 });
 
-variant_names!(ALL_READINGS, reading_name(Reading) {
-    Reading::Latest => "Latest",
-    Reading::Base { .. } => "Base",
-    Reading::Epoch { .. } => "Epoch",
-    Reading::Heard { .. } => "Heard",
-    Reading::Fate { .. } => "Fate",
-    Reading::Newest => "Newest",
-    Reading::Tenants => "Tenants",
+variant_names!(ALL_READINGS, reading_name(Query) {
+    Query::Latest => "Latest",
+    Query::Base { .. } => "Base",
+    Query::ConfigEpoch { .. } => "Epoch",
+    Query::Heard { .. } => "Heard",
+    Query::Fate { .. } => "Fate",
+    Query::Newest => "Newest",
+    Query::Tenants => "Tenants",
 });
 
-variant_names!(ALL_POLL_RESPONSES, poll_response_name(PollResponse) {
-    PollResponse::Elsewhere { .. } => "Elsewhere",
-    PollResponse::Lease { .. } => "Lease",
+variant_names!(ALL_POLL_RESPONSES, poll_response_name(LeaseResponse) {
+    LeaseResponse::Elsewhere { .. } => "Elsewhere",
+    LeaseResponse::Lease { .. } => "Lease",
 });
 
 variant_names!(ALL_LEGS, leg_name(DigestLeg) {
@@ -92,13 +92,17 @@
 }
 
 fn view() -> View {
-    let seat = |port: u16, is_level: bool| Seat {
+    let position = |port: u16, is_caught_up: bool| ChainPosition {
         voter: voter(port),
-        is_level,
+        is_caught_up,
     };
     View {
-        epoch: ViewEpoch(7),
-        chain: vec![seat(7101, true), seat(7102, true), seat(7103, false)],
+        epoch: ViewNumber(7),
+        chain: vec![
+            position(7101, true),
+            position(7102, true),
+            position(7103, false),
+        ],
         voters: vec![voter(7101), voter(7102), voter(7103)],
     }
 }
@@ -126,8 +130,8 @@
 
 fn change(seq: u64) -> Change {
     Change {
-        seq: Seq(seq),
-        stamp: ViewEpoch(7),
+        seq: SequenceNumber(seq),
+        stamp: ViewNumber(7),
         ticket: ticket(),
         body: b"the body of a change".to_vec(),
     }
@@ -136,90 +140,90 @@
 fn notes() -> Vec<Note> {
     let disk = DiskId(0xabcd);
     vec![
-        Note::Beat {
+        Note::Heartbeat {
             disk,
-            view: ViewEpoch(7),
-            last: Seq(12),
-            stamp: ViewEpoch(6),
-            replied: Seq(11),
-            is_level: true,
-            is_sound: false,
+            view: ViewNumber(7),
+            last: SequenceNumber(12),
+            stamp: ViewNumber(6),
+            replied: SequenceNumber(11),
+            is_caught_up: true,
+            is_healthy: false,
             has_members: false,
         },
-        Note::Beat {
+        Note::Heartbeat {
             disk,
-            view: ViewEpoch(7),
-            last: Seq(12),
-            stamp: ViewEpoch(6),
-            replied: Seq(11),
-            is_level: false,
-            is_sound: true,
+            view: ViewNumber(7),
+            last: SequenceNumber(12),
+            stamp: ViewNumber(6),
+            replied: SequenceNumber(11),
+            is_caught_up: false,
+            is_healthy: true,
             has_members: false,
         },
         Note::Prepare {
-            instance: ViewEpoch(8),
+            instance: ViewNumber(8),
             round: round(),
         },
         Note::Promise {
-            instance: ViewEpoch(8),
+            instance: ViewNumber(8),
             round: round(),
             disk,
             accepted: Some(ballot()),
         },
         Note::Promise {
-            instance: ViewEpoch(8),
+            instance: ViewNumber(8),
             round: round(),
             disk,
             accepted: None,
         },
         Note::Accept { ballot: ballot() },
         Note::Accepted {
-            instance: ViewEpoch(8),
+            instance: ViewNumber(8),
             round: round(),
             disk,
         },
         Note::Outdone {
-            instance: ViewEpoch(8),
+            instance: ViewNumber(8),
             promised: round(),
         },
         Note::Decided { view: view() },
         Note::LeaseAsk {
-            view: ViewEpoch(7),
+            view: ViewNumber(7),
             round: 41,
         },
         Note::LeaseGrant {
-            view: ViewEpoch(7),
+            view: ViewNumber(7),
             round: 41,
             disk,
         },
         Note::Pass {
-            view: ViewEpoch(7),
+            view: ViewNumber(7),
             change: change(13),
         },
         Note::Level {
-            view: ViewEpoch(7),
-            last: Seq(13),
+            view: ViewNumber(7),
+            last: SequenceNumber(13),
         },
         Note::Follow {
             disk,
-            last: Seq(9),
-            stamp: ViewEpoch(5),
+            last: SequenceNumber(9),
+            stamp: ViewNumber(5),
         },
         Note::Feed {
             changes: vec![change(10), change(11)],
         },
         Note::SnapshotOffer {
-            last: Seq(20),
-            stamp: ViewEpoch(6),
+            last: SequenceNumber(20),
+            stamp: ViewNumber(6),
             length: 4096,
         },
         Note::SnapshotAsk {
-            last: Seq(20),
+            last: SequenceNumber(20),
             offset: 1024,
         },
         Note::SnapshotPiece {
-            last: Seq(20),
-            stamp: ViewEpoch(6),
+            last: SequenceNumber(20),
+            stamp: ViewNumber(6),
             offset: 1024,
             length: 4096,
             bytes: b"a piece of a snapshot".to_vec(),
@@ -234,9 +238,9 @@
             body: b"an answer".to_vec(),
         },
         Note::Judge {
-            view: ViewEpoch(7),
+            view: ViewNumber(7),
             ticket: ticket(),
-            last: Seq(13),
+            last: SequenceNumber(13),
             body: b"a proposal".to_vec(),
         },
         Note::Leaving { disk },
@@ -250,66 +254,68 @@
     }
 }
 
-fn news(members: Option<Vec<Member>>) -> News {
-    News {
-        epoch: Epoch(31),
-        plan_epoch: Epoch(29),
+fn update(members: Option<Vec<Member>>) -> ConfigUpdate {
+    ConfigUpdate {
+        epoch: ConfigEpoch(31),
+        plan_epoch: ConfigEpoch(29),
         withdrawn: vec![ZoneName::from("north"), ZoneName::from("a-longer-zone")],
         members,
-        members_since: Epoch(17),
+        members_since: ConfigEpoch(17),
     }
 }
 
-fn poll_responses() -> Vec<PollResponse> {
+fn poll_responses() -> Vec<LeaseResponse> {
     vec![
-        PollResponse::Elsewhere {
-            view: ViewEpoch(7),
+        LeaseResponse::Elsewhere {
+            view: ViewNumber(7),
             tail: Some(Address::loopback(7103)),
             voters: vec![Address::loopback(7101), Address::loopback(7103)],
         },
-        PollResponse::Elsewhere {
-            view: ViewEpoch(0),
+        LeaseResponse::Elsewhere {
+            view: ViewNumber(0),
             tail: None,
             voters: vec![],
         },
-        PollResponse::Lease {
-            span: Span(6000),
-            epoch: Epoch(31),
-            news: Some(news(Some(vec![
+        LeaseResponse::Lease {
+            span: Milliseconds(6000),
+            epoch: ConfigEpoch(31),
+            update: Some(update(Some(vec![
                 member(7201, "north"),
                 member(7202, "a-longer-zone"),
             ]))),
-            view: ViewEpoch(7),
+            view: ViewNumber(7),
             voters: vec![Address::loopback(7101)],
             key: Some(TokenKey([0x5a; 32])),
         },
-        PollResponse::Lease {
-            span: Span(6000),
-            epoch: Epoch(31),
-            news: None,
-            view: ViewEpoch(7),
+        LeaseResponse::Lease {
+            span: Milliseconds(6000),
+            epoch: ConfigEpoch(31),
+            update: None,
+            view: ViewNumber(7),
             voters: vec![],
             key: None,
         },
     ]
 }
 
-fn readings() -> Vec<Reading> {
+fn readings() -> Vec<Query> {
     vec![
-        Reading::Latest,
-        Reading::Base {
-            at_least: Epoch(30),
+        Query::Latest,
+        Query::Base {
+            at_least: ConfigEpoch(30),
         },
-        Reading::Epoch { epoch: Epoch(12) },
-        Reading::Heard {
+        Query::ConfigEpoch {
+            epoch: ConfigEpoch(12),
+        },
+        Query::Heard {
             id: "forget-the-lost-1".into(),
             members: vec![Address::loopback(7201), Address::loopback(7202)],
         },
-        Reading::Fate {
+        Query::Fate {
             id: "change-4711".into(),
         },
-        Reading::Newest,
-        Reading::Tenants,
+        Query::Newest,
+        Query::Tenants,
     ]
 }
 
@@ -319,10 +325,10 @@
             server: ServerName::from("model-0.life-3"),
             address: Some("127.0.0.1:8101".into()),
             slots: Some(16),
-            cold_left: Some(Span(2500)),
+            cold_left: Some(Milliseconds(2500)),
             zone: ZoneName::from("north"),
             pool: "model".into(),
-            is_leaving: false,
+            is_draining: false,
         },
         ServerEntry {
             server: ServerName::from("127.0.0.1:8102"),
@@ -331,7 +337,7 @@
             cold_left: None,
             zone: ZoneName::from("a-longer-zone"),
             pool: "app".into(),
-            is_leaving: true,
+            is_draining: true,
         },
     ]
 }
@@ -339,12 +345,12 @@
 fn list_state() -> ListState {
     ListState {
         version: ListVersion {
-            life: 0x0011_2233_4455_6677,
+            incarnation: 0x0011_2233_4455_6677,
             number: 5,
         },
         check: 0x8899_aabb_ccdd_eeff,
-        cold: Span(1200),
-        age: Span(345),
+        cold: Milliseconds(1200),
+        age: Milliseconds(345),
     }
 }
 
@@ -371,11 +377,11 @@
     Amount { thousandths }
 }
 
-fn credit_ask(fresh_for: Option<Span>) -> CreditAsk {
+fn credit_ask(fresh_for: Option<Milliseconds>) -> CreditAsk {
     CreditAsk {
-        life: 77,
+        incarnation: 77,
         number: 8,
-        plan_epoch: Epoch(29),
+        plan_epoch: ConfigEpoch(29),
         fresh_for,
         is_whole: fresh_for.is_some(),
         entries: vec![CreditRequest {
@@ -391,155 +397,157 @@
     }
 }
 
-fn letters() -> Vec<Letter> {
-    let mut letters: Vec<Letter> = notes()
+fn messages() -> Vec<Message> {
+    let mut messages: Vec<Message> = notes()
         .into_iter()
-        .map(|note| Letter::Note {
+        .map(|note| Message::Note {
             note: Box::new(note),
         })
         .collect();
-    letters.push(Letter::Poll {
-        poll: Box::new(Poll {
+    messages.push(Message::LeaseRequest {
+        poll: Box::new(LeaseRequest {
             member: member(7201, "north"),
             round: 6,
-            epoch: Epoch(30),
-            view: ViewEpoch(7),
+            epoch: ConfigEpoch(30),
+            view: ViewNumber(7),
             has_key: true,
-            hears: vec![
+            reachable_peers: vec![
                 Address::loopback(7202),
                 "[::1]:7203".parse().expect("an address"),
             ],
         }),
     });
-    letters.extend(
+    messages.extend(
         poll_responses()
             .into_iter()
-            .map(|response| Letter::PollResponse {
+            .map(|response| Message::LeaseResponse {
                 round: 6,
                 response: Box::new(response),
             }),
     );
-    letters.extend(letters_of_plans());
-    letters.extend(letters_of_peers());
-    letters.extend(letters_of_lists());
-    letters.extend(readings().into_iter().map(|reading| Letter::Ask {
+    messages.extend(letters_of_plans());
+    messages.extend(letters_of_peers());
+    messages.extend(letters_of_lists());
+    messages.extend(readings().into_iter().map(|reading| Message::Ask {
         number: 51,
         reading: Box::new(reading),
     }));
-    letters.push(Letter::Told {
+    messages.push(Message::Told {
         number: 51,
         status: 404,
         body: br#"{"code":305}"#.to_vec(),
     });
-    letters.extend([None, Some(Span(1234))].map(|fresh_for| Letter::CreditAsk {
-        ask: Box::new(credit_ask(fresh_for)),
-    }));
-    letters.push(Letter::CreditGrant {
+    messages.extend(
+        [None, Some(Milliseconds(1234))].map(|fresh_for| Message::CreditAsk {
+            ask: Box::new(credit_ask(fresh_for)),
+        }),
+    );
+    messages.push(Message::CreditGrant {
         grant: Box::new(CreditGrant {
             number: 8,
-            life: Span(4000),
+            incarnation: Milliseconds(4000),
             wants_whole: true,
             entries: vec![TenantGrant {
                 tenant: TenantName::from("acme"),
                 granted: amount(2500),
-                wait: Span(750),
+                wait: Milliseconds(750),
             }],
         }),
     });
-    letters.push(Letter::CoreLocation {
+    messages.push(Message::CoreLocation {
         location: Box::new(CoreLocation {
-            view: ViewEpoch(7),
+            view: ViewNumber(7),
             voters: vec![Address::loopback(7101), Address::loopback(7102)],
             controllers: vec![ControllerContact {
                 inner: Address::loopback(7101),
                 admin: Address::loopback(7301),
-                age: Span(88),
+                age: Milliseconds(88),
             }],
         }),
         is_answer: true,
     });
-    letters
+    messages
 }
 
-fn letters_of_plans() -> Vec<Letter> {
+fn letters_of_plans() -> Vec<Message> {
     vec![
-        Letter::PlanAsk {
-            epoch: Epoch(29),
+        Message::PlanRequest {
+            epoch: ConfigEpoch(29),
             offset: 262_144,
-            have: Epoch(28),
+            have: ConfigEpoch(28),
         },
-        Letter::PlanSplice {
-            epoch: Epoch(29),
-            base: Epoch(28),
-            splice: Splice {
+        Message::PlanDelta {
+            epoch: ConfigEpoch(29),
+            base: ConfigEpoch(28),
+            delta: Delta {
                 start: 12,
                 removed: 3,
                 inserted: b"16".to_vec(),
             },
         },
-        Letter::PlanPiece {
-            epoch: Epoch(29),
+        Message::PlanChunk {
+            epoch: ConfigEpoch(29),
             offset: 5,
             length: 99,
             bytes: b"a piece of a plan".to_vec(),
         },
-        Letter::News {
-            news: Box::new(news(Some(vec![member(7201, "north")]))),
+        Message::ConfigUpdate {
+            update: Box::new(update(Some(vec![member(7201, "north")]))),
         },
-        Letter::News {
-            news: Box::new(news(None)),
+        Message::ConfigUpdate {
+            update: Box::new(update(None)),
         },
-        Letter::NewsAsk,
+        Message::ConfigUpdateRequest,
     ]
 }
 
-fn letters_of_peers() -> Vec<Letter> {
+fn letters_of_peers() -> Vec<Message> {
     let legs = [DigestLeg::Report, DigestLeg::Zone, DigestLeg::Fleet];
-    let mut letters = vec![
-        Letter::PeerCheckRequest {
+    let mut messages = vec![
+        Message::PeerCheckRequest {
             round: 21,
-            epoch: Epoch(31),
+            epoch: ConfigEpoch(31),
         },
-        Letter::PeerCheckResponse {
+        Message::PeerCheckResponse {
             echo: 21,
-            epoch: Epoch(30),
+            epoch: ConfigEpoch(30),
         },
     ];
     for leg in legs {
-        letters.push(Letter::Digest {
+        messages.push(Message::Digest {
             leg,
-            life: 1001,
+            incarnation: 1001,
             number: 4,
             is_whole: leg == DigestLeg::Zone,
             change: Box::new(digest_change()),
         });
-        letters.push(Letter::DigestAck { leg, number: 4 });
+        messages.push(Message::DigestAck { leg, number: 4 });
     }
-    letters
+    messages
 }
 
-fn letters_of_lists() -> Vec<Letter> {
+fn letters_of_lists() -> Vec<Message> {
     vec![
-        Letter::ListFresh {
+        Message::ListFresh {
             state: list_state(),
         },
-        Letter::ListChange {
+        Message::ListChange {
             change: Box::new(ListChange {
                 state: list_state(),
                 base: ListVersion {
-                    life: 0x0011_2233_4455_6677,
+                    incarnation: 0x0011_2233_4455_6677,
                     number: 4,
                 },
                 set: server_entries(),
                 gone: vec![ServerName::from("127.0.0.1:8103")],
             }),
         },
-        Letter::ListAsk {
+        Message::ServerListRequest {
             version: list_state().version,
             offset: 300,
         },
-        Letter::ListPiece {
-            piece: Box::new(ListPiece {
+        Message::ServerListChunk {
+            piece: Box::new(ServerListChunk {
                 state: list_state(),
                 offset: 300,
                 length: 302,
@@ -555,35 +563,35 @@
 
 #[test]
 fn each_letter_has_its_golden_bytes_and_they_open_to_it() {
-    let letters = letters();
-    let sealed: Vec<(&str, Vec<u8>)> = letters
+    let messages = messages();
+    let sealed: Vec<(&str, Vec<u8>)> = messages
         .iter()
-        .map(|letter| {
-            let bytes = seal(sender(), letter).expect("it can be sealed");
-            (letter_name(letter), bytes)
+        .map(|message| {
+            let bytes = seal(sender(), message).expect("it can be sealed");
+            (letter_name(message), bytes)
         })
         .collect();
     golden_file::compare_entries("letters.txt", &sealed);
     let golden = golden_file::read_entries("letters.txt");
-    assert_eq!(golden.len(), letters.len());
-    for ((name, bytes), letter) in golden.iter().zip(&letters) {
+    assert_eq!(golden.len(), messages.len());
+    for ((name, bytes), message) in golden.iter().zip(&messages) {
         let opened = open(&mut &bytes[..]).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(opened, (sender(), letter.clone()), "{name}");
+        assert_eq!(opened, (sender(), message.clone()), "{name}");
     }
 }
 
 #[test]
 fn each_variant_of_what_is_sent_has_a_golden_example() {
-    golden_file::check_all_named(ALL_LETTERS, letters().iter().map(letter_name));
+    golden_file::check_all_named(ALL_LETTERS, messages().iter().map(letter_name));
     golden_file::check_all_named(ALL_NOTES, notes().iter().map(note_name));
     golden_file::check_all_named(ALL_READINGS, readings().iter().map(reading_name));
     golden_file::check_all_named(
         ALL_POLL_RESPONSES,
         poll_responses().iter().map(poll_response_name),
     );
-    let letters = letters();
-    let legs = letters.iter().filter_map(|letter| match letter {
-        Letter::Digest { leg, .. } => Some(leg_name(leg)),
+    let messages = messages();
+    let legs = messages.iter().filter_map(|message| match message {
+        Message::Digest { leg, .. } => Some(leg_name(leg)),
         _ => None,
     });
     golden_file::check_all_named(ALL_LEGS, legs);
