--- a/crates/transport/src/http_server.rs
+++ b/crates/transport/src/http_server.rs
@@ -1,15 +1,17 @@
 //! The HTTP door of a process: what it takes, and a thread for each connection.
 
 mod connection;
-mod intake;
+mod framing;
+mod request_reader;
+mod response;
 mod state;
 
+pub use self::framing::RequestLimits;
+pub use self::response::{PieceSource, Pull, Response};
 pub use self::state::HttpServerLimits;
 
 use self::connection::serve_connection;
 use self::state::GateState;
-use crate::framing::RequestLimits;
-use crate::response::Response;
 use crate::socket::Client;
 use bytes::Bytes;
 use std::io;
--- a/crates/transport/src/http_server/connection.rs
+++ b/crates/transport/src/http_server/connection.rs
@@ -1,10 +1,10 @@
 //! One connection of a gate, from its first byte to its end.
 
-use super::intake::{Exchange, Intake};
+use super::framing::{RequestFault, RequestProgress};
+use super::request_reader::{Exchange, Intake};
+use super::response::{Response, ResponseBody};
 use super::state::{GateRules, GateState};
 use super::{HttpServerBounds, Request};
-use crate::framing::{RequestFault, RequestProgress};
-use crate::response::{Response, ResponseBody};
 use crate::socket::{Alarm, Client, Duct, Peeked, Wire, Woken, await_wire};
 use http::HeaderValue;
 use http::header::CONNECTION;
--- a/crates/transport/src/http_server/intake.rs
+++ b/crates/transport/src/http_server/request_reader.rs
@@ -1,6 +1,6 @@
 //! A connection as hyper reads it: one request at a time, each followed to its end first.
 
-use crate::framing::{RequestFramer, RequestLimits, RequestProgress};
+use super::framing::{RequestFramer, RequestLimits, RequestProgress};
 use crate::socket::Duct;
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use std::cell::{Cell, RefCell};
--- a/crates/transport/src/http_server/state.rs
+++ b/crates/transport/src/http_server/state.rs
@@ -1,6 +1,6 @@
 //! What all connections of a gate heed: its limits in force, and whether it leaves.
 
-use crate::framing::RequestLimits;
+use super::framing::RequestLimits;
 use std::fs::File;
 use std::io;
 use std::os::fd::OwnedFd;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -3,25 +3,22 @@
 //! `rouille` and `astra` hold small pieces back (tests/library_traps.rs shows it), so answers go
 //! through `hyper`, their kin, on one blocking thread a connection.
 
-mod ask;
-mod framing;
+mod connection_pool;
+mod http_client;
 mod http_server;
-mod lines;
-mod post;
-mod response;
+mod message_transport;
 mod socket;
 
-pub use ask::{
+pub use connection_pool::{
+    CHECK_LIFE, ConnectionError, ConnectionPool, ConnectionPoolBounds, Line, LinePull, Waits,
+};
+pub use http_client::{
     Ask, Heard, HttpClientError, HttpRequestExt, http_delete, http_get, http_post, http_request,
     read_all, read_page,
 };
-pub use framing::RequestLimits;
 pub use http_server::{
-    HttpServer, HttpServerBounds, HttpServerCloser, HttpServerLimiter, HttpServerLimits, Request,
-};
-pub use lines::{
-    CHECK_LIFE, ConnectionError, ConnectionPool, ConnectionPoolBounds, Line, LinePull, Waits,
+    HttpServer, HttpServerBounds, HttpServerCloser, HttpServerLimiter, HttpServerLimits,
+    PieceSource, Pull, Request, RequestLimits, Response,
 };
-pub use post::{MessageTransport, PostClass, PostTally};
-pub use response::{PieceSource, Pull, Response};
+pub use message_transport::{MessageTransport, PostClass, PostTally};
 pub use socket::Client;
