--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -5,7 +5,7 @@
 use types::{Address, ConfigEpoch, Delta, ZoneName, messages, revert};
 
 /// Operators' changes of which the id, and so the fate, is known: the newest so many. The users' days
-/// have some hundreds, their years about 1,200 a day. [`replication::Timing::changes_per_second`]
+/// have some hundreds, their years about 1,200 a day. [`replication::Timing::max_changes_per_second`]
 /// bounds how fast they can be used up.
 pub const REMEMBERED_CHANGES: usize = 4096;
 
--- a/crates/config/src/state_machine.rs
+++ b/crates/config/src/state_machine.rs
@@ -397,7 +397,7 @@
 }
 
 impl StateMachine for ConfigStateMachine {
-    fn needs_members(&self, body: &[u8]) -> bool {
+    fn requires_member_majority(&self, body: &[u8]) -> bool {
         // Those that join could never do so if it took members to let them in, nor act without a key; and
         // those that are lost are forgotten just because too many are.
         let is_free = |command: &Command| {
@@ -413,12 +413,12 @@
         let Some(proposal) = read(body) else {
             let outcome =
                 self.outcome(ResultCode::BadMessage, self.epoch, "not a proposal", vec![]);
-            return Preview::TurnAway(outcome.to_bytes());
+            return Preview::Reject(outcome.to_bytes());
         };
         match self.judge(&proposal) {
             // A repeat goes down the chain once more, so that its answer, too, is the tail's.
-            Err(outcome) if !outcome.is_accepted() => Preview::TurnAway(outcome.to_bytes()),
-            _ => Preview::Enter,
+            Err(outcome) if !outcome.is_accepted() => Preview::Reject(outcome.to_bytes()),
+            _ => Preview::Admit,
         }
     }
 
--- a/crates/config/src/state_machine/tests.rs
+++ b/crates/config/src/state_machine/tests.rs
@@ -128,7 +128,7 @@
             .is_some_and(|why| why.contains("127.0.0.1:9 ")),
         "{unknown}"
     );
-    assert!(!config_state.needs_members(&forget("g", &[3, 4, 5]).to_bytes()));
+    assert!(!config_state.requires_member_majority(&forget("g", &[3, 4, 5]).to_bytes()));
     assert_eq!(
         take(&mut config_state, &forget("g", &[3, 4, 5]))["code"],
         300
--- a/crates/config/tests/history.rs
+++ b/crates/config/tests/history.rs
@@ -109,7 +109,7 @@
     assert_eq!(config_state, before, "nothing changed");
     assert!(matches!(
         config_state.preview(&counted_plan(0).to_bytes()),
-        Preview::TurnAway(_)
+        Preview::Reject(_)
     ));
 }
 
--- a/crates/config/tests/hundreds.rs
+++ b/crates/config/tests/hundreds.rs
@@ -3,7 +3,8 @@
 
 use config::{Command, ConfigStateMachine, Proposal, Revisions};
 use replication::{
-    Input, Note, Output, Record, RecoveredRecords, Replica, StateMachine, Timing, Voter,
+    Input, Output, Record, RecoveredRecords, Replica, ReplicationMessage, StateMachine, Timing,
+    Voter,
 };
 use std::collections::VecDeque;
 use types::{Address, ConfigEpoch, Delta, DiskId, MonotonicInstant, SequenceNumber, ViewNumber};
@@ -33,7 +34,7 @@
 #[derive(Default)]
 struct Line {
     free_at: u64,
-    notes: VecDeque<(u64, Note)>,
+    messages: VecDeque<(u64, ReplicationMessage)>,
     bytes: u64,
 }
 
@@ -60,8 +61,8 @@
 /// Thousands of changes are not to take minutes.
 fn unpaced() -> Timing {
     Timing {
-        changes_per_second: 100_000,
-        burst: 100_000,
+        max_changes_per_second: 100_000,
+        max_change_burst: 100_000,
         ..Timing::default()
     }
 }
@@ -73,15 +74,15 @@
     }
 }
 
-fn size_of(note: &Note) -> u64 {
-    match note {
-        Note::SnapshotPiece { bytes, .. } => bytes.len() as u64,
-        Note::Feed { changes } => changes
+fn size_of(message: &ReplicationMessage) -> u64 {
+    match message {
+        ReplicationMessage::SnapshotChunk { bytes, .. } => bytes.len() as u64,
+        ReplicationMessage::CatchUpBatch { changes } => changes
             .iter()
             .map(|change| change.body.len() as u64 + 40)
             .sum(),
-        Note::Pass { change, .. } => change.body.len() as u64,
-        Note::Propose { body, .. } => body.len() as u64,
+        ReplicationMessage::Forward { change, .. } => change.body.len() as u64,
+        ReplicationMessage::Propose { body, .. } => body.len() as u64,
         _ => 100,
     }
 }
@@ -160,7 +161,7 @@
             .iter_mut()
             .skip(n * 6)
             .take(6)
-            .for_each(|line| line.notes.clear());
+            .for_each(|line| line.messages.clear());
     }
     fn tail(&self) -> Option<&Replica<ConfigStateMachine>> {
         self.replicas
@@ -260,20 +261,20 @@
             for n in 0..3 {
                 self.sync(n);
                 if self.at.is_multiple_of(25) {
-                    self.step(n, Input::ClockEvent);
+                    self.step(n, Input::Tick);
                 }
             }
             for place in 0..self.lines.len() {
                 while self.lines[place]
-                    .notes
+                    .messages
                     .front()
                     .is_some_and(|(at, _)| *at <= self.at)
                 {
-                    let Some((_, note)) = self.lines[place].notes.pop_front() else {
+                    let Some((_, message)) = self.lines[place].messages.pop_front() else {
                         break;
                     };
                     let from = voter(place / 6).address;
-                    self.step(place % 6 / 2, Input::Note { from, note });
+                    self.step(place % 6 / 2, Input::Message { from, message });
                 }
             }
         }
@@ -309,25 +310,26 @@
             return;
         };
         // As the controller does: changes enter while enough members are in touch.
-        replica.set_has_members(true);
+        replica.set_has_member_majority(true);
         let mut outputs: VecDeque<Output> = replica.step(now, input).into();
         while let Some(output) = outputs.pop_front() {
             match output {
-                Output::Send { to, note } => self.send(n, usize::from(to.0.port()) - 1, note),
+                Output::Send { to, message } => self.send(n, usize::from(to.0.port()) - 1, message),
                 Output::Write {
                     id,
                     records,
-                    is_whole,
+                    replaces_all: is_whole,
                 } => self.write(n, id, records, is_whole),
-                Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
+                Output::Committed { request_id, body }
+                | Output::ChangeRejected { request_id, body } => {
                     let Some(replica) = &mut self.replicas[n] else {
                         return;
                     };
-                    outputs.extend(replica.respond(now, ticket, body));
+                    outputs.extend(replica.respond(now, request_id, body));
                     self.assert_newest(n);
                 }
                 Output::Response {
-                    is_replied: true,
+                    is_final: true,
                     body,
                     ..
                 } => self.on_told(&body),
@@ -356,7 +358,7 @@
         let position = self.replicas[n]
             .as_ref()
             .and_then(|replica| replica.view().position(&voter(n)));
-        let is_behind = self.epoch(n).0 + self.timing.ahead < self.told.0;
+        let is_behind = self.epoch(n).0 + self.timing.max_in_flight_changes < self.told.0;
         let is_newest_view = self.replicas[n]
             .as_ref()
             .map(|replica| replica.view().epoch)
@@ -377,29 +379,36 @@
             self.told = ConfigEpoch(self.accepted);
         }
     }
-    fn claim_all(&self, note: &mut Note) {
+    fn claim_all(&self, message: &mut ReplicationMessage) {
         let newest = self
             .tail()
             .map(|tail| (tail.state().last, tail.view().epoch));
-        match (note, newest) {
-            (Note::Follow { last, stamp, .. }, Some(newest)) => (*last, *stamp) = newest,
-            (Note::Decided { view }, _) => view
+        match (message, newest) {
+            (
+                ReplicationMessage::CatchUpRequest {
+                    last, origin_view, ..
+                },
+                Some(newest),
+            ) => (*last, *origin_view) = newest,
+            (ReplicationMessage::Decided { view }, _) => view
                 .chain
                 .iter_mut()
                 .for_each(|position| position.is_caught_up = true),
             _ => {}
         }
     }
-    fn send(&mut self, from: usize, to: usize, mut note: Note) {
+    fn send(&mut self, from: usize, to: usize, mut message: ReplicationMessage) {
         if self.leads_early {
-            self.claim_all(&mut note);
+            self.claim_all(&mut message);
         }
-        if let Note::SnapshotOffer { last, .. } = &note {
+        if let ReplicationMessage::SnapshotOffer { last, .. } = &message {
             self.offers.push(*last);
         }
-        let size = size_of(&note);
-        let is_bulk =
-            matches!(note, Note::SnapshotPiece { .. } | Note::Feed { .. }) || size > 64 << 10;
+        let size = size_of(&message);
+        let is_bulk = matches!(
+            message,
+            ReplicationMessage::SnapshotChunk { .. } | ReplicationMessage::CatchUpBatch { .. }
+        ) || size > 64 << 10;
         if self.replicas[to].is_none() {
             return;
         }
@@ -408,7 +417,7 @@
         line.bytes += size;
         let rate = if is_bulk { self.bulk } else { 100_000 };
         line.free_at = line.free_at.max(at) + size / rate;
-        line.notes.push_back((line.free_at + 1, note));
+        line.messages.push_back((line.free_at + 1, message));
     }
     fn write(&mut self, n: usize, id: u64, records: Vec<Record>, is_whole: bool) {
         self.disks[n].waiting.push((id, records, is_whole));
@@ -524,7 +533,7 @@
 #[test]
 fn a_snapshot_comes_over_a_line_of_100_kb_a_second_while_changes_go_on() {
     let timing = Timing {
-        fold_bytes: 100_000,
+        compaction_threshold_bytes: 100_000,
         ..unpaced()
     };
     let mut core = Core::with_timing(timing, 100, false, 1000);
--- a/crates/config/tests/revisions.rs
+++ b/crates/config/tests/revisions.rs
@@ -96,7 +96,7 @@
     }
     assert!(matches!(
         config_state.preview(&plan("d", 5, 5, 6).to_bytes()),
-        Preview::TurnAway(_)
+        Preview::Reject(_)
     ));
     assert_eq!(
         (config_state.revision, config_state.plan.clone()),
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,7 +1,9 @@
 use crate::contacts::PeerDiscovery;
 use config::{Command, ConfigStateMachine, Proposal};
 use quota::{QuotaAuthority, QuotaBounds};
-use replication::{Input, LeaseTable, Note, Output, Record, Replica, Ticket, Timing, View};
+use replication::{
+    ChangeRequestId, Input, LeaseTable, Output, Record, Replica, ReplicationMessage, Timing, View,
+};
 use schematic::ConfigEnum;
 use std::collections::{BTreeMap, VecDeque};
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TokenKey, ViewNumber};
@@ -208,7 +210,7 @@
 
 struct Settled {
     epoch: ConfigEpoch,
-    ticket: Ticket,
+    request_id: ChangeRequestId,
     body: Vec<u8>,
     deadline: MonotonicInstant,
 }
@@ -309,14 +311,14 @@
                 self.waiting.remove(&number);
             }
             ControllerInput::ClockEvent => {
-                self.drive(Input::ClockEvent);
+                self.drive(Input::Tick);
                 self.on_clock_event();
                 self.exchange_contacts();
             }
             ControllerInput::Seeds(seeds) => self.contacts.set_seeds(self.now, seeds),
             ControllerInput::Written { id } => self.drive(Input::Written { id }),
-            ControllerInput::DiskFault => self.drive(Input::DiskFault),
-            ControllerInput::Leave => self.drive(Input::Leave),
+            ControllerInput::DiskFault => self.drive(Input::DiskFailed),
+            ControllerInput::Leave => self.drive(Input::Drain),
         }
         self.release();
         std::mem::take(&mut self.outputs)
@@ -330,11 +332,11 @@
     fn drive(&mut self, input: Input) {
         for output in self.replica.step(self.now, input) {
             match output {
-                Output::Send { to, note } => self.send_note(to, note),
+                Output::Send { to, message } => self.send_message(to, message),
                 Output::Write {
                     id,
                     records,
-                    is_whole,
+                    replaces_all: is_whole,
                 } => {
                     self.outputs.push(ControllerOutput::Write {
                         id,
@@ -344,20 +346,21 @@
                 }
                 Output::Response {
                     number,
-                    is_replied,
+                    is_final,
                     body,
-                } => self.on_response(number, is_replied, body),
-                Output::Judged { ticket, body }
+                } => self.on_response(number, is_final, body),
+                Output::ChangeRejected { request_id, body }
                     if self.is_firm(self.replica.state_machine().epoch) =>
                 {
-                    self.answer(ticket, body);
+                    self.answer(request_id, body);
                 }
-                Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
+                Output::Committed { request_id, body }
+                | Output::ChangeRejected { request_id, body } => {
                     let epoch = self.replica.state_machine().epoch;
                     let deadline = self.now + self.timing.fate_deadline;
                     self.settled.push_back(Settled {
                         epoch,
-                        ticket,
+                        request_id,
                         body,
                         deadline,
                     });
@@ -373,18 +376,21 @@
         }
     }
 
-    fn send_note(&mut self, to: Address, note: Note) {
-        let is_bulk = match &note {
-            Note::SnapshotPiece { .. } | Note::Feed { .. } => true,
-            Note::Pass { change, .. } => change.body.len() > 64 << 10,
-            Note::Propose { body, .. } | Note::Judge { body, .. } => body.len() > 64 << 10,
+    fn send_message(&mut self, to: Address, message: ReplicationMessage) {
+        let is_bulk = match &message {
+            ReplicationMessage::SnapshotChunk { .. } | ReplicationMessage::CatchUpBatch { .. } => {
+                true
+            }
+            ReplicationMessage::Forward { change, .. } => change.body.len() > 64 << 10,
+            ReplicationMessage::Propose { body, .. }
+            | ReplicationMessage::ConfirmRejection { body, .. } => body.len() > 64 << 10,
             _ => false,
         };
         self.outputs.push(ControllerOutput::Send {
             to,
             is_bulk,
-            message: Message::Note {
-                note: Box::new(note),
+            message: Message::Replication {
+                message: Box::new(message),
             },
         });
     }
@@ -400,7 +406,10 @@
 
     fn on_message(&mut self, from: Address, message: Message) {
         match message {
-            Message::Note { note } => self.drive(Input::Note { from, note: *note }),
+            Message::Replication { message } => self.drive(Input::Message {
+                from,
+                message: *message,
+            }),
             Message::LeaseRequest { poll } => self.on_poll(from, *poll),
             Message::PlanRequest {
                 epoch,
@@ -455,7 +464,7 @@
             .contacts
             .on_location(self.now, from, location, is_answer);
         let (view, voters) = self.contacts.core();
-        self.replica.meet(view, voters);
+        self.replica.learn_contacts(view, voters);
         answer
             .into_iter()
             .for_each(|message| self.send(from, message));
@@ -484,14 +493,14 @@
     }
 
     /// Gives an answer for the core, if this is still the tail and may.
-    fn answer(&mut self, ticket: Ticket, body: Vec<u8>) {
-        match self.replica.respond(self.now, ticket, body) {
-            Some(Output::Send { to, note }) => self.send_note(to, note),
+    fn answer(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
+        match self.replica.respond(self.now, request_id, body) {
+            Some(Output::Send { to, message }) => self.send_message(to, message),
             Some(Output::Response {
                 number,
-                is_replied,
+                is_final,
                 body,
-            }) => self.on_response(number, is_replied, body),
+            }) => self.on_response(number, is_final, body),
             _ => {}
         }
     }
@@ -519,14 +528,14 @@
 
     fn has_quorum(&self) -> bool {
         let membership = &self.replica.state_machine().membership;
-        let has_members =
+        let has_member_majority =
             self.timing.quorum == Quorum::Holders || self.leases.has_majority(membership, self.now);
-        self.may_respond() && has_members
+        self.may_respond() && has_member_majority
     }
 
     fn on_clock_event(&mut self) {
         let has_majority = self.has_quorum();
-        self.replica.set_has_members(has_majority);
+        self.replica.set_has_member_majority(has_majority);
         self.responses_since = if self.may_respond() {
             self.responses_since.or(Some(self.now))
         } else {
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/controller/members.rs
@@ -135,10 +135,10 @@
             let Some(settled) = self.settled.pop_front() else {
                 break;
             };
-            if !is_known && settled.ticket.number < INNER {
+            if !is_known && settled.request_id.number < INNER {
                 continue;
             }
-            self.answer(settled.ticket, settled.body);
+            self.answer(settled.request_id, settled.body);
         }
     }
 
--- a/crates/controller/src/controller/operators.rs
+++ b/crates/controller/src/controller/operators.rs
@@ -42,7 +42,7 @@
             asked_of: None,
         };
         self.waiting.insert(number, waiting);
-        if !self.replica.hears_majority(self.now) {
+        if !self.replica.has_reachable_majority(self.now) {
             // Nothing was asked or proposed yet, so this is final, and its operator loses no time here.
             return self.give_up(number, ResultCode::CoreNotReady);
         }
@@ -53,7 +53,7 @@
         let Some(waiting) = self.waiting.get_mut(&number) else {
             return;
         };
-        let retry_at = self.now + self.timing.replica.retry;
+        let retry_at = self.now + self.timing.replica.proposal_retry_interval;
         if self.now >= waiting.deadline {
             let code = match waiting.ask {
                 OperatorRequest::Read(_) => ResultCode::CoreNotReady,
@@ -73,7 +73,7 @@
                 let is_base = matches!(reading, Query::Base { at_least } if self.replica.state_machine().epoch >= at_least);
                 let is_known_here = || {
                     let state = self.replica.state();
-                    state.is_healthy && state.view.seats(&state.me)
+                    state.is_healthy && state.view.contains(&state.me)
                 };
                 if self.may_respond() || (is_base && is_known_here()) {
                     self.waiting.remove(&number);
@@ -195,13 +195,13 @@
     }
 
     /// The core's answer to a proposal made here, taken only for the newest try of an operator's.
-    pub(super) fn on_response(&mut self, asked: u64, is_replied: bool, body: Vec<u8>) {
+    pub(super) fn on_response(&mut self, asked: u64, is_final: bool, body: Vec<u8>) {
         let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of.is_none();
         let Some((&number, waiting)) = self.waiting.iter_mut().find(|(_, waiting)| is_its(waiting))
         else {
             return;
         };
-        if is_replied {
+        if is_final {
             self.waiting.remove(&number);
             let status = status_of(&body);
             self.outputs.push(ControllerOutput::Response {
@@ -211,7 +211,7 @@
             });
         } else if self.now < waiting.patience_deadline {
             // The core did not take it, so asking again can't do it twice.
-            waiting.next_try = Some(self.now + self.timing.replica.retry);
+            waiting.next_try = Some(self.now + self.timing.replica.proposal_retry_interval);
         } else {
             self.give_up(number, ResultCode::CoreNotReady);
         }
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -4,7 +4,9 @@
     Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
 use config::{Command, ConfigStateMachine, Proposal};
-use replication::{ChainPosition, Note, Record, RecoveredRecords, Replica, View, Voter};
+use replication::{
+    ChainPosition, Record, RecoveredRecords, Replica, ReplicationMessage, View, Voter,
+};
 use types::{Address, ConfigEpoch, DiskId, MonotonicInstant, ResultCode, TokenKey, ViewNumber};
 use wire::{LeaseRequest, Member, Message, Query};
 
@@ -71,10 +73,12 @@
         let left = |output| match output {
             ControllerOutput::Send {
                 to,
-                message: Message::Note { note },
+                message: Message::Replication { message },
                 ..
-            } => match *note {
-                Note::Propose { ticket, .. } => Some(Left::Propose(to.0.port(), ticket.number)),
+            } => match *message {
+                ReplicationMessage::Propose { request_id, .. } => {
+                    Some(Left::Propose(to.0.port(), request_id.number))
+                }
                 _ => None,
             },
             ControllerOutput::Send {
@@ -134,17 +138,17 @@
             },
         )
     }
-    fn respond(&mut self, from: u16, number: u64, is_replied: bool) -> Vec<Left> {
+    fn respond(&mut self, from: u16, number: u64, is_final: bool) -> Vec<Left> {
         let body = serde_json::json!({"code": ResultCode::Accepted.number(), "epoch": 1});
-        let body = if is_replied {
+        let body = if is_final {
             body.to_string().into_bytes()
         } else {
             vec![]
         };
-        let message = Message::Note {
-            note: Box::new(Note::Response {
+        let message = Message::Replication {
+            message: Box::new(ReplicationMessage::Response {
                 number,
-                is_replied,
+                is_final,
                 body,
             }),
         };
@@ -334,7 +338,7 @@
             quorum,
             ..ControllerTiming::default()
         };
-        timing.replica.copies = 1;
+        timing.replica.min_chain_length = 1;
         let kept = RecoveredRecords {
             records: vec![Record::View { view }],
         };
--- a/crates/controller/src/daemon.rs
+++ b/crates/controller/src/daemon.rs
@@ -110,8 +110,8 @@
         settings.zone
     );
     let mut timing = ControllerTiming::default();
-    timing.replica.copies = settings.copies as usize;
-    timing.replica.voters = settings.voters as usize;
+    timing.replica.min_chain_length = settings.copies as usize;
+    timing.replica.target_voters = settings.voters as usize;
     timing.quorum = settings.quorum;
     timing.quota = settings.quota_bounds();
     let mut control = Control {
@@ -367,10 +367,10 @@
             })).collect::<Vec<_>>(),
             "voters": state.view.voters.iter().map(|v| v.address).collect::<Vec<_>>(),
             "last": state.last,
-            "replied": state.replied,
+            "replied": state.commit_index,
             "may_respond": state.may_respond,
             "is_sound": state.is_healthy,
-            "heard_ms_ago": state.heard.iter().map(|(a, s)| (a.to_string(), s.0)).collect::<std::collections::BTreeMap<_, _>>(),
+            "heard_ms_ago": state.last_seen.iter().map(|(a, s)| (a.to_string(), s.0)).collect::<std::collections::BTreeMap<_, _>>(),
             "epoch": config_state.epoch,
             "plan_epoch": config_state.plan_epoch,
             "withdrawn": config_state.withdrawn,
--- a/crates/controller/src/disk_thread/tests.rs
+++ b/crates/controller/src/disk_thread/tests.rs
@@ -2,7 +2,7 @@
 use crate::disk_thread::{DiskEvent, DiskThread};
 use config::ConfigStateMachine;
 use replication::{
-    ChainPosition, Change, Record, Replica, StateMachine, Ticket, Timing, View, Voter,
+    ChainPosition, Change, ChangeRequestId, Record, Replica, StateMachine, Timing, View, Voter,
 };
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -61,14 +61,14 @@
         voters: vec![me],
         ..View::none()
     };
-    let ticket = Ticket {
+    let request_id = ChangeRequestId {
         origin: me.address,
         number: 1,
     };
     let change = Change {
         seq: SequenceNumber(6),
-        stamp: view.epoch,
-        ticket,
+        origin_view: view.epoch,
+        request_id,
         body: vec![1, 2, 3],
     };
     let body = ConfigStateMachine::default().snapshot();
@@ -76,7 +76,7 @@
         Record::View { view: view.clone() },
         Record::Snapshot {
             last: SequenceNumber(5),
-            stamp: view.epoch,
+            origin_view: view.epoch,
             body,
         },
         Record::Change { change },
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -6,7 +6,8 @@
 use config::ConfigStateMachine;
 use controller::{Controller, ControllerInput, ControllerOutput, ControllerTiming, PeerDiscovery};
 use replication::{
-    ChainPosition, Note, Preview, Record, RecoveredRecords, Replica, StateMachine, View, Voter,
+    ChainPosition, Preview, Record, RecoveredRecords, Replica, ReplicationMessage, StateMachine,
+    View, Voter,
 };
 use std::collections::{BTreeMap, VecDeque};
 use types::{Address, DiskId, MonotonicInstant, TokenKey, ViewNumber};
@@ -295,33 +296,37 @@
                     body: u64::MAX.to_be_bytes().to_vec(),
                 },
             ),
-            Message::Note { note } if self.mutant == Some(Mutant::HeadRefuses) => match *note {
-                Note::Judge { ticket, body, .. } => {
-                    let judged = self
-                        .config_state(from)
-                        .map(|config_state| config_state.preview(&body));
-                    let Some(Preview::TurnAway(body)) = judged else {
-                        unreachable!("the head would not take it")
-                    };
-                    let note = Note::Response {
-                        number: ticket.number,
-                        is_replied: true,
-                        body,
-                    };
-                    (
-                        usize::from(ticket.origin.0.port()) - 1,
-                        Message::Note {
-                            note: Box::new(note),
+            Message::Replication { message } if self.mutant == Some(Mutant::HeadRefuses) => {
+                match *message {
+                    ReplicationMessage::ConfirmRejection {
+                        request_id, body, ..
+                    } => {
+                        let judged = self
+                            .config_state(from)
+                            .map(|config_state| config_state.preview(&body));
+                        let Some(Preview::Reject(body)) = judged else {
+                            unreachable!("the head would not take it")
+                        };
+                        let message = ReplicationMessage::Response {
+                            number: request_id.number,
+                            is_final: true,
+                            body,
+                        };
+                        (
+                            usize::from(request_id.origin.0.port()) - 1,
+                            Message::Replication {
+                                message: Box::new(message),
+                            },
+                        )
+                    }
+                    message => (
+                        to,
+                        Message::Replication {
+                            message: Box::new(message),
                         },
-                    )
+                    ),
                 }
-                note => (
-                    to,
-                    Message::Note {
-                        note: Box::new(note),
-                    },
-                ),
-            },
+            }
             message => (to, message),
         }
     }
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -16,8 +16,8 @@
 };
 use quota::{Amount, TenantUse};
 use replication::{
-    Ballot, ChainPosition, Change, Record, RecoveredRecords, Replica, Round, StateMachine, Ticket,
-    View, Voter,
+    ChainPosition, Change, ChangeRequestId, ProposalNumber, Record, RecoveredRecords, Replica,
+    StateMachine, View, ViewProposal, Voter,
 };
 use schematic::Config;
 use std::collections::BTreeMap;
@@ -70,8 +70,8 @@
     let change = |(place, body): (usize, &Vec<u8>)| Record::Change {
         change: Change {
             seq: SequenceNumber(first + place as u64),
-            stamp: ViewNumber(1),
-            ticket: Ticket {
+            origin_view: ViewNumber(1),
+            request_id: ChangeRequestId {
                 origin: Address::loopback(7104),
                 number: 100 + place as u64,
             },
@@ -82,7 +82,7 @@
 }
 
 fn ballots() -> Vec<Record> {
-    let round = Round {
+    let proposal_number = ProposalNumber {
         count: 3,
         proposer: DISK.0,
     };
@@ -90,13 +90,16 @@
         epoch: ViewNumber(2),
         ..view()
     };
-    let ballot = Ballot { round, view: next };
+    let proposal = ViewProposal {
+        proposal_number,
+        view: next,
+    };
     vec![
         Record::Promised {
             instance: ViewNumber(2),
-            round,
+            proposal_number,
         },
-        Record::Accepted { ballot },
+        Record::Accepted { proposal },
     ]
 }
 
@@ -123,7 +126,7 @@
     }
     let snapshot = Record::Snapshot {
         last: SequenceNumber(CHANGES_IN_SNAPSHOT as u64),
-        stamp: ViewNumber(1),
+        origin_view: ViewNumber(1),
         body: config_state.snapshot(),
     };
     let whole = vec![snapshot, Record::View { view: view() }];
@@ -263,7 +266,10 @@
         quorum: Quorum::Holders,
         ..ControllerTiming::default()
     };
-    (timing.replica.copies, timing.replica.voters) = (1, 1);
+    (
+        timing.replica.min_chain_length,
+        timing.replica.target_voters,
+    ) = (1, 1);
     let now = MonotonicInstant(10_000);
     let founders = vec![me().address];
     let replica = Replica::new(
--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -5,7 +5,8 @@
 //! returns.
 
 use replication::{
-    Input, Note, Output, Preview, Record, RecoveredRecords, Replica, StateMachine, Timing, Voter,
+    Input, Output, Preview, Record, RecoveredRecords, Replica, ReplicationMessage, StateMachine,
+    Timing, Voter,
 };
 use std::collections::VecDeque;
 use types::{Address, DiskId, Milliseconds, MonotonicInstant};
@@ -21,8 +22,8 @@
 impl StateMachine for Register {
     fn preview(&self, body: &[u8]) -> Preview {
         match String::from_utf8_lossy(body).split_once(' ') {
-            Some(("set" | "claim" | "vacate", _)) => Preview::Enter,
-            _ => Preview::TurnAway(b"set, claim or vacate".to_vec()),
+            Some(("set" | "claim" | "vacate", _)) => Preview::Admit,
+            _ => Preview::Reject(b"set, claim or vacate".to_vec()),
         }
     }
     fn apply(&mut self, body: &[u8]) -> Vec<u8> {
@@ -53,7 +54,7 @@
     now: MonotonicInstant,
     replicas: Vec<Option<Replica<Register>>>,
     disks: Vec<Vec<Record>>,
-    messages: VecDeque<(Address, Address, Note)>,
+    messages: VecDeque<(Address, Address, ReplicationMessage)>,
     responses: Vec<String>,
     proposals: u64,
 }
@@ -104,32 +105,33 @@
     }
     fn act(&mut self, place: usize, output: Output) {
         match output {
-            Output::Send { to, note } => self.messages.push_back((voter(place).address, to, note)),
+            Output::Send { to, message } => {
+                self.messages.push_back((voter(place).address, to, message))
+            }
             Output::Write {
                 id,
                 records,
-                is_whole,
+                replaces_all,
             } => {
-                if is_whole {
+                if replaces_all {
                     self.disks[place].clear();
                 }
                 self.disks[place].extend(records);
                 self.step(place, Input::Written { id });
             }
-            Output::Response {
-                is_replied, body, ..
-            } => {
+            Output::Response { is_final, body, .. } => {
                 let text = String::from_utf8_lossy(&body).into_owned();
-                self.responses.push(if is_replied {
+                self.responses.push(if is_final {
                     text
                 } else {
                     "the core could not take it".into()
                 });
             }
-            Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
+            Output::Committed { request_id, body }
+            | Output::ChangeRejected { request_id, body } => {
                 let response = self.replicas[place]
                     .as_mut()
-                    .and_then(|replica| replica.respond(self.now, ticket, body));
+                    .and_then(|replica| replica.respond(self.now, request_id, body));
                 response
                     .into_iter()
                     .for_each(|output| self.act(place, output));
@@ -154,10 +156,10 @@
         let deadline = self.now + span;
         while self.now < deadline {
             self.now = self.now + Milliseconds(20);
-            (0..3).for_each(|place| self.step(place, Input::ClockEvent));
-            while let Some((from, to, note)) = self.messages.pop_front() {
+            (0..3).for_each(|place| self.step(place, Input::Tick));
+            while let Some((from, to, message)) = self.messages.pop_front() {
                 if let Some(place) = (0..3).find(|place| voter(*place).address == to) {
-                    self.step(place, Input::Note { from, note });
+                    self.step(place, Input::Message { from, message });
                 }
             }
         }
--- a/crates/replication/src/lease_state.rs
+++ b/crates/replication/src/lease_state.rs
@@ -30,28 +30,28 @@
     /// It holds a lease.
     Leased,
     /// The core is out of reach, but half of the members answer its checks and none knows more.
-    Together,
+    PeerQuorum,
     /// It never held a lease in this life.
-    Unheard,
+    NeverLeased,
     /// Fewer than half of the members answer its checks.
-    Alone,
+    Isolated,
     /// Someone knows newer news, which has not come yet.
-    Behind,
+    Outdated,
 }
 
 impl LeaseStatus {
     /// Whether it may take new work.
     pub fn may_act(self) -> bool {
-        matches!(self, LeaseStatus::Leased | LeaseStatus::Together)
+        matches!(self, LeaseStatus::Leased | LeaseStatus::PeerQuorum)
     }
     /// As a word for logs and answers.
     pub fn word(self) -> &'static str {
         match self {
             LeaseStatus::Leased => "leased",
-            LeaseStatus::Together => "together",
-            LeaseStatus::Unheard => "unheard",
-            LeaseStatus::Alone => "alone",
-            LeaseStatus::Behind => "behind",
+            LeaseStatus::PeerQuorum => "together",
+            LeaseStatus::NeverLeased => "unheard",
+            LeaseStatus::Isolated => "alone",
+            LeaseStatus::Outdated => "behind",
         }
     }
 }
@@ -71,7 +71,12 @@
         }
     }
     /// The core gave a lease and this news. Older news than ours changes nothing.
-    pub fn lease(&mut self, deadline: MonotonicInstant, epoch: ConfigEpoch, members: Vec<Address>) {
+    pub fn renew_lease(
+        &mut self,
+        deadline: MonotonicInstant,
+        epoch: ConfigEpoch,
+        members: Vec<Address>,
+    ) {
         if epoch < self.epoch {
             return;
         }
@@ -79,10 +84,10 @@
             self.lease_deadline
                 .map_or(deadline, |old| old.max(deadline)),
         );
-        self.learn(epoch, members);
+        self.update_members(epoch, members);
     }
     /// News came by way of a peer.
-    pub fn learn(&mut self, epoch: ConfigEpoch, members: Vec<Address>) {
+    pub fn update_members(&mut self, epoch: ConfigEpoch, members: Vec<Address>) {
         if epoch >= self.epoch {
             self.epoch = epoch;
             self.members = members;
@@ -90,13 +95,13 @@
     }
     /// The core told of this epoch. If it's newer, and until it is here, nothing is done without a lease; if
     /// the core isn't heard again, this ends at `deadline`, so that a core that is gone stops nobody for good.
-    pub fn tell(&mut self, epoch: ConfigEpoch, deadline: MonotonicInstant) {
+    pub fn announce_epoch(&mut self, epoch: ConfigEpoch, deadline: MonotonicInstant) {
         if epoch > self.epoch {
             self.told = (self.told.0.max(epoch), self.told.1.max(deadline));
         }
     }
     /// A peer said, unasked, that it knows this epoch: no answer to a check, but it may know more.
-    pub fn hear(&mut self, peer: Address, epoch: ConfigEpoch) {
+    pub fn observe_peer_epoch(&mut self, peer: Address, epoch: ConfigEpoch) {
         let slot = self.peers.entry(peer).or_insert(Peer {
             heard: MonotonicInstant(0),
             epoch,
@@ -105,7 +110,12 @@
     }
     /// A peer that may act itself, or might with us, answered our check, knowing this epoch. The deadline is
     /// reckoned from `heard`: when our own letter that it answers was sent.
-    pub fn note_peer_check(&mut self, peer: Address, epoch: ConfigEpoch, heard: MonotonicInstant) {
+    pub fn record_peer_check(
+        &mut self,
+        peer: Address,
+        epoch: ConfigEpoch,
+        heard: MonotonicInstant,
+    ) {
         let slot = self.peers.entry(peer).or_insert(Peer { heard, epoch });
         slot.heard = slot.heard.max(heard);
         slot.epoch = slot.epoch.max(epoch);
@@ -127,29 +137,29 @@
         self.lease_deadline.is_some_and(|deadline| now < deadline)
     }
     /// Whether new work may be taken now. To be asked right before each act that can't be undone.
-    pub fn reason(&self, now: MonotonicInstant) -> LeaseStatus {
+    pub fn status(&self, now: MonotonicInstant) -> LeaseStatus {
         if self.lease_deadline.is_none() {
-            return LeaseStatus::Unheard;
+            return LeaseStatus::NeverLeased;
         }
         if self.is_leased(now) {
             return LeaseStatus::Leased;
         }
         if self.is_behind(now) {
-            return LeaseStatus::Behind;
+            return LeaseStatus::Outdated;
         }
         match self.together_until() {
-            Some(deadline) if now < deadline => LeaseStatus::Together,
-            _ => LeaseStatus::Alone,
+            Some(deadline) if now < deadline => LeaseStatus::PeerQuorum,
+            _ => LeaseStatus::Isolated,
         }
     }
 
     /// Until when it may act if nothing more is heard; `None` if it may not now. Checks that were answered
     /// before a lease lapses count from then on at once.
     pub fn may_act_until(&self, now: MonotonicInstant) -> Option<MonotonicInstant> {
-        match self.reason(now) {
+        match self.status(now) {
             LeaseStatus::Leased if self.is_behind(now) => self.lease_deadline,
             LeaseStatus::Leased => self.lease_deadline.max(self.together_until()),
-            LeaseStatus::Together => self.together_until(),
+            LeaseStatus::PeerQuorum => self.together_until(),
             _ => None,
         }
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,55 +1,64 @@
-//! Coordination by a chain of a few machines with disks, mended by a small agreed view.
+//! A replicated state machine for the controllers: chain replication, with a view that Paxos decides.
 //!
-//! Everything here is pure: state machines take inputs and the time, and return what to send,
-//! write and answer. No I/O, no clock is read, nothing global. The parts:
+//! The algorithms, and where each is:
 //!
-//! How it's used, whole, is in `examples/register.rs`. The heart of it:
+//! - *Chain replication* (van Renesse and Schneider, 2004): changes enter at the head, are forwarded from member to member once each
+//!   has them on its disk, and commit at the tail, which also answers reads. See `replica/chain.rs`.
+//! - *Paxos* (Lamport), one single-decree instance for each view: it decides who forms the chain and who votes on the next
+//!   view. It replaces the perfect failure detector and master that the chain's paper assumes. See `replica/view_change.rs`.
+//! - *Leases*: the tail answers only while a majority of the voters has granted it a lease, which fences off a tail that was
+//!   replaced and doesn't know it. See `replica/lease.rs`. The members of the fleet hold leases of another kind, granted by the tail: see
+//!   [`LeaseTable`] for the tail's side and [`LeaseState`] for a member's.
+//! - *Catch-up* of those that are behind, by changes from the log or by a snapshot. See `replica/catch_up.rs` and
+//!   `replica/snapshot.rs`.
+//!
+//! Each of these modules tells its rules, what would break without them, and where it departs from the published form.
+//!
+//! Everything here is pure: a [`Replica`] takes an [`Input`] and the time, and returns what to send, write and answer as [`Output`]s. It
+//! does no I/O, reads no clock and keeps nothing global. `examples/register.rs` is a complete program. The core of it:
 //!
 //! ```
 //! use replication::*;
 //!
-//! struct Count(u64);
-//! impl StateMachine for Count {
-//!     fn preview(&self, _: &[u8]) -> Preview { Preview::Enter }
+//! struct Counter(u64);
+//! impl StateMachine for Counter {
+//!     fn preview(&self, _: &[u8]) -> Preview { Preview::Admit }
 //!     fn apply(&mut self, _: &[u8]) -> Vec<u8> { self.0 += 1; vec![] }
 //!     fn snapshot(&self) -> Vec<u8> { self.0.to_be_bytes().to_vec() }
-//!     fn restore(snapshot: &[u8]) -> Option<Self> { Some(Count(u64::from_be_bytes(snapshot.try_into().ok()?))) }
+//!     fn restore(snapshot: &[u8]) -> Option<Self> { Some(Counter(u64::from_be_bytes(snapshot.try_into().ok()?))) }
 //! }
+//! # use types::{Address, DiskId, MonotonicInstant};
 //!
 //! let me = Voter { address: Address::loopback(7001), disk: DiskId(1) };
 //! let founders = vec![me.address, Address::loopback(7002), Address::loopback(7003)];
-//! let kept = Kept::default(); // what your disk gave back
-//! let mut replica = Replica::new(me, founders, Timing::default(), kept, Count(0), Moment(0))?;
-//! for output in replica.step(Moment(100), Input::ClockEvent) {
+//! let recovered = RecoveredRecords::default(); // what your disk gave back
+//! let start = MonotonicInstant(0);
+//! let mut replica = Replica::new(me, founders, Timing::default(), recovered, Counter(0), start)?;
+//! for output in replica.step(MonotonicInstant(100), Input::Tick) {
 //!     match output {
-//!         Output::Send { to, note } => println!("to {to}: {note:?}"),
-//!         Output::Write { id, .. } => println!("sync this, then say Written {{ id: {id} }}"),
+//!         Output::Send { to, message } => println!("to {to}: {message:?}"),
+//!         Output::Write { id, .. } => println!("sync this, then give Written {{ id: {id} }}"),
 //!         _ => {}
 //!     }
 //! }
-//! assert!(!replica.may_respond(Moment(100)), "nobody responds before the founding");
-//! # Ok::<(), KeptFault>(())
+//! assert!(!replica.may_respond(MonotonicInstant(100)), "nobody responds before the founding");
+//! # Ok::<(), RecoveryError>(())
 //! ```
-//!
-//! - [`Replica`]: one machine of the chain. It replicates what a
-//!   [`StateMachine`] keeps, answers from the tail, votes on views, and repairs those
-//!   that are behind with a snapshot and then changes.
-//! - [`LeaseTable`]: who is a member, by leases renewed at the tail.
-//! - [`LeaseState`]: whether a member may act, with its lease or, the core being
-//!   out of reach, with half of the members that it last saw.
 
 #![warn(missing_docs)]
 
 mod lease_state;
 mod leases;
-mod notes;
+mod messages;
 mod replica;
 mod state_machine;
 mod view;
 
 pub use lease_state::{LeaseState, LeaseStatus};
 pub use leases::{LeaseTable, Membership};
-pub use notes::{Ballot, Change, Note, Record, Round, Ticket};
+pub use messages::{
+    Change, ChangeRequestId, ProposalNumber, Record, ReplicationMessage, ViewProposal,
+};
 pub use replica::{Input, Output, RecoveredRecords, RecoveryError, Replica, ReplicaState, Timing};
 pub use state_machine::{Preview, StateMachine};
 pub use view::{ChainPosition, View, Voter};
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,6 @@
-use crate::notes::{Ballot, Change, Note, Record, Round, Ticket};
+use crate::messages::{
+    Change, ChangeRequestId, ProposalNumber, Record, ReplicationMessage, ViewProposal,
+};
 use crate::state_machine::StateMachine;
 use crate::view::{View, Voter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,57 +17,57 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
     /// Disks that a change is on before it is replied: changes enter only while the chain has as many.
-    pub copies: usize,
+    pub min_chain_length: usize,
     /// Voters wanted: a follower's vote is added while there are fewer. Never taken away again.
-    pub voters: usize,
+    pub target_voters: usize,
     /// Between beats.
-    pub beat: Milliseconds,
+    pub heartbeat_interval: Milliseconds,
     /// Unheard for this long, a replica is taken for gone.
-    pub suspect: Milliseconds,
+    pub suspect_timeout: Milliseconds,
     /// How long a voter keeps its word to the tail.
-    pub lease: Milliseconds,
+    pub lease_duration: Milliseconds,
     /// How long the tail itself counts on it, from when it asked: less, for clocks that run apart.
-    pub lease_counted: Milliseconds,
+    pub holder_lease_duration: Milliseconds,
     /// A ballot's notes are sent again after this.
-    pub retry: Milliseconds,
+    pub proposal_retry_interval: Milliseconds,
     /// A voter unheard for this long may be replaced by a follower with another disk.
-    pub replace_after: Milliseconds,
+    pub voter_replacement_timeout: Milliseconds,
     /// Changes sent at once to one that is behind, in bytes.
-    pub feed_bytes: usize,
+    pub catch_up_batch_bytes: usize,
     /// A piece of a snapshot, in bytes.
-    pub piece_bytes: usize,
+    pub snapshot_chunk_bytes: usize,
     /// A disk that leaves a write unsynced for this long is taken for one that takes none.
-    pub stall: Milliseconds,
+    pub disk_stall_timeout: Milliseconds,
     /// Changes that the head lets in beyond those replied to; more are turned away unchanged.
-    pub ahead: u64,
+    pub max_in_flight_changes: u64,
     /// Changes that the head lets in a second, for long. With what the state machine remembers (4,096) it bounds from
     /// below the time in which a repeat is known as one: 3,968 / 100 = 39.7 s, 9.9 times `ack_ms` of the users'
     /// small sites.
-    pub changes_per_second: u64,
+    pub max_changes_per_second: u64,
     /// Changes that the head lets in at once beyond that.
-    pub burst: u64,
+    pub max_change_burst: u64,
     /// The log is folded into a snapshot when it's longer than this, in bytes, and than the snapshot.
-    pub fold_bytes: usize,
+    pub compaction_threshold_bytes: usize,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            copies: 2,
-            voters: 3,
-            beat: Milliseconds(100),
-            suspect: Milliseconds(800),
-            lease: Milliseconds(1000),
-            lease_counted: Milliseconds(800),
-            retry: Milliseconds(250),
-            replace_after: Milliseconds(2000),
-            feed_bytes: 1 << 20,
-            piece_bytes: 256 << 10,
-            stall: Milliseconds(1500),
-            ahead: 64,
-            changes_per_second: 100,
-            burst: 128,
-            fold_bytes: 4 << 20,
+            min_chain_length: 2,
+            target_voters: 3,
+            heartbeat_interval: Milliseconds(100),
+            suspect_timeout: Milliseconds(800),
+            lease_duration: Milliseconds(1000),
+            holder_lease_duration: Milliseconds(800),
+            proposal_retry_interval: Milliseconds(250),
+            voter_replacement_timeout: Milliseconds(2000),
+            catch_up_batch_bytes: 1 << 20,
+            snapshot_chunk_bytes: 256 << 10,
+            disk_stall_timeout: Milliseconds(1500),
+            max_in_flight_changes: 64,
+            max_changes_per_second: 100,
+            max_change_burst: 128,
+            compaction_threshold_bytes: 4 << 20,
         }
     }
 }
@@ -74,11 +76,11 @@
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A note came.
-    Note {
+    Message {
         /// From this address.
         from: Address,
         /// The note.
-        note: Note,
+        message: ReplicationMessage,
     },
     /// Someone here proposes a body; the answer comes as [`Output::Response`] with this number.
     Propose {
@@ -89,7 +91,7 @@
         body: Vec<u8>,
     },
     /// Time has passed; said at least once a beat.
-    ClockEvent,
+    Tick,
     /// All writes up to this one are synced.
     Written {
         /// Its id.
@@ -97,10 +99,10 @@
     },
     /// The disk refused a write. The replica steps out; whoever runs it makes a new one of what the
     /// disk holds once the disk takes writes again.
-    DiskFault,
+    DiskFailed,
     /// This machine is to stop: it asks for a view without its seat, and for its vote to be taken over
     /// where somebody is there for it. See [`Replica::has_handed_over`].
-    Leave,
+    Drain,
 }
 
 /// What a replica wants done.
@@ -111,7 +113,7 @@
         /// To this address.
         to: Address,
         /// The note.
-        note: Note,
+        message: ReplicationMessage,
     },
     /// Write these, in order of ids, sync, then say [`Input::Written`].
     Write {
@@ -120,30 +122,30 @@
         /// What.
         records: Vec<Record>,
         /// Whether they replace all that was written before.
-        is_whole: bool,
+        replaces_all: bool,
     },
     /// The answer to a proposal made here.
     Response {
         /// Its number.
         number: u64,
         /// Whether the core took it up.
-        is_replied: bool,
+        is_final: bool,
         /// The state machine's answer.
         body: Vec<u8>,
     },
     /// At the tail: this change is on every member's disk. Whoever runs the tail gives the answer
     /// with [`Replica::respond`], at once or when its own conditions hold.
-    Settled {
+    Committed {
         /// Who waits.
-        ticket: Ticket,
+        request_id: ChangeRequestId,
         /// The state machine's answer.
         body: Vec<u8>,
     },
     /// At the tail: this proposal can't be taken, by a state that is on every member's disk. Answered as
-    /// [`Output::Settled`] is.
-    Judged {
+    /// [`Output::Committed`] is.
+    ChangeRejected {
         /// Who waits.
-        ticket: Ticket,
+        request_id: ChangeRequestId,
         /// The state machine's answer.
         body: Vec<u8>,
     },
@@ -179,13 +181,13 @@
     /// The last change on its disk.
     pub last: SequenceNumber,
     /// The last change known to be replied.
-    pub replied: SequenceNumber,
+    pub commit_index: SequenceNumber,
     /// Whether it may answer now.
     pub may_respond: bool,
     /// Whether its disk takes writes.
     pub is_healthy: bool,
     /// Who was heard lately, and how long ago.
-    pub heard: Vec<(Address, Milliseconds)>,
+    pub last_seen: Vec<(Address, Milliseconds)>,
 }
 
 /// The stamp of a change that came before all that is kept.
@@ -210,15 +212,15 @@
     now: MonotonicInstant,
     // On disk.
     view: View,
-    promised: (ViewNumber, Round),
-    accepted: Option<Ballot>,
+    promised: (ViewNumber, ProposalNumber),
+    accepted: Option<ViewProposal>,
     base: (SequenceNumber, ViewNumber),
     log: VecDeque<Change>,
     state_machine: C,
     // What follows from it.
     last: (SequenceNumber, ViewNumber),
     synced: (SequenceNumber, ViewNumber),
-    replied: SequenceNumber,
+    commit_index: SequenceNumber,
     is_caught_up: bool,
     is_healthy: bool,
     is_fresh: bool,
@@ -231,7 +233,7 @@
     snapshot_bytes: usize,
     // Others.
     heard: BTreeMap<Address, Heard>,
-    has_members: bool,
+    has_member_majority: bool,
     last_event: MonotonicInstant,
     next_heartbeat: MonotonicInstant,
     // Lease of the tail.
@@ -268,12 +270,12 @@
     leaving: BTreeMap<Voter, MonotonicInstant>,
     // This step.
     outputs: Vec<Output>,
-    to_self: VecDeque<Note>,
+    to_self: VecDeque<ReplicationMessage>,
 }
 
 #[derive(Debug, Clone, Hash)]
 enum Deferred {
-    Send(Address, Note),
+    Send(Address, ReplicationMessage),
     Apply(u64, Change),
 }
 
@@ -284,19 +286,19 @@
     view: ViewNumber,
     last: SequenceNumber,
     /// The view in which that change was let in: with its number, it names one change.
-    stamp: ViewNumber,
+    origin_view: ViewNumber,
     is_caught_up: bool,
     is_healthy: bool,
-    has_members: bool,
+    has_member_majority: bool,
 }
 
 #[derive(Debug, Clone)]
 struct Bid {
-    round: Round,
+    proposal_number: ProposalNumber,
     /// At the founding: which disk each founder promised with.
     founders: BTreeMap<Address, DiskId>,
-    promises: BTreeMap<DiskId, Option<Ballot>>,
-    ballot: Option<Ballot>,
+    promises: BTreeMap<DiskId, Option<ViewProposal>>,
+    proposal: Option<ViewProposal>,
     accepts: BTreeSet<DiskId>,
     sent: MonotonicInstant,
     deadline: MonotonicInstant,
@@ -316,7 +318,7 @@
 #[derive(Debug, Clone)]
 struct Offered {
     last: SequenceNumber,
-    stamp: ViewNumber,
+    origin_view: ViewNumber,
     bytes: Vec<u8>,
     /// When it was last offered or a piece of it asked for.
     asked: MonotonicInstant,
@@ -325,7 +327,7 @@
 #[derive(Debug, Clone)]
 struct Fetching {
     last: SequenceNumber,
-    stamp: ViewNumber,
+    origin_view: ViewNumber,
     bytes: Vec<u8>,
     length: u64,
     asked: MonotonicInstant,
@@ -362,7 +364,7 @@
             state_machine: empty,
             last: Default::default(),
             synced: Default::default(),
-            replied: SequenceNumber(0),
+            commit_index: SequenceNumber(0),
             is_caught_up: false,
             is_healthy: true,
             is_fresh,
@@ -373,11 +375,15 @@
             log_bytes: 0,
             snapshot_bytes: 0,
             heard: BTreeMap::new(),
-            has_members: false,
+            has_member_majority: false,
             last_event: now,
             next_heartbeat: now,
             granted_until: MonotonicInstant(0),
-            silent_until: if is_fresh { now } else { now + timing.lease },
+            silent_until: if is_fresh {
+                now
+            } else {
+                now + timing.lease_duration
+            },
             has_released: false,
             paused_until: now,
             ask_round: now.0,
@@ -387,7 +393,7 @@
             bid: None,
             top_count: 0,
             wanted_since: None,
-            not_before: now + timing.suspect,
+            not_before: now + timing.suspect_timeout,
             listens_since: now,
             early: BTreeMap::new(),
             pace: pacing::Pace::full(&timing, now),
@@ -429,17 +435,20 @@
             .position(&me)
             .is_some_and(|position| position.is_caught_up);
         if replica.is_tail() && replica.is_caught_up {
-            replica.replied = replica.synced.0;
+            replica.commit_index = replica.synced.0;
         }
         Ok(replica)
     }
 
     fn recall(&mut self, record: Record) -> Result<(), RecoveryError> {
         match record {
-            Record::Promised { instance, round } => self.promised = (instance, round),
-            Record::Accepted { ballot } => {
-                self.promised = (ballot.view.epoch, ballot.round);
-                self.accepted = Some(ballot);
+            Record::Promised {
+                instance,
+                proposal_number,
+            } => self.promised = (instance, proposal_number),
+            Record::Accepted { proposal } => {
+                self.promised = (proposal.view.epoch, proposal.proposal_number);
+                self.accepted = Some(proposal);
             }
             Record::View { view } => self.take_view(view),
             Record::Change { change } => {
@@ -455,18 +464,22 @@
                 }
                 if change.seq > self.last.0 {
                     self.state_machine.apply(&change.body);
-                    self.last = (change.seq, change.stamp);
+                    self.last = (change.seq, change.origin_view);
                 }
                 self.log_bytes += change.body.len();
                 self.log.push_back(change);
             }
-            Record::Snapshot { last, stamp, body } => {
+            Record::Snapshot {
+                last,
+                origin_view,
+                body,
+            } => {
                 self.state_machine = C::restore(&body).ok_or(RecoveryError::Snapshot(last))?;
                 self.log.clear();
                 self.log_bytes = 0;
                 self.snapshot_bytes = body.len();
-                self.base = (last, stamp);
-                self.last = (last, stamp);
+                self.base = (last, origin_view);
+                self.last = (last, origin_view);
             }
         }
         Ok(())
@@ -476,7 +489,7 @@
         if self
             .accepted
             .as_ref()
-            .is_some_and(|ballot| ballot.view.epoch <= view.epoch)
+            .is_some_and(|proposal| proposal.view.epoch <= view.epoch)
         {
             self.accepted = None;
         }
@@ -487,15 +500,15 @@
     pub fn step(&mut self, now: MonotonicInstant, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         match input {
-            Input::Note { from, note } => self.on_note(from, note),
+            Input::Message { from, message } => self.on_note(from, message),
             Input::Propose { number, body } => self.on_propose_here(number, body),
-            Input::ClockEvent => self.on_clock_event(),
+            Input::Tick => self.on_clock_event(),
             Input::Written { id } => self.on_written(id),
-            Input::DiskFault => self.on_disk_fault(),
-            Input::Leave => self.on_leave(),
+            Input::DiskFailed => self.on_disk_fault(),
+            Input::Drain => self.on_leave(),
         }
-        while let Some(note) = self.to_self.pop_front() {
-            self.on_note(self.me.address, note);
+        while let Some(message) = self.to_self.pop_front() {
+            self.on_note(self.me.address, message);
         }
         std::mem::take(&mut self.outputs)
     }
@@ -518,11 +531,11 @@
     }
     /// Whether this replica heard a majority of the view's voters lately, itself included. One that did not is cut
     /// off or alone, and can neither read nor propose; one that has just started had no time to hear anybody.
-    pub fn hears_majority(&self, now: MonotonicInstant) -> bool {
+    pub fn has_reachable_majority(&self, now: MonotonicInstant) -> bool {
         let is_heard = |voter: &Voter| {
             let heard = self.heard.get(&voter.address);
             *voter == self.me
-                || heard.is_some_and(|heard| now.since(heard.at) < self.timing.suspect)
+                || heard.is_some_and(|heard| now.since(heard.at) < self.timing.suspect_timeout)
         };
         let count = self
             .view
@@ -530,16 +543,16 @@
             .iter()
             .filter(|voter| is_heard(voter))
             .count();
-        now < self.listens_since + self.timing.suspect || count >= self.view.majority()
+        now < self.listens_since + self.timing.suspect_timeout || count >= self.view.majority()
     }
     /// Whether it has a seat in the chain, a disk that takes writes, and hears a majority: operators are well served
     /// here, even where the answer comes from the tail.
     pub fn is_serving(&self, now: MonotonicInstant) -> bool {
-        self.is_healthy && self.view.seats(&self.me) && self.hears_majority(now)
+        self.is_healthy && self.view.contains(&self.me) && self.has_reachable_majority(now)
     }
     /// Tells it of others that know a newer view: it beats to them until it knows as much, since its own view and
     /// its settings may name nobody who is in the core by now.
-    pub fn meet(&mut self, view: ViewNumber, voters: &[Address]) {
+    pub fn learn_contacts(&mut self, view: ViewNumber, voters: &[Address]) {
         self.contacts = if view > self.view.epoch {
             voters.to_vec()
         } else {
@@ -547,34 +560,34 @@
         };
     }
     /// The tail's word on whether more than half of the members hold leases.
-    pub fn set_has_members(&mut self, has_members: bool) {
-        self.has_members = has_members;
+    pub fn set_has_member_majority(&mut self, has_member_majority: bool) {
+        self.has_member_majority = has_member_majority;
     }
     /// Gives the answer to a settled change, if this replica may still answer.
     pub fn respond(
         &mut self,
         now: MonotonicInstant,
-        ticket: Ticket,
+        request_id: ChangeRequestId,
         body: Vec<u8>,
     ) -> Option<Output> {
         if !self.may_respond(now) {
             return None;
         }
-        Some(if ticket.origin == self.me.address {
+        Some(if request_id.origin == self.me.address {
             Output::Response {
-                number: ticket.number,
-                is_replied: true,
+                number: request_id.number,
+                is_final: true,
                 body,
             }
         } else {
-            let note = Note::Response {
-                number: ticket.number,
-                is_replied: true,
+            let message = ReplicationMessage::Response {
+                number: request_id.number,
+                is_final: true,
                 body,
             };
             Output::Send {
-                to: ticket.origin,
-                note,
+                to: request_id.origin,
+                message,
             }
         })
     }
@@ -587,7 +600,7 @@
     pub fn is_busy(&self) -> bool {
         let is_waiting =
             self.bid.is_some() || self.wanted_since.is_some() || self.fetching.is_some();
-        is_waiting || !self.unsynced.is_empty() || self.replied < self.last.0
+        is_waiting || !self.unsynced.is_empty() || self.commit_index < self.last.0
     }
     /// What it believes.
     pub fn state(&self) -> ReplicaState {
@@ -595,10 +608,10 @@
             me: self.me,
             view: self.view.clone(),
             last: self.synced.0,
-            replied: self.replied,
+            commit_index: self.commit_index,
             may_respond: self.may_respond(self.now),
             is_healthy: self.is_healthy,
-            heard: self
+            last_seen: self
                 .heard
                 .iter()
                 .map(|(address, h)| (*address, self.now.since(h.at)))
@@ -610,7 +623,7 @@
     fn is_stalled(&self) -> bool {
         self.unsynced
             .front()
-            .is_some_and(|(_, at)| self.now.since(*at) >= self.timing.stall)
+            .is_some_and(|(_, at)| self.now.since(*at) >= self.timing.disk_stall_timeout)
     }
     fn is_head(&self) -> bool {
         self.view.head() == Some(self.me)
@@ -619,11 +632,11 @@
         self.view.tail() == Some(self.me)
     }
 
-    fn send(&mut self, to: Address, note: Note) {
+    fn send(&mut self, to: Address, message: ReplicationMessage) {
         if to == self.me.address {
-            self.to_self.push_back(note);
+            self.to_self.push_back(message);
         } else {
-            self.outputs.push(Output::Send { to, note });
+            self.outputs.push(Output::Send { to, message });
         }
     }
 
@@ -631,13 +644,13 @@
         self.write_all(vec![record], false, then);
     }
 
-    fn write_all(&mut self, records: Vec<Record>, is_whole: bool, then: Option<Deferred>) {
+    fn write_all(&mut self, records: Vec<Record>, replaces_all: bool, then: Option<Deferred>) {
         self.next_write += 1;
         let id = self.next_write;
         self.outputs.push(Output::Write {
             id,
             records,
-            is_whole,
+            replaces_all,
         });
         self.unsynced.push_back((id, self.now));
         if let Some(then) = then {
@@ -660,7 +673,7 @@
             .is_some_and(|(waiting, _)| *waiting <= id)
         {
             match self.deferred.pop_front() {
-                Some((_, Deferred::Send(to, note))) => self.send(to, note),
+                Some((_, Deferred::Send(to, message))) => self.send(to, message),
                 Some((_, Deferred::Apply(incarnation, change)))
                     if incarnation == self.incarnation =>
                 {
@@ -677,23 +690,23 @@
         self.deferred.clear();
         self.unsynced.clear();
         self.bid = None;
-        self.beat();
+        self.heartbeat();
     }
 
     fn on_clock_event(&mut self) {
-        if self.now.since(self.last_event) > Milliseconds(self.timing.suspect.0 / 2) {
+        if self.now.since(self.last_event) > Milliseconds(self.timing.suspect_timeout.0 / 2) {
             // This machine slept. Nobody is to be taken for gone before there was time to hear it.
             let now = self.now;
             self.heard.values_mut().for_each(|h| h.at = now);
             self.unsynced.iter_mut().for_each(|(_, at)| *at = now);
             self.successor_moved.1 = now;
-            self.not_before = now + self.timing.suspect;
+            self.not_before = now + self.timing.suspect_timeout;
             self.listens_since = now;
         }
         self.last_event = self.now;
         if self.now >= self.next_heartbeat {
-            self.next_heartbeat = self.now + self.timing.beat;
-            self.beat();
+            self.next_heartbeat = self.now + self.timing.heartbeat_interval;
+            self.heartbeat();
             if self.is_healthy {
                 self.ask_lease();
                 self.follow();
@@ -709,21 +722,21 @@
         }
     }
 
-    fn beat(&mut self) {
-        let note = Note::Heartbeat {
+    fn heartbeat(&mut self) {
+        let message = ReplicationMessage::Heartbeat {
             disk: self.me.disk,
             view: self.view.epoch,
             last: self.synced.0,
-            stamp: self.synced.1,
-            replied: self.replied,
+            origin_view: self.synced.1,
+            commit_index: self.commit_index,
             is_caught_up: self.is_caught_up,
             is_healthy: self.is_healthy && !self.is_stalled() && !self.is_deaf(),
-            has_members: self.has_members,
+            has_member_majority: self.has_member_majority,
         };
         for address in self.others() {
             self.outputs.push(Output::Send {
                 to: address,
-                note: note.clone(),
+                message: message.clone(),
             });
         }
         self.tell_leaving();
@@ -739,7 +752,8 @@
             .collect();
         all.extend(self.view.voters.iter().map(|v| v.address));
         all.extend(self.view.chain.iter().map(|s| s.voter.address));
-        let lately = |h: &Heard| self.now.since(h.at) < Milliseconds(self.timing.suspect.0 * 4);
+        let lately =
+            |h: &Heard| self.now.since(h.at) < Milliseconds(self.timing.suspect_timeout.0 * 4);
         all.extend(
             self.heard
                 .iter()
@@ -750,92 +764,110 @@
         all
     }
 
-    fn on_note(&mut self, from: Address, note: Note) {
+    fn on_note(&mut self, from: Address, message: ReplicationMessage) {
         if !self.is_healthy {
             return;
         }
-        match note {
-            Note::Heartbeat {
+        match message {
+            ReplicationMessage::Heartbeat {
                 disk,
                 view,
                 last,
-                stamp,
-                replied,
+                origin_view,
+                commit_index,
                 is_caught_up,
                 is_healthy,
-                has_members,
+                has_member_majority,
             } => {
                 let heard = Heard {
                     at: self.now,
                     disk,
                     view,
                     last,
-                    stamp,
+                    origin_view,
                     is_caught_up,
                     is_healthy,
-                    has_members,
+                    has_member_majority,
                 };
                 self.heard.insert(from, heard);
                 if view < self.view.epoch {
-                    let note = Note::Decided {
+                    let message = ReplicationMessage::Decided {
                         view: self.view.clone(),
                     };
-                    self.send(from, note);
+                    self.send(from, message);
                 }
-                self.on_chain_beat(from, disk, view, last, replied, is_caught_up);
+                self.on_chain_beat(from, disk, view, last, commit_index, is_caught_up);
             }
-            Note::Prepare { instance, round } => self.on_prepare(from, instance, round),
-            Note::Promise {
+            ReplicationMessage::Prepare {
+                instance,
+                proposal_number,
+            } => self.on_prepare(from, instance, proposal_number),
+            ReplicationMessage::Promise {
                 instance,
-                round,
+                proposal_number,
                 disk,
                 accepted,
-            } => self.on_promise(from, instance, round, disk, accepted),
-            Note::Accept { ballot } => self.on_accept(from, ballot),
-            Note::Accepted {
+            } => self.on_promise(from, instance, proposal_number, disk, accepted),
+            ReplicationMessage::Accept { proposal } => self.on_accept(from, proposal),
+            ReplicationMessage::Accepted {
                 instance,
-                round,
+                proposal_number,
+                disk,
+            } => self.on_accepted(from, instance, proposal_number, disk),
+            ReplicationMessage::ProposalRejected { instance, promised } => {
+                self.on_outdone(instance, promised)
+            }
+            ReplicationMessage::Decided { view } => self.adopt(view),
+            ReplicationMessage::LeaseRequest {
+                view,
+                request_number,
+            } => self.on_lease_ask(from, view, request_number),
+            ReplicationMessage::LeaseGrant {
+                view,
+                request_number,
                 disk,
-            } => self.on_accepted(from, instance, round, disk),
-            Note::Outdone { instance, promised } => self.on_outdone(instance, promised),
-            Note::Decided { view } => self.adopt(view),
-            Note::LeaseAsk { view, round } => self.on_lease_ask(from, view, round),
-            Note::LeaseGrant { view, round, disk } => self.on_lease_grant(view, round, disk),
-            Note::Pass { view, change } => self.on_pass(from, view, change),
-            Note::Level { view, last } => self.on_level(from, view, last),
-            Note::Follow { disk, last, stamp } => self.on_follow(from, disk, last, stamp),
-            Note::Feed { changes } => self.on_feed(from, changes),
-            Note::SnapshotOffer {
+            } => self.on_lease_grant(view, request_number, disk),
+            ReplicationMessage::Forward { view, change } => self.on_pass(from, view, change),
+            ReplicationMessage::CatchUpTarget { view, last } => self.on_level(from, view, last),
+            ReplicationMessage::CatchUpRequest {
+                disk,
+                last,
+                origin_view,
+            } => self.on_follow(from, disk, last, origin_view),
+            ReplicationMessage::CatchUpBatch { changes } => self.on_feed(from, changes),
+            ReplicationMessage::SnapshotOffer {
                 last,
-                stamp,
+                origin_view,
                 length,
-            } => self.on_snapshot_offer(from, last, stamp, length),
-            Note::SnapshotAsk { last, offset } => self.on_snapshot_ask(from, last, offset),
-            Note::SnapshotPiece {
+            } => self.on_snapshot_offer(from, last, origin_view, length),
+            ReplicationMessage::SnapshotRequest { last, offset } => {
+                self.on_snapshot_ask(from, last, offset)
+            }
+            ReplicationMessage::SnapshotChunk {
                 last,
-                stamp,
+                origin_view,
                 offset,
                 length,
                 bytes,
             } => {
-                self.on_snapshot_piece(from, last, stamp, offset, length, bytes);
+                self.on_snapshot_piece(from, last, origin_view, offset, length, bytes);
             }
-            Note::Propose { ticket, body } => self.on_propose(ticket, body),
-            Note::Judge {
+            ReplicationMessage::Propose { request_id, body } => self.on_propose(request_id, body),
+            ReplicationMessage::ConfirmRejection {
                 view,
-                ticket,
+                request_id,
                 last,
                 body,
-            } => self.on_judge(from, view, ticket, last, body),
-            Note::Leaving { disk } => self.on_leaving(from, disk),
-            Note::Response {
+            } => self.on_judge(from, view, request_id, last, body),
+            ReplicationMessage::Draining { disk } => self.on_leaving(from, disk),
+            ReplicationMessage::Response {
                 number,
-                is_replied,
+                is_final,
                 body,
             } => {
                 self.outputs.push(Output::Response {
                     number,
-                    is_replied,
+                    is_final,
                     body,
                 });
             }
@@ -845,7 +877,7 @@
     /// Whether it hears too few voters for anything to be agreed here. It says so with its beats: those
     /// whom it reaches would wait for it for as long as its line is cut one way.
     fn is_deaf(&self) -> bool {
-        !self.view.voters.is_empty() && !self.hears_majority(self.now)
+        !self.view.voters.is_empty() && !self.has_reachable_majority(self.now)
     }
 
     /// Whether this voter was heard lately, with the disk that it votes with, and takes writes.
@@ -854,7 +886,9 @@
             return self.is_healthy && !self.is_stalled();
         }
         self.heard.get(&voter.address).is_some_and(|h| {
-            h.disk == voter.disk && h.is_healthy && self.now.since(h.at) < self.timing.suspect
+            h.disk == voter.disk
+                && h.is_healthy
+                && self.now.since(h.at) < self.timing.suspect_timeout
         })
     }
 }
--- a/crates/replication/src/replica/ballots.rs
+++ b/crates/replication/src/replica/ballots.rs
@@ -1,7 +1,7 @@
 //! Views: the founding, ballots, and the tail's lease.
 
 use super::*;
-use crate::notes::{Ballot, Note, Record, Round};
+use crate::messages::{ProposalNumber, Record, ReplicationMessage, ViewProposal};
 use crate::replica::{Output, Replica};
 use crate::state_machine::StateMachine;
 use crate::view::{ChainPosition, View, Voter};
@@ -27,11 +27,11 @@
         }
         if self.promised.0 == ViewNumber(0) {
             // After a restart, this tells that it is a founder, whatever it's told then.
-            self.promised = (ViewNumber(1), Round::default());
+            self.promised = (ViewNumber(1), ProposalNumber::default());
             self.write(
                 Record::Promised {
                     instance: ViewNumber(1),
-                    round: Round::default(),
+                    proposal_number: ProposalNumber::default(),
                 },
                 None,
             );
@@ -40,8 +40,9 @@
             return self.close_founding();
         }
         let is_heard = |address: &Address| {
-            let lately =
-                |h: &Heard| h.view == ViewNumber(0) && self.now.since(h.at) < self.timing.suspect;
+            let lately = |h: &Heard| {
+                h.view == ViewNumber(0) && self.now.since(h.at) < self.timing.suspect_timeout
+            };
             *address == self.me.address || self.heard.get(address).is_some_and(lately)
         };
         let heard = self
@@ -54,23 +55,24 @@
             .iter()
             .take_while(|address| **address != self.me.address)
             .count() as u64;
-        let is_turn = self.now >= self.not_before + Milliseconds(self.timing.retry.0 * 2 * turn);
+        let is_turn = self.now
+            >= self.not_before + Milliseconds(self.timing.proposal_retry_interval.0 * 2 * turn);
         let are_all_here = turn == 0 && heard == self.founders.len() && self.top_count == 0;
         if !are_all_here && (!is_turn || heard < self.founders_majority()) {
             return;
         }
         self.top_count += 1;
         self.bid = Some(Bid {
-            round: Round {
+            proposal_number: ProposalNumber {
                 count: self.top_count,
                 proposer: self.me.disk.0,
             },
             founders: BTreeMap::new(),
             promises: BTreeMap::new(),
-            ballot: None,
+            proposal: None,
             accepts: BTreeSet::new(),
             sent: MonotonicInstant(0),
-            deadline: self.now + Milliseconds(self.timing.retry.0 * 8),
+            deadline: self.now + Milliseconds(self.timing.proposal_retry_interval.0 * 8),
         });
     }
 
@@ -83,9 +85,10 @@
     fn close_founding(&mut self) {
         let majority = self.founders_majority();
         let Some(bid) = &mut self.bid else { return };
-        let is_over = self.now + Milliseconds(self.timing.retry.0 * 7) >= bid.deadline;
+        let is_over =
+            self.now + Milliseconds(self.timing.proposal_retry_interval.0 * 7) >= bid.deadline;
         let have = bid.founders.len();
-        if bid.ballot.is_some() || have < majority || (have < self.founders.len() && !is_over) {
+        if bid.proposal.is_some() || have < majority || (have < self.founders.len() && !is_over) {
             return;
         }
         let voter = |address: &Address| {
@@ -107,17 +110,17 @@
             .promises
             .values()
             .flatten()
-            .max_by_key(|ballot| ballot.round);
+            .max_by_key(|proposal| proposal.proposal_number);
         let view = newest.map_or(
             View {
                 epoch: ViewNumber(1),
                 chain,
                 voters,
             },
-            |ballot| ballot.view.clone(),
+            |proposal| proposal.view.clone(),
         );
-        bid.ballot = Some(Ballot {
-            round: bid.round,
+        bid.proposal = Some(ViewProposal {
+            proposal_number: bid.proposal_number,
             view,
         });
         bid.sent = MonotonicInstant(0);
@@ -146,15 +149,15 @@
         if self.is_tail() && self.is_caught_up {
             for (voter, follower) in &self.followers {
                 let is_near = follower.last.0 + 16 >= self.synced.0.0;
-                let is_heard = self.now.since(follower.heard) < self.timing.suspect;
+                let is_heard = self.now.since(follower.heard) < self.timing.suspect_timeout;
                 let is_wanted = self.is_alive(voter) && !self.is_draining(voter);
-                if !is_near || !is_heard || !is_wanted || self.view.seats(voter) {
+                if !is_near || !is_heard || !is_wanted || self.view.contains(voter) {
                     continue;
                 }
                 if !voters.contains(voter) {
                     match self.replaceable(&voters, &chain, voter) {
                         Some(place) => voters[place] = *voter,
-                        None if voters.len() < self.timing.voters => voters.push(*voter),
+                        None if voters.len() < self.timing.target_voters => voters.push(*voter),
                         None => continue,
                     }
                 }
@@ -183,9 +186,10 @@
     ) -> Option<usize> {
         let is_gone = |voter: &Voter| {
             *voter != self.me
-                && self.now >= self.listens_since + self.timing.replace_after
+                && self.now >= self.listens_since + self.timing.voter_replacement_timeout
                 && self.heard.get(&voter.address).is_none_or(|h| {
-                    h.disk != voter.disk || self.now.since(h.at) >= self.timing.replace_after
+                    h.disk != voter.disk
+                        || self.now.since(h.at) >= self.timing.voter_replacement_timeout
                 })
         };
         let same = voters
@@ -211,7 +215,7 @@
         let has_open_ballot = self
             .accepted
             .as_ref()
-            .is_some_and(|ballot| ballot.view.epoch == self.view.epoch.next());
+            .is_some_and(|proposal| proposal.view.epoch == self.view.epoch.next());
         let is_change = self.has_released
             || has_open_ballot
             || wish.chain != self.view.chain
@@ -236,30 +240,30 @@
         let does_admit = wish
             .chain
             .iter()
-            .any(|position| !self.view.seats(&position.voter));
+            .any(|position| !self.view.contains(&position.voter));
         let turn = self.turn();
         if !does_admit
             && self.draining_since.is_none()
-            && self.now < since + Milliseconds(self.timing.retry.0 * 2 * turn)
+            && self.now < since + Milliseconds(self.timing.proposal_retry_interval.0 * 2 * turn)
         {
             return;
         }
         self.top_count += 1;
-        let round = Round {
+        let proposal_number = ProposalNumber {
             count: self.top_count,
             proposer: self.me.disk.0,
         };
         self.bid = Some(Bid {
-            round,
+            proposal_number,
             founders: BTreeMap::new(),
             promises: BTreeMap::new(),
-            ballot: None,
+            proposal: None,
             accepts: BTreeSet::new(),
             sent: MonotonicInstant(0),
             deadline: self.now
-                + self.timing.lease
-                + self.timing.lease
-                + Milliseconds(self.timing.retry.0 * 4),
+                + self.timing.lease_duration
+                + self.timing.lease_duration
+                + Milliseconds(self.timing.proposal_retry_interval.0 * 4),
         });
         self.push_bid();
     }
@@ -267,7 +271,7 @@
     /// How many living voters come before this one.
     fn turn(&self) -> u64 {
         let mut request: Vec<Voter> = self.view.chain.iter().map(|s| s.voter).collect();
-        request.extend(self.view.voters.iter().filter(|v| !self.view.seats(v)));
+        request.extend(self.view.voters.iter().filter(|v| !self.view.contains(v)));
         request
             .iter()
             .take_while(|v| **v != self.me)
@@ -283,17 +287,17 @@
             self.not_before = self.now + self.pause();
             return;
         }
-        if self.now < bid.sent + self.timing.retry {
+        if self.now < bid.sent + self.timing.proposal_retry_interval {
             return;
         }
         bid.sent = self.now;
-        let note = match &bid.ballot {
-            Some(ballot) => Note::Accept {
-                ballot: ballot.clone(),
+        let message = match &bid.proposal {
+            Some(proposal) => ReplicationMessage::Accept {
+                proposal: proposal.clone(),
             },
-            None => Note::Prepare {
+            None => ReplicationMessage::Prepare {
                 instance: self.view.epoch.next(),
-                round: bid.round,
+                proposal_number: bid.proposal_number,
             },
         };
         let electors = match self.view.epoch {
@@ -301,9 +305,9 @@
             _ => self.view.voters.iter().map(|voter| voter.address).collect(),
         };
         let releases = bid
-            .ballot
+            .proposal
             .as_ref()
-            .is_some_and(|ballot| ballot.view.tail() != Some(self.me));
+            .is_some_and(|proposal| proposal.view.tail() != Some(self.me));
         if releases && self.view.tail() == Some(self.me) {
             // By proposing another tail this one gives its lease up, for good in this view: voters
             // take such a ballot from it whenever it reaches them. Its own promise, on its disk by
@@ -312,44 +316,55 @@
             self.has_released = true;
         }
         for address in electors {
-            self.send(address, note.clone());
+            self.send(address, message.clone());
         }
     }
 
     /// A pause before the next try that differs from replica to replica and try to try.
     fn pause(&self) -> Milliseconds {
         let mixed = (self.me.disk.0 as u64 ^ self.top_count).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        Milliseconds(self.timing.retry.0 / 2 + (mixed >> 40) % (self.timing.retry.0 * 2))
+        Milliseconds(
+            self.timing.proposal_retry_interval.0 / 2
+                + (mixed >> 40) % (self.timing.proposal_retry_interval.0 * 2),
+        )
     }
 
-    pub(super) fn on_prepare(&mut self, from: Address, instance: ViewNumber, round: Round) {
-        self.top_count = self.top_count.max(round.count);
+    pub(super) fn on_prepare(
+        &mut self,
+        from: Address,
+        instance: ViewNumber,
+        proposal_number: ProposalNumber,
+    ) {
+        self.top_count = self.top_count.max(proposal_number.count);
         if instance != self.view.epoch.next()
             || !(self.view.has_voter(&self.me) || self.is_founder())
         {
             return;
         }
-        if self.promised.0 == instance && round < self.promised.1 {
-            let note = Note::Outdone {
+        if self.promised.0 == instance && proposal_number < self.promised.1 {
+            let message = ReplicationMessage::ProposalRejected {
                 instance,
                 promised: self.promised.1,
             };
-            return self.send(from, note);
+            return self.send(from, message);
         }
-        self.promised = (instance, round);
+        self.promised = (instance, proposal_number);
         let accepted = self
             .accepted
             .clone()
-            .filter(|ballot| ballot.view.epoch == instance);
-        let note = Note::Promise {
+            .filter(|proposal| proposal.view.epoch == instance);
+        let message = ReplicationMessage::Promise {
             instance,
-            round,
+            proposal_number,
             disk: self.me.disk,
             accepted,
         };
         self.write(
-            Record::Promised { instance, round },
-            Some(Deferred::Send(from, note)),
+            Record::Promised {
+                instance,
+                proposal_number,
+            },
+            Some(Deferred::Send(from, message)),
         );
     }
 
@@ -357,9 +372,9 @@
         &mut self,
         from: Address,
         instance: ViewNumber,
-        round: Round,
+        proposal_number: ProposalNumber,
         disk: DiskId,
-        accepted: Option<Ballot>,
+        accepted: Option<ViewProposal>,
     ) {
         let is_founding = self.view.epoch == ViewNumber(0);
         let is_elector = if is_founding {
@@ -369,8 +384,8 @@
         };
         let Some(bid) = &mut self.bid else { return };
         if instance != self.view.epoch.next()
-            || bid.round != round
-            || bid.ballot.is_some()
+            || bid.proposal_number != proposal_number
+            || bid.proposal.is_some()
             || !is_elector
         {
             return;
@@ -391,7 +406,7 @@
         let Some(bid) = self
             .bid
             .as_ref()
-            .filter(|bid| bid.ballot.is_none() && !is_founding)
+            .filter(|bid| bid.proposal.is_none() && !is_founding)
         else {
             return;
         };
@@ -402,17 +417,20 @@
             .promises
             .values()
             .flatten()
-            .max_by_key(|ballot| ballot.round);
+            .max_by_key(|proposal| proposal.proposal_number);
         let view = match newest {
-            Some(ballot) => Some(ballot.view.clone()),
+            Some(proposal) => Some(proposal.view.clone()),
             // Its beat is under way, and tells how far it is.
             None if self.awaits_promiser(bid) => return,
             None => self.wanted_view(),
         };
-        let round = bid.round;
+        let proposal_number = bid.proposal_number;
         match (view, &mut self.bid) {
             (Some(view), Some(bid)) => {
-                bid.ballot = Some(Ballot { round, view });
+                bid.proposal = Some(ViewProposal {
+                    proposal_number,
+                    view,
+                });
                 bid.sent = MonotonicInstant(0);
                 self.push_bid();
             }
@@ -431,53 +449,54 @@
             seated.filter(|voter| *voter != self.me && bid.promises.contains_key(&voter.disk));
         let is_unheard = |voter: Voter| {
             let lately = |heard: &Heard| {
-                heard.disk == voter.disk && self.now.since(heard.at) < self.timing.suspect
+                heard.disk == voter.disk && self.now.since(heard.at) < self.timing.suspect_timeout
             };
             !self.heard.get(&voter.address).is_some_and(lately)
         };
         promisers.into_iter().any(is_unheard)
     }
 
-    pub(super) fn on_accept(&mut self, from: Address, ballot: Ballot) {
-        let instance = ballot.view.epoch;
-        self.top_count = self.top_count.max(ballot.round.count);
+    pub(super) fn on_accept(&mut self, from: Address, proposal: ViewProposal) {
+        let instance = proposal.view.epoch;
+        self.top_count = self.top_count.max(proposal.proposal_number.count);
         if instance != self.view.epoch.next() {
             return;
         }
-        if self.promised.0 == instance && ballot.round < self.promised.1 {
-            let note = Note::Outdone {
+        if self.promised.0 == instance && proposal.proposal_number < self.promised.1 {
+            let message = ReplicationMessage::ProposalRejected {
                 instance,
                 promised: self.promised.1,
             };
-            return self.send(from, note);
+            return self.send(from, message);
         }
         if instance == ViewNumber(1) {
-            if !self.may_found(&ballot.view) {
+            if !self.may_found(&proposal.view) {
                 return;
             }
         } else {
-            if !self.view.has_voter(&self.me) || !self.view.may_be_followed_by(&ballot.view) {
+            if !self.view.has_voter(&self.me) || !self.view.may_be_followed_by(&proposal.view) {
                 return;
             }
-            let is_tail_kept = ballot.view.tail() == self.view.tail();
+            let is_tail_kept = proposal.view.tail() == self.view.tail();
             let is_released = self.view.tail().is_some_and(|tail| tail.address == from);
             if !is_tail_kept && !is_released && self.now < self.granted_until.max(self.silent_until)
             {
                 // The word given to the tail is waited out; no new one is given meanwhile.
-                self.paused_until = self.now + self.timing.lease + self.timing.lease;
+                self.paused_until =
+                    self.now + self.timing.lease_duration + self.timing.lease_duration;
                 return;
             }
         }
-        let note = Note::Accepted {
+        let message = ReplicationMessage::Accepted {
             instance,
-            round: ballot.round,
+            proposal_number: proposal.proposal_number,
             disk: self.me.disk,
         };
-        self.promised = (instance, ballot.round);
-        self.accepted = Some(ballot.clone());
+        self.promised = (instance, proposal.proposal_number);
+        self.accepted = Some(proposal.clone());
         self.write(
-            Record::Accepted { ballot },
-            Some(Deferred::Send(from, note)),
+            Record::Accepted { proposal },
+            Some(Deferred::Send(from, message)),
         );
     }
 
@@ -495,7 +514,7 @@
         &mut self,
         from: Address,
         instance: ViewNumber,
-        round: Round,
+        proposal_number: ProposalNumber,
         disk: DiskId,
     ) {
         let is_founding = self.view.epoch == ViewNumber(0);
@@ -507,30 +526,35 @@
             ),
         };
         let Some(bid) = &mut self.bid else { return };
-        let Some(ballot) = &bid.ballot else { return };
-        if instance != self.view.epoch.next() || ballot.round != round || !is_elector {
+        let Some(proposal) = &bid.proposal else {
+            return;
+        };
+        if instance != self.view.epoch.next()
+            || proposal.proposal_number != proposal_number
+            || !is_elector
+        {
             return;
         }
         bid.accepts.insert(disk);
         if bid.accepts.len() >= needed {
-            let view = ballot.view.clone();
+            let view = proposal.view.clone();
             let mut told = self.others();
             told.extend(view.voters.iter().map(|v| v.address));
             told.remove(&self.me.address);
             for address in told {
                 self.outputs.push(Output::Send {
                     to: address,
-                    note: Note::Decided { view: view.clone() },
+                    message: ReplicationMessage::Decided { view: view.clone() },
                 });
             }
             self.adopt(view);
         }
     }
 
-    pub(super) fn on_outdone(&mut self, instance: ViewNumber, promised: Round) {
+    pub(super) fn on_outdone(&mut self, instance: ViewNumber, promised: ProposalNumber) {
         self.top_count = self.top_count.max(promised.count);
         let Some(bid) = &self.bid else { return };
-        if instance == self.view.epoch.next() && bid.round < promised {
+        if instance == self.view.epoch.next() && bid.proposal_number < promised {
             self.bid = None;
             self.not_before = self.now + self.pause();
         }
@@ -541,7 +565,7 @@
         if view.epoch <= self.view.epoch {
             return;
         }
-        let was_seated = self.view.seats(&self.me);
+        let was_seated = self.view.contains(&self.me);
         let was_tail = self.is_tail();
         // Level is carried over only from the view right before: one between may have gone on
         // without this replica.
@@ -578,7 +602,7 @@
             self.fetching = None;
         }
         if self.is_tail() && self.is_caught_up {
-            self.replied = self.synced.0;
+            self.commit_index = self.synced.0;
         }
         if !self.is_tail() {
             self.snapshot = None;
@@ -592,23 +616,23 @@
         if !self.is_tail()
             || self.has_released
             || self.is_stalled()
-            || self.now < self.asked_at + Milliseconds(self.timing.lease_counted.0 / 4)
+            || self.now < self.asked_at + Milliseconds(self.timing.holder_lease_duration.0 / 4)
         {
             return;
         }
         self.ask_round += 1;
         self.asked_at = self.now;
         self.grants.clear();
-        let note = Note::LeaseAsk {
+        let message = ReplicationMessage::LeaseRequest {
             view: self.view.epoch,
-            round: self.ask_round,
+            request_number: self.ask_round,
         };
         for voter in self.view.voters.clone() {
-            self.send(voter.address, note.clone());
+            self.send(voter.address, message.clone());
         }
     }
 
-    pub(super) fn on_lease_ask(&mut self, from: Address, view: ViewNumber, round: u64) {
+    pub(super) fn on_lease_ask(&mut self, from: Address, view: ViewNumber, request_number: u64) {
         let is_from_tail = self.view.tail().is_some_and(|tail| tail.address == from);
         let tail = self.view.tail();
         let backs_other = self
@@ -619,25 +643,29 @@
         if !may_grant || backs_other || self.now < self.paused_until {
             return;
         }
-        self.granted_until = self.now + self.timing.lease;
-        let note = Note::LeaseGrant {
+        self.granted_until = self.now + self.timing.lease_duration;
+        let message = ReplicationMessage::LeaseGrant {
             view,
-            round,
+            request_number,
             disk: self.me.disk,
         };
-        self.send(from, note);
+        self.send(from, message);
     }
 
-    pub(super) fn on_lease_grant(&mut self, view: ViewNumber, round: u64, disk: DiskId) {
+    pub(super) fn on_lease_grant(&mut self, view: ViewNumber, request_number: u64, disk: DiskId) {
         let is_voter = self.view.voters.iter().any(|v| v.disk == disk);
-        if view != self.view.epoch || round != self.ask_round || !is_voter || !self.is_tail() {
+        if view != self.view.epoch
+            || request_number != self.ask_round
+            || !is_voter
+            || !self.is_tail()
+        {
             return;
         }
         self.grants.insert(disk);
         if self.grants.len() >= self.view.majority() {
             self.lease_deadline = self
                 .lease_deadline
-                .max(self.asked_at + self.timing.lease_counted);
+                .max(self.asked_at + self.timing.holder_lease_duration);
         }
     }
 }
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,7 +1,7 @@
 //! The chain: changes enter at the head, pass down, and are replied at the tail.
 
 use super::*;
-use crate::notes::{Change, Note, Record, Ticket};
+use crate::messages::{Change, ChangeRequestId, Record, ReplicationMessage};
 use crate::replica::{Output, Replica};
 use crate::state_machine::{Preview, StateMachine};
 use crate::view::Voter;
@@ -9,46 +9,49 @@
 
 impl<C: StateMachine> Replica<C> {
     pub(super) fn on_propose_here(&mut self, number: u64, body: Vec<u8>) {
-        let ticket = Ticket {
+        let request_id = ChangeRequestId {
             origin: self.me.address,
             number,
         };
         match self.view.head() {
-            Some(head) if self.is_healthy => {
-                self.send(head.address, Note::Propose { ticket, body })
-            }
+            Some(head) if self.is_healthy => self.send(
+                head.address,
+                ReplicationMessage::Propose { request_id, body },
+            ),
             _ => self.outputs.push(Output::Response {
                 number,
-                is_replied: false,
+                is_final: false,
                 body: vec![],
             }),
         }
     }
 
-    pub(super) fn on_propose(&mut self, ticket: Ticket, body: Vec<u8>) {
+    pub(super) fn on_propose(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
         let tail_says = match self.view.tail() {
-            Some(tail) if tail == self.me => self.has_members,
+            Some(tail) if tail == self.me => self.has_member_majority,
             Some(tail) => self.heard.get(&tail.address).is_some_and(|h| {
-                h.disk == tail.disk && h.has_members && self.now.since(h.at) < self.timing.suspect
+                h.disk == tail.disk
+                    && h.has_member_majority
+                    && self.now.since(h.at) < self.timing.suspect_timeout
             }),
             None => false,
         };
-        let has_room = self.last.0.0 < self.replied.0 + self.timing.ahead;
+        let has_room = self.last.0.0 < self.commit_index.0 + self.timing.max_in_flight_changes;
         let may_enter = self.is_head() && self.is_caught_up && self.has_copies() && has_room;
-        if !may_enter || (self.state_machine.needs_members(&body) && !tail_says) {
-            return self.turn_away(ticket, false, vec![]);
+        if !may_enter || (self.state_machine.requires_member_majority(&body) && !tail_says) {
+            return self.turn_away(request_id, false, vec![]);
         }
         match self.state_machine.preview(&body) {
-            Preview::TurnAway(_) => self.ask_for_judgement(ticket, body),
+            Preview::Reject(_) => self.ask_for_judgement(request_id, body),
             // Not taken, so that it's tried again.
-            Preview::Enter if !self.pace.take(&self.timing, self.now) => {
-                self.turn_away(ticket, false, vec![])
+            Preview::Admit if !self.pace.take(&self.timing, self.now) => {
+                self.turn_away(request_id, false, vec![])
             }
-            Preview::Enter => {
+            Preview::Admit => {
                 let change = Change {
                     seq: self.last.0.next(),
-                    stamp: self.view.epoch,
-                    ticket,
+                    origin_view: self.view.epoch,
+                    request_id,
                     body,
                 };
                 self.append(change);
@@ -57,17 +60,17 @@
     }
 
     /// Has the tail say that a proposal can't be taken: the head's own state may never be accepted.
-    fn ask_for_judgement(&mut self, ticket: Ticket, body: Vec<u8>) {
+    fn ask_for_judgement(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
         let Some(tail) = self.view.tail() else {
-            return self.turn_away(ticket, false, vec![]);
+            return self.turn_away(request_id, false, vec![]);
         };
-        let note = Note::Judge {
+        let message = ReplicationMessage::ConfirmRejection {
             view: self.view.epoch,
-            ticket,
+            request_id,
             last: self.synced.0,
             body,
         };
-        self.send(tail.address, note);
+        self.send(tail.address, message);
     }
 
     /// Judges a proposal that the head would not take. The answer is given like that to a change: by the tail
@@ -77,7 +80,7 @@
         &mut self,
         from: Address,
         view: ViewNumber,
-        ticket: Ticket,
+        request_id: ChangeRequestId,
         last: SequenceNumber,
         body: Vec<u8>,
     ) {
@@ -89,34 +92,34 @@
             && self.has_copies()
             && self.synced.0 >= last;
         if !may_judge {
-            return self.turn_away(ticket, false, vec![]);
+            return self.turn_away(request_id, false, vec![]);
         }
         match self.state_machine.preview(&body) {
-            Preview::TurnAway(answer) => self.outputs.push(Output::Judged {
-                ticket,
+            Preview::Reject(answer) => self.outputs.push(Output::ChangeRejected {
+                request_id,
                 body: answer,
             }),
-            Preview::Enter => self.turn_away(ticket, false, vec![]),
+            Preview::Admit => self.turn_away(request_id, false, vec![]),
         }
     }
 
     /// Whether the chain is long enough that what passed down it is on as many disks as a change must be.
     pub fn has_copies(&self) -> bool {
-        self.view.chain.len() >= self.timing.copies
+        self.view.chain.len() >= self.timing.min_chain_length
     }
 
-    fn turn_away(&mut self, ticket: Ticket, is_replied: bool, body: Vec<u8>) {
-        let note = Note::Response {
-            number: ticket.number,
-            is_replied,
+    fn turn_away(&mut self, request_id: ChangeRequestId, is_final: bool, body: Vec<u8>) {
+        let message = ReplicationMessage::Response {
+            number: request_id.number,
+            is_final,
             body,
         };
-        self.send(ticket.origin, note);
+        self.send(request_id.origin, message);
     }
 
     /// Takes a change onto the log; it counts once it's synced.
     pub(super) fn append(&mut self, change: Change) {
-        self.last = (change.seq, change.stamp);
+        self.last = (change.seq, change.origin_view);
         self.log_bytes += change.body.len();
         self.log.push_back(change.clone());
         self.is_fresh = false;
@@ -126,26 +129,26 @@
 
     pub(super) fn on_change_synced(&mut self, change: Change) {
         let answer = self.state_machine.apply(&change.body);
-        self.synced = (change.seq, change.stamp);
-        let ticket = change.ticket;
+        self.synced = (change.seq, change.origin_view);
+        let request_id = change.request_id;
         match self.view.successor(&self.me) {
             Some(successor) => {
                 let size = change.body.len();
                 let deadline = (self.now + self.way(size))
                     .max(self.passed.1 + Milliseconds(size as u64 / 4000));
                 self.passed = (change.seq, deadline);
-                let note = Note::Pass {
+                let message = ReplicationMessage::Forward {
                     view: self.view.epoch,
                     change,
                 };
-                self.send(successor.address, note);
+                self.send(successor.address, message);
             }
             None if self.is_tail() && self.is_caught_up => {
-                self.replied = self.synced.0;
+                self.commit_index = self.synced.0;
                 // A chain that has shrunk since it took the change has it on too few disks to say so.
                 if self.has_copies() {
-                    self.outputs.push(Output::Settled {
-                        ticket,
+                    self.outputs.push(Output::Committed {
+                        request_id,
                         body: answer,
                     });
                 }
@@ -160,7 +163,8 @@
             .view
             .predecessor(&self.me)
             .is_some_and(|p| p.address == from);
-        let is_wanted = (self.last.0.next()..=SequenceNumber(self.last.0.0 + self.timing.ahead))
+        let is_wanted = (self.last.0.next()
+            ..=SequenceNumber(self.last.0.0 + self.timing.max_in_flight_changes))
             .contains(&change.seq);
         if view != self.view.epoch || !is_from_predecessor || !is_wanted {
             return;
@@ -177,7 +181,7 @@
         disk: DiskId,
         view: ViewNumber,
         last: SequenceNumber,
-        replied: SequenceNumber,
+        commit_index: SequenceNumber,
         is_caught_up: bool,
     ) {
         if view != self.view.epoch {
@@ -188,18 +192,18 @@
             disk,
         };
         if self.view.tail() == Some(voter) {
-            self.replied = self.replied.max(replied.min(self.synced.0));
+            self.commit_index = self.commit_index.max(commit_index.min(self.synced.0));
         }
         if self.view.successor(&self.me) == Some(voter) {
             if last > self.successor_moved.0 || last >= self.synced.0 {
                 self.successor_moved = (last, self.now);
             }
             if !is_caught_up && self.is_caught_up && self.is_on_own_history(&voter) {
-                let note = Note::Level {
+                let message = ReplicationMessage::CatchUpTarget {
                     view,
                     last: self.last.0,
                 };
-                self.send(from, note);
+                self.send(from, message);
             }
         }
     }
@@ -214,14 +218,14 @@
             self.is_caught_up = true;
             self.next_heartbeat = self.now;
             if self.is_tail() {
-                self.replied = self.synced.0;
+                self.commit_index = self.synced.0;
             }
         }
     }
 
     /// How long so many bytes may be under way and to the disk: a few beats, and 4 MB/s.
     pub(super) fn way(&self, bytes: usize) -> Milliseconds {
-        Milliseconds(self.timing.beat.0 * 3 + bytes as u64 / 4000)
+        Milliseconds(self.timing.heartbeat_interval.0 * 3 + bytes as u64 / 4000)
     }
 
     /// Passes on again what the successor hasn't got, but nothing that is still on its way.
@@ -240,13 +244,16 @@
             return;
         }
         let (from, view) = (heard.last, self.view.epoch);
-        let missing = self.changes_after(from, self.timing.feed_bytes);
+        let missing = self.changes_after(from, self.timing.catch_up_batch_bytes);
         if let Some(newest) = missing.last() {
             let bytes = missing.iter().map(|change| change.body.len()).sum();
             self.passed = (newest.seq, self.now + self.way(bytes));
         }
         for change in missing {
-            self.send(successor.address, Note::Pass { view, change });
+            self.send(
+                successor.address,
+                ReplicationMessage::Forward { view, change },
+            );
         }
     }
 
@@ -280,7 +287,8 @@
             .is_some_and(|h| h.last < self.synced.0);
         self.view.successor(&self.me) == Some(*voter)
             && is_behind
-            && self.now.since(self.successor_moved.1) > Milliseconds(self.timing.suspect.0 * 4)
+            && self.now.since(self.successor_moved.1)
+                > Milliseconds(self.timing.suspect_timeout.0 * 4)
             && self.now >= self.passed.1
     }
 
@@ -294,7 +302,7 @@
         else {
             return false;
         };
-        self.stamp_at(heard.last) == Some(heard.stamp)
+        self.stamp_at(heard.last) == Some(heard.origin_view)
     }
 
     /// Whether the successor's last change is known to be another one than that of the same number here. It gets a
@@ -312,6 +320,6 @@
         is_successor
             && self
                 .stamp_at(heard.last)
-                .is_some_and(|stamp| stamp != heard.stamp)
+                .is_some_and(|origin_view| origin_view != heard.origin_view)
     }
 }
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -27,18 +27,18 @@
     }
 
     /// The number of the tail's newest request for its lease: an answer to any other is void.
-    pub fn lease_round(&self) -> u64 {
+    pub fn lease_request_number(&self) -> u64 {
         self.ask_round
     }
 
     /// The longest span that any timer compares an age with.
     fn horizon(&self) -> Milliseconds {
         let longest = [
-            self.timing.replace_after.0,
-            self.timing.suspect.0 * 4,
-            self.timing.lease.0 * 2,
-            self.timing.retry.0 * 16,
-            self.timing.stall.0,
+            self.timing.voter_replacement_timeout.0,
+            self.timing.suspect_timeout.0 * 4,
+            self.timing.lease_duration.0 * 2,
+            self.timing.proposal_retry_interval.0 * 16,
+            self.timing.disk_stall_timeout.0,
         ];
         Milliseconds(longest.into_iter().max().unwrap_or_default())
     }
@@ -56,12 +56,12 @@
     }
 
     fn fingerprint_position(&self, now: MonotonicInstant, hasher: &mut impl Hasher) {
-        (self.last, self.synced, self.replied).hash(hasher);
+        (self.last, self.synced, self.commit_index).hash(hasher);
         (
             self.is_caught_up,
             self.is_healthy,
             self.is_fresh,
-            self.has_members,
+            self.has_member_majority,
         )
             .hash(hasher);
         self.early.hash(hasher);
@@ -75,7 +75,7 @@
         for (id, then) in &self.deferred {
             (self.next_write - id).hash(hasher);
             match then {
-                Deferred::Send(to, note) => (to, note).hash(hasher),
+                Deferred::Send(to, message) => (to, message).hash(hasher),
                 Deferred::Apply(incarnation, change) => {
                     (self.incarnation - incarnation, change).hash(hasher)
                 }
@@ -91,10 +91,15 @@
                 heard.disk,
                 heard.view,
                 heard.last,
-                heard.stamp,
+                heard.origin_view,
+            )
+                .hash(hasher);
+            (
+                heard.is_caught_up,
+                heard.is_healthy,
+                heard.has_member_majority,
             )
                 .hash(hasher);
-            (heard.is_caught_up, heard.is_healthy, heard.has_members).hash(hasher);
         }
         (
             clock.signed(self.last_event),
@@ -123,10 +128,10 @@
             .hash(hasher);
         let Some(bid) = &self.bid else { return };
         (
-            bid.round,
+            bid.proposal_number,
             &bid.founders,
             &bid.promises,
-            &bid.ballot,
+            &bid.proposal,
             &bid.accepts,
         )
             .hash(hasher);
@@ -148,7 +153,7 @@
         if let Some(offered) = &self.snapshot {
             (
                 offered.last,
-                offered.stamp,
+                offered.origin_view,
                 &offered.bytes,
                 clock.signed(offered.asked),
             )
@@ -168,7 +173,7 @@
         };
         (
             fetching.last,
-            fetching.stamp,
+            fetching.origin_view,
             &fetching.bytes,
             fetching.length,
             clock.signed(fetching.asked),
--- a/crates/replication/src/replica/leaving.rs
+++ b/crates/replication/src/replica/leaving.rs
@@ -5,7 +5,7 @@
 //! may come back with its disk. A tail that leaves gives its lease up by that proposal, so that the next
 //! one needn't wait for the lease to run out.
 
-use crate::notes::Note;
+use crate::messages::ReplicationMessage;
 use crate::replica::{Output, Replica};
 use crate::state_machine::StateMachine;
 use crate::view::{ChainPosition, View, Voter};
@@ -32,7 +32,7 @@
             .all(|voter| *voter == self.me || self.is_alive(voter));
         let may_vote_go =
             !self.view.has_voter(&self.me) || (are_others_here && !self.has_candidate());
-        self.draining_since.is_some() && !self.view.seats(&self.me) && may_vote_go
+        self.draining_since.is_some() && !self.view.contains(&self.me) && may_vote_go
     }
 
     /// Tells all others, with each beat.
@@ -40,17 +40,17 @@
         if self.draining_since.is_none() {
             return;
         }
-        let note = Note::Leaving { disk: self.me.disk };
+        let message = ReplicationMessage::Draining { disk: self.me.disk };
         for to in self.others() {
             self.outputs.push(Output::Send {
                 to,
-                note: note.clone(),
+                message: message.clone(),
             });
         }
     }
 
     pub(super) fn on_leaving(&mut self, from: Address, disk: DiskId) {
-        let (now, suspect) = (self.now, self.timing.suspect);
+        let (now, suspect) = (self.now, self.timing.suspect_timeout);
         self.leaving.retain(|_, at| now.since(*at) < suspect);
         self.leaving.insert(
             Voter {
@@ -68,7 +68,7 @@
         }
         self.leaving
             .get(voter)
-            .is_some_and(|at| self.now.since(*at) < self.timing.suspect)
+            .is_some_and(|at| self.now.since(*at) < self.timing.suspect_timeout)
     }
 
     /// Whether anybody is there who could take this one's vote over.
@@ -89,7 +89,7 @@
             .view
             .chain
             .iter()
-            .any(|position| position.is_caught_up && !next.seats(&position.voter));
+            .any(|position| position.is_caught_up && !next.contains(&position.voter));
         !drops_level
             || next
                 .chain
@@ -116,7 +116,7 @@
             .filter(is_other)
             .filter(|position| position.is_caught_up && !self.is_draining(&position.voter));
         let is_exchanging = self.has_candidate() && self.now.since(since) < EXCHANGE_SPAN;
-        if others.count() >= self.timing.copies && !is_exchanging {
+        if others.count() >= self.timing.min_chain_length && !is_exchanging {
             chain.retain(|position| position.voter != self.me);
         }
     }
--- a/crates/replication/src/replica/pacing.rs
+++ b/crates/replication/src/replica/pacing.rs
@@ -3,7 +3,7 @@
 use crate::replica::Timing;
 use types::MonotonicInstant;
 
-/// A bucket that holds at most [`Timing::burst`] changes and fills by [`Timing::changes_per_second`].
+/// A bucket that holds at most [`Timing::max_change_burst`] changes and fills by [`Timing::max_changes_per_second`].
 ///
 /// Invariant: from when a head begins, it lets in at most `burst` changes and `changes_per_second` for each
 /// second since. It's the head's own and counts by its clock; no state that is replicated depends on it.
@@ -20,7 +20,7 @@
 impl Pace {
     pub(super) fn full(timing: &Timing, now: MonotonicInstant) -> Pace {
         Pace {
-            available: timing.burst * CHANGE,
+            available: timing.max_change_burst * CHANGE,
             at: now,
         }
     }
@@ -39,7 +39,7 @@
     /// What it holds at this moment, in thousandths of a change.
     pub(super) fn level(&self, timing: &Timing, now: MonotonicInstant) -> u64 {
         // A second has as many milliseconds as a change has thousandths.
-        let filled = self.available + now.since(self.at).0 * timing.changes_per_second;
-        filled.min(timing.burst * CHANGE)
+        let filled = self.available + now.since(self.at).0 * timing.max_changes_per_second;
+        filled.min(timing.max_change_burst * CHANGE)
     }
 }
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
-use crate::notes::{Ballot, Change, Note, Record, Round, Ticket};
+use crate::messages::{
+    Change, ChangeRequestId, ProposalNumber, Record, ReplicationMessage, ViewProposal,
+};
 use crate::replica::{Input, Output, RecoveredRecords, RecoveryError, Replica, Timing};
 use crate::state_machine::{Preview, StateMachine};
 use crate::view::{ChainPosition, View, Voter};
@@ -11,7 +13,7 @@
 
 impl StateMachine for Tally {
     fn preview(&self, _: &[u8]) -> Preview {
-        Preview::Enter
+        Preview::Admit
     }
     fn apply(&mut self, _: &[u8]) -> Vec<u8> {
         self.0 += 1;
@@ -49,15 +51,15 @@
     }
 }
 
-fn change(seq: u64, stamp: u64) -> Change {
-    let ticket = Ticket {
+fn change(seq: u64, origin_view: u64) -> Change {
+    let request_id = ChangeRequestId {
         origin: Address::loopback(1),
         number: seq,
     };
     Change {
         seq: SequenceNumber(seq),
-        stamp: ViewNumber(stamp),
-        ticket,
+        origin_view: ViewNumber(origin_view),
+        request_id,
         body: vec![1],
     }
 }
@@ -76,33 +78,38 @@
 }
 
 /// The beat of a level member of view 1 that holds no change.
-fn beat(n: u16) -> Note {
-    Note::Heartbeat {
+fn heartbeat(n: u16) -> ReplicationMessage {
+    ReplicationMessage::Heartbeat {
         disk: voter(n).disk,
         view: ViewNumber(1),
         last: SequenceNumber(0),
-        stamp: ViewNumber(0),
-        replied: SequenceNumber(0),
+        origin_view: ViewNumber(0),
+        commit_index: SequenceNumber(0),
         is_caught_up: true,
         is_healthy: true,
-        has_members: true,
+        has_member_majority: true,
     }
 }
 
 /// Has the replica take a note and all its writes synced; gives what it sends.
-fn tell(replica: &mut Replica<Tally>, at: u64, from: u16, note: Note) -> Vec<(u16, Note)> {
+fn tell(
+    replica: &mut Replica<Tally>,
+    at: u64,
+    from: u16,
+    message: ReplicationMessage,
+) -> Vec<(u16, ReplicationMessage)> {
     settle(
         replica,
         at,
-        Input::Note {
+        Input::Message {
             from: Address::loopback(from),
-            note,
+            message,
         },
     )
 }
 
 /// Has the replica take an input and all its writes synced; gives what it sends.
-fn settle(replica: &mut Replica<Tally>, at: u64, input: Input) -> Vec<(u16, Note)> {
+fn settle(replica: &mut Replica<Tally>, at: u64, input: Input) -> Vec<(u16, ReplicationMessage)> {
     let mut outputs = replica.step(MonotonicInstant(at), input);
     let mut sent = vec![];
     while !outputs.is_empty() {
@@ -112,7 +119,7 @@
                 Output::Write { id, .. } => {
                     more.extend(replica.step(MonotonicInstant(at), Input::Written { id }))
                 }
-                Output::Send { to, note } => sent.push((to.0.port(), note)),
+                Output::Send { to, message } => sent.push((to.0.port(), message)),
                 _ => {}
             }
         }
@@ -122,19 +129,23 @@
 }
 
 fn grant_all(replica: &mut Replica<Tally>, at: u64) -> bool {
-    let asks: Vec<Note> = replica
-        .step(MonotonicInstant(at), Input::ClockEvent)
+    let asks: Vec<ReplicationMessage> = replica
+        .step(MonotonicInstant(at), Input::Tick)
         .into_iter()
         .filter_map(|output| match output {
             Output::Send {
-                note: note @ Note::LeaseAsk { .. },
+                message: message @ ReplicationMessage::LeaseRequest { .. },
                 ..
-            } => Some(note),
+            } => Some(message),
             _ => None,
         })
         .collect();
     for ask in asks {
-        let Note::LeaseAsk { view, round } = ask else {
+        let ReplicationMessage::LeaseRequest {
+            view,
+            request_number,
+        } = ask
+        else {
             continue;
         };
         for n in 1..=3 {
@@ -142,9 +153,9 @@
                 replica,
                 at,
                 n,
-                Note::LeaseGrant {
+                ReplicationMessage::LeaseGrant {
                     view,
-                    round,
+                    request_number,
                     disk: DiskId(u128::from(n)),
                 },
             );
@@ -167,7 +178,7 @@
         &mut tail,
         10_100,
         2,
-        Note::Decided {
+        ReplicationMessage::Decided {
             view: view(3, &[(1, true), (2, true), (3, false)]),
         },
     );
@@ -179,7 +190,7 @@
         &mut tail,
         10_300,
         2,
-        Note::Level {
+        ReplicationMessage::CatchUpTarget {
             view: ViewNumber(3),
             last: SequenceNumber(2),
         },
@@ -189,7 +200,7 @@
         &mut tail,
         10_600,
         2,
-        Note::Pass {
+        ReplicationMessage::Forward {
             view: ViewNumber(3),
             change: change(2, 2),
         },
@@ -198,7 +209,7 @@
         &mut tail,
         10_700,
         2,
-        Note::Level {
+        ReplicationMessage::CatchUpTarget {
             view: ViewNumber(3),
             last: SequenceNumber(2),
         },
@@ -212,29 +223,29 @@
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
     let mut voter = replica(1, records);
-    let round = Round {
+    let proposal_number = ProposalNumber {
         count: 9,
         proposer: 2,
     };
-    let without_tail = Ballot {
-        round,
+    let without_tail = ViewProposal {
+        proposal_number,
         view: view(2, &[(1, true), (2, true)]),
     };
-    let with_tail = Ballot {
-        round,
+    let with_tail = ViewProposal {
+        proposal_number,
         view: view(2, &[(1, true), (3, true)]),
     };
-    let accepts = |replica: &mut Replica<Tally>, at: u64, from: u16, ballot: &Ballot| {
+    let accepts = |replica: &mut Replica<Tally>, at: u64, from: u16, proposal: &ViewProposal| {
         let sent = tell(
             replica,
             at,
             from,
-            Note::Accept {
-                ballot: ballot.clone(),
+            ReplicationMessage::Accept {
+                proposal: proposal.clone(),
             },
         );
         sent.iter()
-            .any(|(_, note)| matches!(note, Note::Accepted { .. }))
+            .any(|(_, message)| matches!(message, ReplicationMessage::Accepted { .. }))
     };
     assert!(
         !accepts(&mut voter, 10_500, 2, &without_tail),
@@ -254,9 +265,9 @@
         &mut voter,
         12_000,
         3,
-        Note::LeaseAsk {
+        ReplicationMessage::LeaseRequest {
             view: ViewNumber(1),
-            round: 1,
+            request_number: 1,
         },
     );
     assert!(
@@ -267,9 +278,9 @@
         &mut voter,
         12_950,
         3,
-        Note::LeaseAsk {
+        ReplicationMessage::LeaseRequest {
             view: ViewNumber(1),
-            round: 2,
+            request_number: 2,
         },
     );
     assert_eq!(sent, vec![], "while a view waits, no new word is given");
@@ -285,15 +296,15 @@
             view: view(1, &chain),
         }],
     );
-    let pass = Note::Pass {
+    let pass = ReplicationMessage::Forward {
         view: ViewNumber(1),
         change: change(1, 1),
     };
     let outputs = middle.step(
         MonotonicInstant(10_100),
-        Input::Note {
+        Input::Message {
             from: Address::loopback(1),
-            note: pass,
+            message: pass,
         },
     );
     let [Output::Write { id, .. }] = outputs.as_slice() else {
@@ -301,20 +312,20 @@
     };
     let outputs = middle.step(MonotonicInstant(10_200), Input::Written { id: *id });
     assert!(
-        matches!(outputs.as_slice(), [Output::Send { to, note: Note::Pass { .. } }] if to.0.port() == 3)
+        matches!(outputs.as_slice(), [Output::Send { to, message: ReplicationMessage::Forward { .. } }] if to.0.port() == 3)
     );
-    let prepare = Note::Prepare {
+    let prepare = ReplicationMessage::Prepare {
         instance: ViewNumber(2),
-        round: Round {
+        proposal_number: ProposalNumber {
             count: 1,
             proposer: 1,
         },
     };
     let outputs = middle.step(
         MonotonicInstant(10_300),
-        Input::Note {
+        Input::Message {
             from: Address::loopback(1),
-            note: prepare,
+            message: prepare,
         },
     );
     assert!(
@@ -335,7 +346,7 @@
     ];
     let bent = vec![Record::Snapshot {
         last: SequenceNumber(5),
-        stamp: ViewNumber(1),
+        origin_view: ViewNumber(1),
         body: vec![1, 2],
     }];
     for (records, fault) in [
@@ -362,7 +373,7 @@
     }];
     records.push(Record::Snapshot {
         last: SequenceNumber(40),
-        stamp: ViewNumber(1),
+        origin_view: ViewNumber(1),
         body: 40u64.to_be_bytes().to_vec(),
     });
     records.push(Record::Change {
@@ -383,18 +394,18 @@
     let (mut at, mut to_tail) = (10_000, vec![]);
     for _ in 0..40 {
         at += 100;
-        let outputs = behind.step(MonotonicInstant(at), Input::ClockEvent);
+        let outputs = behind.step(MonotonicInstant(at), Input::Tick);
         to_tail.extend(outputs.into_iter().filter_map(|output| match output {
-            Output::Send { to, note } if to.0.port() == 2 => Some(note),
+            Output::Send { to, message } if to.0.port() == 2 => Some(message),
             _ => None,
         }));
-        while let Some(note) = to_tail.pop() {
-            for (_, note) in tell(&mut tail, at, 3, note)
+        while let Some(message) = to_tail.pop() {
+            for (_, message) in tell(&mut tail, at, 3, message)
                 .into_iter()
                 .filter(|(to, _)| *to == 3)
             {
                 to_tail.extend(
-                    tell(&mut behind, at, 2, note)
+                    tell(&mut behind, at, 2, message)
                         .into_iter()
                         .filter(|(to, _)| *to == 2)
                         .map(|(_, n)| n),
@@ -419,8 +430,8 @@
         voters: all.voters.clone(),
         ..view(2, &[(1, true), (2, true), (3, true)])
     };
-    let ballot = Ballot {
-        round: Round {
+    let proposal = ViewProposal {
+        proposal_number: ProposalNumber {
             count: 7,
             proposer: 9,
         },
@@ -432,7 +443,7 @@
             let mut records = vec![Record::View { view: all.clone() }];
             if n <= 2 {
                 records.push(Record::Accepted {
-                    ballot: ballot.clone(),
+                    proposal: proposal.clone(),
                 });
             }
             let start = MonotonicInstant(10_000);
@@ -447,23 +458,25 @@
             .unwrap()
         })
         .collect();
-    let mut notes: VecDeque<(Address, Address, Note)> = VecDeque::new();
+    let mut messages: VecDeque<(Address, Address, ReplicationMessage)> = VecDeque::new();
     for at in (10_000..20_000).step_by(25).map(MonotonicInstant) {
-        let mut inputs: Vec<(usize, Input)> =
-            (0..4).map(|place| (place, Input::ClockEvent)).collect();
+        let mut inputs: Vec<(usize, Input)> = (0..4).map(|place| (place, Input::Tick)).collect();
         while let Some((place, input)) = inputs.pop() {
             let from = founders[place];
             for output in replicas[place].step(at, input) {
                 match output {
-                    Output::Send { to, note } => notes.push_back((from, to, note)),
+                    Output::Send { to, message } => messages.push_back((from, to, message)),
                     Output::Write { id, .. } => inputs.push((place, Input::Written { id })),
                     _ => {}
                 }
             }
             if inputs.is_empty()
-                && let Some((from, to, note)) = notes.pop_front()
+                && let Some((from, to, message)) = messages.pop_front()
             {
-                inputs.push((usize::from(to.0.port()) - 1, Input::Note { from, note }));
+                inputs.push((
+                    usize::from(to.0.port()) - 1,
+                    Input::Message { from, message },
+                ));
             }
         }
         if replicas.iter().any(|replica| replica.may_respond(at))
@@ -485,16 +498,16 @@
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
     let asked = |tail: &mut Replica<Tally>, at: u64| {
-        let round = |output| match output {
+        let request_number = |output| match output {
             Output::Send {
-                note: Note::LeaseAsk { round, .. },
+                message: ReplicationMessage::LeaseRequest { request_number, .. },
                 ..
-            } => Some(round),
+            } => Some(request_number),
             _ => None,
         };
-        tail.step(MonotonicInstant(at), Input::ClockEvent)
+        tail.step(MonotonicInstant(at), Input::Tick)
             .into_iter()
-            .find_map(round)
+            .find_map(request_number)
             .expect("it asks")
     };
     let mut tail = replica(3, records.clone());
@@ -509,16 +522,16 @@
         MonotonicInstant(13_000),
     )
     .unwrap();
-    let round = asked(&mut tail, 13_500);
-    let grant_all = |tail: &mut Replica<Tally>, round: u64| {
+    let request_number = asked(&mut tail, 13_500);
+    let grant_all = |tail: &mut Replica<Tally>, request_number: u64| {
         for n in 1..=3 {
             tell(
                 tail,
                 13_510,
                 n,
-                Note::LeaseGrant {
+                ReplicationMessage::LeaseGrant {
                     view: ViewNumber(1),
-                    round,
+                    request_number,
                     disk: DiskId(u128::from(n)),
                 },
             );
@@ -526,7 +539,7 @@
         tail.may_respond(MonotonicInstant(13_510))
     };
     assert!(!grant_all(&mut tail, earlier));
-    assert!(grant_all(&mut tail, round));
+    assert!(grant_all(&mut tail, request_number));
 }
 
 /// Replicas on a network of one beat's steps that loses nothing; who is `None` is down.
@@ -547,8 +560,8 @@
             at: 10_000,
             founders: (1..=founders).map(Address::loopback).collect(),
             timing: Timing {
-                copies: 3,
-                voters,
+                min_chain_length: 3,
+                target_voters: voters,
                 ..Timing::default()
             },
             replicas: vec![],
@@ -605,7 +618,7 @@
         while self.at < deadline {
             self.at += 25;
             let at = MonotonicInstant(self.at);
-            inputs.extend((0..self.replicas.len()).map(|place| (place, Input::ClockEvent)));
+            inputs.extend((0..self.replicas.len()).map(|place| (place, Input::Tick)));
             while let Some((place, input)) = inputs.pop_front() {
                 let Some(replica) = &mut self.replicas[place] else {
                     continue;
@@ -614,31 +627,32 @@
                 outputs.reverse();
                 while let Some(output) = outputs.pop() {
                     match output {
-                        Output::Send { to, note } => {
+                        Output::Send { to, message } => {
                             let from = Address::loopback(place as u16 + 1);
                             if self.deaf == Some(to.0.port()) {
                                 continue;
                             }
                             inputs.push_back((
                                 usize::from(to.0.port()) - 1,
-                                Input::Note { from, note },
+                                Input::Message { from, message },
                             ));
                         }
                         Output::Write {
                             id,
                             records,
-                            is_whole,
+                            replaces_all,
                         } => {
-                            if is_whole {
+                            if replaces_all {
                                 self.records[place].clear();
                             }
                             self.records[place].extend(records);
                             inputs.push_back((place, Input::Written { id }));
                         }
-                        Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
-                            outputs.extend(replica.respond(at, ticket, body))
+                        Output::Committed { request_id, body }
+                        | Output::ChangeRejected { request_id, body } => {
+                            outputs.extend(replica.respond(at, request_id, body))
                         }
-                        Output::Response { is_replied, .. } => told = Some(is_replied),
+                        Output::Response { is_final, .. } => told = Some(is_final),
                         Output::ViewChanged(_) => {}
                     }
                 }
@@ -763,16 +777,16 @@
         "it has just begun"
     );
     assert!(!alone.is_serving(MonotonicInstant(10_800)));
-    tell(&mut alone, 11_000, 3, beat(3));
+    tell(&mut alone, 11_000, 3, heartbeat(3));
     assert!(
         alone.is_serving(MonotonicInstant(11_700)),
         "it and another are two of three"
     );
     assert!(!alone.is_serving(MonotonicInstant(11_800)));
-    alone.step(MonotonicInstant(20_000), Input::ClockEvent);
+    alone.step(MonotonicInstant(20_000), Input::Tick);
     assert!(
-        alone.hears_majority(MonotonicInstant(20_700)),
+        alone.has_reachable_majority(MonotonicInstant(20_700)),
         "it slept, and nobody could be heard meanwhile"
     );
-    assert!(!alone.hears_majority(MonotonicInstant(20_800)));
+    assert!(!alone.has_reachable_majority(MonotonicInstant(20_800)));
 }
--- a/crates/replication/src/replica/tests/founding.rs
+++ b/crates/replication/src/replica/tests/founding.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::notes::{Note, Record, Ticket};
+use crate::messages::{ChangeRequestId, Record, ReplicationMessage};
 use crate::replica::{Input, Output, RecoveredRecords, Replica, Timing};
 use crate::view::Voter;
 use types::{Address, DiskId, MonotonicInstant};
@@ -44,23 +44,20 @@
         let mut written: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
         for _ in 0..span / 25 {
             self.at += 25;
-            let mut inputs: VecDeque<(u16, Input)> = self
-                .replicas
-                .keys()
-                .map(|n| (*n, Input::ClockEvent))
-                .collect();
+            let mut inputs: VecDeque<(u16, Input)> =
+                self.replicas.keys().map(|n| (*n, Input::Tick)).collect();
             while let Some((n, input)) = inputs.pop_front() {
                 let Some(replica) = self.replicas.get_mut(&n) else {
                     continue;
                 };
                 for output in replica.step(MonotonicInstant(self.at), input) {
                     match output {
-                        Output::Send { to, note } => {
+                        Output::Send { to, message } => {
                             inputs.push_back((
                                 to.0.port(),
-                                Input::Note {
+                                Input::Message {
                                     from: Address::loopback(n),
-                                    note,
+                                    message,
                                 },
                             ));
                         }
@@ -139,19 +136,19 @@
             view: view(1, &[(1, true), (2, true), (3, true)]),
         }],
     );
-    let ticket = Ticket {
+    let request_id = ChangeRequestId {
         origin: Address::loopback(1),
         number: 1,
     };
-    let propose = Note::Propose {
-        ticket,
+    let propose = ReplicationMessage::Propose {
+        request_id,
         body: vec![1],
     };
     let outputs = head.step(
         MonotonicInstant(10_100),
-        Input::Note {
+        Input::Message {
             from: Address::loopback(1),
-            note: propose.clone(),
+            message: propose.clone(),
         },
     );
     let id = outputs.iter().find_map(|output| match output {
@@ -162,7 +159,7 @@
         &mut head,
         10_150,
         2,
-        Note::Decided {
+        ReplicationMessage::Decided {
             view: view(2, &[(1, true)]),
         },
     );
@@ -175,14 +172,14 @@
     assert!(
         !outputs
             .iter()
-            .any(|output| matches!(output, Output::Settled { .. })),
+            .any(|output| matches!(output, Output::Committed { .. })),
         "{outputs:?}"
     );
     let outputs = head.step(
         MonotonicInstant(10_300),
-        Input::Note {
+        Input::Message {
             from: Address::loopback(1),
-            note: propose,
+            message: propose,
         },
     );
     assert!(
--- a/crates/replication/src/replica/tests/leaving.rs
+++ b/crates/replication/src/replica/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Members that leave, votes that move, leases over a change of voters.
 
 use super::*;
-use crate::notes::{Note, Record};
+use crate::messages::{Record, ReplicationMessage};
 use crate::replica::{Input, Replica};
 use types::{MonotonicInstant, ViewNumber};
 
@@ -16,14 +16,24 @@
     );
     assert!(grant_all(&mut tail, 11_000));
     let mut next = view(2, &[(2, true), (3, true)]);
-    tell(&mut tail, 11_050, 2, Note::Decided { view: next.clone() });
+    tell(
+        &mut tail,
+        11_050,
+        2,
+        ReplicationMessage::Decided { view: next.clone() },
+    );
     assert!(
         tail.may_respond(MonotonicInstant(11_060)),
         "the same voters"
     );
     next.epoch = ViewNumber(3);
     next.voters = vec![voter(4), voter(2), voter(3)];
-    tell(&mut tail, 11_070, 2, Note::Decided { view: next });
+    tell(
+        &mut tail,
+        11_070,
+        2,
+        ReplicationMessage::Decided { view: next },
+    );
     assert!(
         !tail.may_respond(MonotonicInstant(11_080)),
         "of the voters 2, 3 and 4, only 3 is known to keep its word"
@@ -34,7 +44,7 @@
 impl Core {
     fn leave(&mut self, n: u16) {
         let replica = self.replicas[usize::from(n) - 1].as_mut().expect("it runs");
-        replica.step(MonotonicInstant(self.at), Input::Leave);
+        replica.step(MonotonicInstant(self.at), Input::Drain);
     }
     fn has_handed_over(&self, n: u16) -> bool {
         self.replicas[usize::from(n) - 1]
@@ -45,7 +55,7 @@
 
 fn core_of_three(all: u16) -> Core {
     let mut core = Core::new(3, 3, all);
-    core.timing.copies = 2;
+    core.timing.min_chain_length = 2;
     core.replicas.clear();
     core.replicas.resize_with(usize::from(all), || None);
     (1..=all).for_each(|n| core.start(n));
--- a/crates/replication/src/replica/tests/pacing.rs
+++ b/crates/replication/src/replica/tests/pacing.rs
@@ -7,8 +7,8 @@
     let mut core = Core::new(3, 3, 3);
     core.play(4000, None);
     core.timing = Timing {
-        changes_per_second: 10,
-        burst: 5,
+        max_changes_per_second: 10,
+        max_change_burst: 5,
         ..core.timing
     };
     (1..=3).for_each(|n| core.stop(n));
@@ -36,6 +36,6 @@
     let timing = Timing::default();
     const ACK_MS: u64 = 4000;
     const REMEMBERED: u64 = 4096;
-    let ms = (REMEMBERED - timing.burst) * 1000 / timing.changes_per_second;
+    let ms = (REMEMBERED - timing.max_change_burst) * 1000 / timing.max_changes_per_second;
     assert!(ms >= 9 * ACK_MS, "{ms} ms");
 }
--- a/crates/replication/src/replica/tests/proposals.rs
+++ b/crates/replication/src/replica/tests/proposals.rs
@@ -1,38 +1,38 @@
 //! What a ballot proposes: what the view should be once most have promised, not what it should have been before.
 
 use super::*;
-use crate::notes::{Ballot, Note, Record, Round};
+use crate::messages::{ProposalNumber, Record, ReplicationMessage, ViewProposal};
 use crate::replica::{Input, Replica};
 use types::{DiskId, ViewNumber};
 
-fn promise(n: u16, round: Round) -> Note {
-    Note::Promise {
+fn promise(n: u16, proposal_number: ProposalNumber) -> ReplicationMessage {
+    ReplicationMessage::Promise {
         instance: ViewNumber(2),
-        round,
+        proposal_number,
         disk: DiskId(u128::from(n)),
         accepted: None,
     }
 }
 
 /// The chains that it asks others to accept.
-fn proposed(sent: &[(u16, Note)]) -> Vec<Vec<u16>> {
-    let chain = |ballot: &Ballot| {
-        ballot
+fn proposed(sent: &[(u16, ReplicationMessage)]) -> Vec<Vec<u16>> {
+    let chain = |proposal: &ViewProposal| {
+        proposal
             .view
             .chain
             .iter()
             .map(|position| position.voter.address.0.port())
             .collect()
     };
-    let accepts = sent.iter().filter_map(|(to, note)| match note {
-        Note::Accept { ballot } if *to == 2 => Some(chain(ballot)),
+    let accepts = sent.iter().filter_map(|(to, message)| match message {
+        ReplicationMessage::Accept { proposal } if *to == 2 => Some(chain(proposal)),
         _ => None,
     });
     accepts.collect()
 }
 
 /// Replica 1 of three after a restart of all, at the moment when it has begun a ballot since it heard nobody.
-fn alone_with_a_ballot() -> (Replica<Tally>, Round, u64) {
+fn alone_with_a_ballot() -> (Replica<Tally>, ProposalNumber, u64) {
     let mut replica = replica(
         1,
         vec![Record::View {
@@ -40,13 +40,15 @@
         }],
     );
     for at in (10_000..12_000).step_by(50) {
-        let sent = settle(&mut replica, at, Input::ClockEvent);
-        let round = sent.iter().find_map(|(_, note)| match note {
-            Note::Prepare { round, .. } => Some(*round),
+        let sent = settle(&mut replica, at, Input::Tick);
+        let proposal_number = sent.iter().find_map(|(_, message)| match message {
+            ReplicationMessage::Prepare {
+                proposal_number, ..
+            } => Some(*proposal_number),
             _ => None,
         });
-        if let Some(round) = round {
-            return (replica, round, at);
+        if let Some(proposal_number) = proposal_number {
+            return (replica, proposal_number, at);
         }
     }
     panic!("it bids for no view");
@@ -54,9 +56,9 @@
 
 #[test]
 fn one_that_came_back_while_a_ballot_was_under_way_keeps_its_seat() {
-    let (mut replica, round, at) = alone_with_a_ballot();
-    tell(&mut replica, at + 40, 2, beat(2));
-    let sent = tell(&mut replica, at + 45, 2, promise(2, round));
+    let (mut replica, proposal_number, at) = alone_with_a_ballot();
+    tell(&mut replica, at + 40, 2, heartbeat(2));
+    let sent = tell(&mut replica, at + 45, 2, promise(2, proposal_number));
     assert_eq!(
         proposed(&sent),
         [[1, 2]],
@@ -66,46 +68,46 @@
 
 #[test]
 fn one_that_promised_is_waited_for_until_it_tells_how_far_it_is() {
-    let (mut replica, round, at) = alone_with_a_ballot();
-    let sent = tell(&mut replica, at + 40, 2, promise(2, round));
+    let (mut replica, proposal_number, at) = alone_with_a_ballot();
+    let sent = tell(&mut replica, at + 40, 2, promise(2, proposal_number));
     assert_eq!(proposed(&sent), Vec::<Vec<u16>>::new());
-    tell(&mut replica, at + 60, 2, beat(2));
-    let sent = settle(&mut replica, at + 75, Input::ClockEvent);
+    tell(&mut replica, at + 60, 2, heartbeat(2));
+    let sent = settle(&mut replica, at + 75, Input::Tick);
     assert_eq!(proposed(&sent), [[1, 2]]);
 }
 
 #[test]
 fn nothing_is_proposed_once_all_are_back() {
-    let (mut replica, round, at) = alone_with_a_ballot();
+    let (mut replica, proposal_number, at) = alone_with_a_ballot();
     [2, 3]
         .into_iter()
-        .for_each(|n| drop(tell(&mut replica, at + 40, n, beat(n))));
-    let sent = tell(&mut replica, at + 45, 2, promise(2, round));
+        .for_each(|n| drop(tell(&mut replica, at + 40, n, heartbeat(n))));
+    let sent = tell(&mut replica, at + 45, 2, promise(2, proposal_number));
     assert_eq!(proposed(&sent), Vec::<Vec<u16>>::new());
-    let sent = settle(&mut replica, at + 100, Input::ClockEvent);
+    let sent = settle(&mut replica, at + 100, Input::Tick);
     assert_eq!(proposed(&sent), Vec::<Vec<u16>>::new());
 }
 
 #[test]
 fn what_was_accepted_before_is_proposed_whatever_should_be_now() {
-    let (mut replica, round, at) = alone_with_a_ballot();
+    let (mut replica, proposal_number, at) = alone_with_a_ballot();
     [2, 3]
         .into_iter()
-        .for_each(|n| drop(tell(&mut replica, at + 40, n, beat(n))));
-    let before = Ballot {
-        round: Round {
+        .for_each(|n| drop(tell(&mut replica, at + 40, n, heartbeat(n))));
+    let before = ViewProposal {
+        proposal_number: ProposalNumber {
             count: 0,
             proposer: 9,
         },
         view: view(2, &[(2, true), (3, true)]),
     };
     let accepted = Some(before);
-    let note = Note::Promise {
+    let message = ReplicationMessage::Promise {
         instance: ViewNumber(2),
-        round,
+        proposal_number,
         disk: DiskId(2),
         accepted,
     };
-    let sent = tell(&mut replica, at + 45, 2, note);
+    let sent = tell(&mut replica, at + 45, 2, message);
     assert_eq!(proposed(&sent), [[2, 3]]);
 }
--- a/crates/replication/src/replica/tests/restart.rs
+++ b/crates/replication/src/replica/tests/restart.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::notes::{Note, Record};
+use crate::messages::{Record, ReplicationMessage};
 use crate::replica::{Input, Output, RecoveredRecords, RecoveryError, Replica, Timing};
 use types::{Address, MonotonicInstant, SequenceNumber, ViewNumber};
 use yare::parameterized;
@@ -7,7 +7,7 @@
 fn snapshot(last: u64) -> Record {
     Record::Snapshot {
         last: SequenceNumber(last),
-        stamp: ViewNumber(1),
+        origin_view: ViewNumber(1),
         body: last.to_be_bytes().to_vec(),
     }
 }
@@ -96,30 +96,30 @@
             view: view(1, &chain),
         }],
     );
-    let from_tail = |behind: &mut Replica<Tally>, note: Note| {
+    let from_tail = |behind: &mut Replica<Tally>, message: ReplicationMessage| {
         behind.step(
             MonotonicInstant(10_000),
-            Input::Note {
+            Input::Message {
                 from: Address::loopback(2),
-                note,
+                message,
             },
         )
     };
-    let (last, stamp) = (SequenceNumber(40), ViewNumber(1));
+    let (last, origin_view) = (SequenceNumber(40), ViewNumber(1));
     from_tail(
         &mut behind,
-        Note::SnapshotOffer {
+        ReplicationMessage::SnapshotOffer {
             last,
-            stamp,
+            origin_view,
             length: 8,
         },
     );
     let bytes = 40u64.to_be_bytes().to_vec();
     let outputs = from_tail(
         &mut behind,
-        Note::SnapshotPiece {
+        ReplicationMessage::SnapshotChunk {
             last,
-            stamp,
+            origin_view,
             offset: 0,
             length: 8,
             bytes,
@@ -127,7 +127,9 @@
     );
     let written = outputs.iter().find_map(|output| match output {
         Output::Write {
-            id, is_whole: true, ..
+            id,
+            replaces_all: true,
+            ..
         } => Some(*id),
         _ => None,
     });
@@ -136,14 +138,14 @@
             matches!(
                 output,
                 Output::Send {
-                    note: Note::Follow { .. },
+                    message: ReplicationMessage::CatchUpRequest { .. },
                     ..
                 }
             )
         })
     };
     assert!(
-        !asks(behind.step(MonotonicInstant(10_100), Input::ClockEvent)),
+        !asks(behind.step(MonotonicInstant(10_100), Input::Tick)),
         "the snapshot isn't synced"
     );
     behind.step(
@@ -152,14 +154,12 @@
             id: written.expect("it writes the snapshot"),
         },
     );
-    assert!(asks(
-        behind.step(MonotonicInstant(10_300), Input::ClockEvent)
-    ));
+    assert!(asks(behind.step(MonotonicInstant(10_300), Input::Tick)));
 }
 
 /// The same: its predecessor took the number of its last change for the change.
 #[parameterized(same_change = { 2, true }, another_change_of_that_number = { 1, false })]
-fn a_successor_is_level_only_on_the_same_history(stamp: u64, is_caught_up: bool) {
+fn a_successor_is_level_only_on_the_same_history(origin_view: u64, is_caught_up: bool) {
     let mut records = vec![Record::View {
         view: view(2, &[(1, true), (2, false)]),
     }];
@@ -167,20 +167,20 @@
         change: change(seq, 2),
     }));
     let mut head = replica(1, records);
-    let beat = Note::Heartbeat {
+    let heartbeat = ReplicationMessage::Heartbeat {
         disk: voter(2).disk,
         view: ViewNumber(2),
         last: SequenceNumber(3),
-        stamp: ViewNumber(stamp),
-        replied: SequenceNumber(0),
+        origin_view: ViewNumber(origin_view),
+        commit_index: SequenceNumber(0),
         is_caught_up: false,
         is_healthy: true,
-        has_members: true,
+        has_member_majority: true,
     };
-    let sent = tell(&mut head, 10_050, 2, beat);
+    let sent = tell(&mut head, 10_050, 2, heartbeat);
     assert_eq!(
         sent.iter()
-            .any(|(_, note)| matches!(note, Note::Level { .. })),
+            .any(|(_, message)| matches!(message, ReplicationMessage::CatchUpTarget { .. })),
         is_caught_up
     );
     assert_eq!(head.has_diverged(&voter(2)), !is_caught_up);
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -2,10 +2,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Preview {
     /// It may enter.
-    Enter,
+    Admit,
     /// It must not; the answer for whoever proposed it, true only of the state that was looked at. Nothing is
     /// kept of it.
-    TurnAway(Vec<u8>),
+    Reject(Vec<u8>),
 }
 
 /// What a chain replicates: a state that changes only by applying bodies in order.
@@ -17,7 +17,7 @@
     /// proposed it is told that it can't.
     fn preview(&self, body: &[u8]) -> Preview;
     /// Whether a body may only enter while more than half of the members hold leases.
-    fn needs_members(&self, _body: &[u8]) -> bool {
+    fn requires_member_majority(&self, _body: &[u8]) -> bool {
         false
     }
     /// Takes a body in; gives the answer for whoever proposed it.
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -58,7 +58,7 @@
         self.chain.iter().find(|position| position.voter == *voter)
     }
     /// Whether this voter sits in the chain.
-    pub fn seats(&self, voter: &Voter) -> bool {
+    pub fn contains(&self, voter: &Voter) -> bool {
         self.position(voter).is_some()
     }
     /// Whether this voter votes.
@@ -93,13 +93,13 @@
             .chain
             .iter()
             .map(|s| s.voter)
-            .filter(|v| self.seats(v))
+            .filter(|v| self.contains(v))
             .collect();
         let in_old_order: Vec<Voter> = self
             .chain
             .iter()
             .map(|s| s.voter)
-            .filter(|v| next.seats(v))
+            .filter(|v| next.contains(v))
             .collect();
         let has_level = next
             .chain
@@ -109,7 +109,7 @@
             .chain
             .iter()
             .skip(kept.len())
-            .all(|s| !self.seats(&s.voter) && !s.is_caught_up);
+            .all(|s| !self.contains(&s.voter) && !s.is_caught_up);
         let is_each_once = next
             .chain
             .iter()
@@ -118,7 +118,7 @@
         let are_admitted_seated = next
             .voters
             .iter()
-            .all(|v| self.has_voter(v) || next.seats(v));
+            .all(|v| self.has_voter(v) || next.contains(v));
         let do_seated_vote = next.chain.iter().all(|s| next.has_voter(&s.voter));
         next.epoch == self.epoch.next()
             && !next.voters.is_empty()
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -5,7 +5,8 @@
 mod golden_file;
 
 use replication::{
-    Ballot, ChainPosition, Change, LeaseStatus, Record, Round, Ticket, Timing, View, Voter,
+    ChainPosition, Change, ChangeRequestId, LeaseStatus, ProposalNumber, Record, Timing, View,
+    ViewProposal, Voter,
 };
 use types::{Address, DiskId, SequenceNumber, ViewNumber};
 
@@ -38,18 +39,18 @@
 }
 
 fn records() -> Vec<Record> {
-    let round = Round {
+    let proposal_number = ProposalNumber {
         count: 3,
         proposer: 0xfeed_0000_0000_0000_0000_0000_0000_beef,
     };
     vec![
         Record::Promised {
             instance: ViewNumber(8),
-            round,
+            proposal_number,
         },
         Record::Accepted {
-            ballot: Ballot {
-                round,
+            proposal: ViewProposal {
+                proposal_number,
                 view: view(),
             },
         },
@@ -57,8 +58,8 @@
         Record::Change {
             change: Change {
                 seq: SequenceNumber(13),
-                stamp: ViewNumber(7),
-                ticket: Ticket {
+                origin_view: ViewNumber(7),
+                request_id: ChangeRequestId {
                     origin: Address::loopback(7104),
                     number: 0x1122_3344_5566_7788,
                 },
@@ -67,7 +68,7 @@
         },
         Record::Snapshot {
             last: SequenceNumber(12),
-            stamp: ViewNumber(6),
+            origin_view: ViewNumber(6),
             body: b"the state machine's own snapshot".to_vec(),
         },
     ]
@@ -101,18 +102,18 @@
 
 variant_names!(ALL_STATUSES, status_name(LeaseStatus) {
     LeaseStatus::Leased => "leased",
-    LeaseStatus::Together => "together",
-    LeaseStatus::Unheard => "unheard",
-    LeaseStatus::Alone => "alone",
-    LeaseStatus::Behind => "behind",
+    LeaseStatus::PeerQuorum => "together",
+    LeaseStatus::NeverLeased => "unheard",
+    LeaseStatus::Isolated => "alone",
+    LeaseStatus::Outdated => "behind",
 });
 
 const STATUSES: [LeaseStatus; 5] = [
     LeaseStatus::Leased,
-    LeaseStatus::Together,
-    LeaseStatus::Unheard,
-    LeaseStatus::Alone,
-    LeaseStatus::Behind,
+    LeaseStatus::PeerQuorum,
+    LeaseStatus::NeverLeased,
+    LeaseStatus::Isolated,
+    LeaseStatus::Outdated,
 ];
 
 #[test]
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -214,7 +214,7 @@
                 leaving = Some(LeavingSchedule::new(now, settings, has_calls));
             }
             let reads_seeds_again = now >= next_reading
-                && control.node.lease_state().reason(now) != LeaseStatus::Leased;
+                && control.node.lease_state().status(now) != LeaseStatus::Leased;
             if has_changed.swap(false, Ordering::Relaxed) || reads_seeds_again {
                 next_reading = now + SETTINGS_PERIOD;
                 let seeds = dialects.seeds.as_ref().and_then(|read| read());
@@ -489,7 +489,7 @@
             "inner": self.post.own(),
             "epoch": self.node.epoch(),
             "plan_epoch": self.node.plan_epoch(),
-            "lease_state": lease_state.reason(now).word(),
+            "lease_state": lease_state.status(now).word(),
             "lease_ms_left": lease_state.lease_deadline().map(|deadline| now.until(deadline)),
             "members": lease_state.members(),
             "withdrawn": self.node.withdrawn(),
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -203,7 +203,7 @@
             open: BTreeMap::new(),
             ended: VecDeque::new(),
             ended_ids: BTreeSet::new(),
-            last_reason: LeaseStatus::Unheard,
+            last_reason: LeaseStatus::NeverLeased,
             outputs: vec![],
         }
     }
@@ -440,7 +440,7 @@
             let messages = self.dissemination.on_clock(self.now, Digest::of(&sketch));
             self.send_digests(messages);
         }
-        let reason = self.lease_state.reason(self.now);
+        let reason = self.lease_state.status(self.now);
         if reason != self.last_reason {
             let line = format!(
                 "node: lease state is {}, epoch {}",
@@ -548,7 +548,7 @@
                         epoch: known,
                     },
                 );
-                self.lease_state.hear(from, epoch);
+                self.lease_state.observe_peer_epoch(from, epoch);
                 self.request_config_update(from, epoch);
             }
             Message::PeerCheckResponse { echo, epoch } => {
@@ -560,9 +560,9 @@
                     .find(|(own_round, _)| *own_round == echo)
                     && epoch > ConfigEpoch(0)
                 {
-                    self.lease_state.note_peer_check(from, epoch, *sent);
+                    self.lease_state.record_peer_check(from, epoch, *sent);
                 }
-                self.lease_state.hear(from, epoch);
+                self.lease_state.observe_peer_epoch(from, epoch);
                 self.request_config_update(from, epoch);
             }
             Message::Digest {
@@ -596,7 +596,7 @@
             Message::CoreLocation { location, .. } => self.on_core_location(from, *location),
             Message::CreditGrant { grant } => self.on_credit_grant(from, &grant),
             Message::CreditAsk { .. }
-            | Message::Note { .. }
+            | Message::Replication { .. }
             | Message::LeaseRequest { .. }
             | Message::Ask { .. }
             | Message::Told { .. } => {}
--- a/crates/router/src/node/config_updates.rs
+++ b/crates/router/src/node/config_updates.rs
@@ -41,7 +41,8 @@
         if update.epoch < self.lease_state.epoch() {
             return;
         }
-        self.lease_state.tell(update.epoch, self.now + TOLD_FOR);
+        self.lease_state
+            .announce_epoch(update.epoch, self.now + TOLD_FOR);
         if update.members.is_none() {
             let under_way = self
                 .fetching
@@ -214,8 +215,10 @@
         match lease_deadline {
             Some(deadline) => self
                 .lease_state
-                .lease(deadline, update.epoch, members.clone()),
-            None => self.lease_state.learn(update.epoch, members.clone()),
+                .renew_lease(deadline, update.epoch, members.clone()),
+            None => self
+                .lease_state
+                .update_members(update.epoch, members.clone()),
         }
         if is_newer {
             self.withdrawn = update.withdrawn;
--- a/crates/router/src/node/placing.rs
+++ b/crates/router/src/node/placing.rs
@@ -39,7 +39,7 @@
                 0,
             );
         }
-        let reason = self.lease_state.reason(self.now);
+        let reason = self.lease_state.status(self.now);
         if !reason.may_act() || self.now >= self.may_act_until(self.now) {
             let why = format!("this node's lease state is `{}`", reason.word());
             return deny(ResultCode::NotReady, &why, 1000);
--- a/crates/router/src/node/polling.rs
+++ b/crates/router/src/node/polling.rs
@@ -78,7 +78,7 @@
 
     /// The core's tail calls: it knows this node as a member without a lease.
     pub(super) fn on_core_location(&mut self, from: Address, location: CoreLocation) {
-        let is_leased = self.lease_state.reason(self.now) == LeaseStatus::Leased;
+        let is_leased = self.lease_state.status(self.now) == LeaseStatus::Leased;
         if is_leased || location.view < self.view || location.voters.is_empty() {
             return;
         }
@@ -117,12 +117,12 @@
                 }
                 let lease_deadline = Some(sent + span);
                 self.lease_span = self.lease_span.max(span);
-                self.lease_state.tell(epoch, self.now + TOLD_FOR);
+                self.lease_state.announce_epoch(epoch, self.now + TOLD_FOR);
                 match update {
                     Some(update) => self.on_config_update(from, update, lease_deadline),
                     // Nothing is newer there than what is here, whole.
                     None if epoch == self.lease_state.epoch() && epoch > ConfigEpoch(0) => {
-                        self.lease_state.lease(
+                        self.lease_state.renew_lease(
                             sent + span,
                             epoch,
                             self.lease_state.members().to_vec(),
@@ -150,7 +150,7 @@
         if self.now < self.next_peer_check {
             return;
         }
-        let is_alone = self.lease_state.reason(self.now) == LeaseStatus::Alone;
+        let is_alone = self.lease_state.status(self.now) == LeaseStatus::Isolated;
         self.peer_check_pause = match is_alone {
             true => Milliseconds((self.peer_check_pause.0 * 2).min(self.timing.peer_check_alone.0)),
             false => self.timing.peer_check,
--- a/crates/router/src/node/tests.rs
+++ b/crates/router/src/node/tests.rs
@@ -239,8 +239,8 @@
         played
             .node
             .lease_state()
-            .reason(MonotonicInstant(played.at)),
-        LeaseStatus::Unheard
+            .status(MonotonicInstant(played.at)),
+        LeaseStatus::NeverLeased
     );
     played.lease(3, 2);
     played.plan(2);
@@ -248,10 +248,13 @@
         played
             .node
             .lease_state()
-            .reason(MonotonicInstant(played.at)),
+            .status(MonotonicInstant(played.at)),
         LeaseStatus::Leased
     );
-    for (echoes_earlier, reason) in [(true, LeaseStatus::Alone), (false, LeaseStatus::Together)] {
+    for (echoes_earlier, reason) in [
+        (true, LeaseStatus::Isolated),
+        (false, LeaseStatus::PeerQuorum),
+    ] {
         for _ in 0..40 {
             played.at += 50;
             earlier.at += 50;
@@ -274,7 +277,7 @@
             played
                 .node
                 .lease_state()
-                .reason(MonotonicInstant(played.at)),
+                .status(MonotonicInstant(played.at)),
             reason
         );
     }
@@ -442,8 +445,8 @@
         played
             .node
             .lease_state()
-            .reason(MonotonicInstant(played.at)),
-        LeaseStatus::Together
+            .status(MonotonicInstant(played.at)),
+        LeaseStatus::PeerQuorum
     );
     assert!(played.place(5, "together", "drafts").is_ok());
     // The other knows of a withdrawal: it's asked for, and taken up at once, since the plan is the same.
@@ -549,8 +552,8 @@
         played
             .node
             .lease_state()
-            .reason(MonotonicInstant(played.at)),
-        LeaseStatus::Alone
+            .status(MonotonicInstant(played.at)),
+        LeaseStatus::Isolated
     );
     assert_eq!(
         played.place(1, "alone", "drafts").err(),
--- a/crates/testbed/src/explorer/cluster.rs
+++ b/crates/testbed/src/explorer/cluster.rs
@@ -4,7 +4,9 @@
 use super::properties::History;
 use super::register::{Command, Register};
 use super::stored_disk::StoredDisk;
-use replication::{Input, Note, Output, Record, RecoveredRecords, Replica, Timing, Voter};
+use replication::{
+    Input, Output, Record, RecoveredRecords, Replica, ReplicationMessage, Timing, Voter,
+};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber};
@@ -89,7 +91,7 @@
 struct Packet {
     from: Address,
     to: Address,
-    note: Note,
+    message: ReplicationMessage,
 }
 
 #[derive(Clone)]
@@ -212,12 +214,12 @@
 
     fn timing(&self) -> Timing {
         let mut timing = Timing {
-            copies: self.rules.copies,
-            voters: self.rules.voters,
+            min_chain_length: self.rules.copies,
+            target_voters: self.rules.voters,
             ..Timing::default()
         };
         if self.rules.fault == Some(DeliberateFault::SkipFencing) {
-            timing.lease = Milliseconds(0);
+            timing.lease_duration = Milliseconds(0);
         }
         timing
     }
@@ -239,7 +241,7 @@
             .collect();
         let mut born = MonotonicInstant(self.now);
         if self.rules.fault == Some(DeliberateFault::GrantAfterRestart) {
-            born = MonotonicInstant(self.now - timing.lease.0);
+            born = MonotonicInstant(self.now - timing.lease_duration.0);
         }
         let kept = RecoveredRecords {
             records: machine.stored.records(),
@@ -344,7 +346,7 @@
             if self.is_running(place) {
                 let held = std::mem::take(&mut self.machines[place].held);
                 self.steps.extend(held.into_iter().map(Step::Deliver));
-                self.drive(place, Input::ClockEvent);
+                self.drive(place, Input::Tick);
             }
         }
         let mut open = vec![];
@@ -367,7 +369,11 @@
         match step {
             Step::Sync { machine, .. } => Some(OpenStep::Write(*machine)),
             Step::Deliver(packet)
-                if !matches!(packet.note, Note::Heartbeat { .. } | Note::Follow { .. }) =>
+                if !matches!(
+                    packet.message,
+                    ReplicationMessage::Heartbeat { .. }
+                        | ReplicationMessage::CatchUpRequest { .. }
+                ) =>
             {
                 let place = self.machines.iter().position(|m| m.address == packet.to)?;
                 Some(OpenStep::Message(place))
@@ -424,7 +430,7 @@
         }
         if !machine.is_asked_to_leave {
             self.machines[place].is_asked_to_leave = true;
-            return self.drive(place, Input::Leave);
+            return self.drive(place, Input::Drain);
         }
         let has_handed_over = machine
             .replica
@@ -649,9 +655,9 @@
         self.spoil(place, &mut packet);
         self.drive(
             place,
-            Input::Note {
+            Input::Message {
                 from: packet.from,
-                note: packet.note,
+                message: packet.message,
             },
         );
     }
@@ -661,16 +667,17 @@
         let Some(replica) = &self.machines[place].replica else {
             return;
         };
-        match (&mut packet.note, self.rules.fault) {
-            (Note::Level { last, .. }, Some(DeliberateFault::LeadBeforeLevel)) => {
-                *last = SequenceNumber(0)
-            }
-            (Note::Decided { view }, Some(DeliberateFault::CountEmptyMember)) => {
+        match (&mut packet.message, self.rules.fault) {
+            (
+                ReplicationMessage::CatchUpTarget { last, .. },
+                Some(DeliberateFault::LeadBeforeLevel),
+            ) => *last = SequenceNumber(0),
+            (ReplicationMessage::Decided { view }, Some(DeliberateFault::CountEmptyMember)) => {
                 view.chain
                     .iter_mut()
                     .for_each(|position| position.is_caught_up = true);
             }
-            (Note::Accept { .. }, Some(DeliberateFault::AcceptWithLiveLease)) => {
+            (ReplicationMessage::Accept { .. }, Some(DeliberateFault::AcceptWithLiveLease)) => {
                 if let Some(tail) = replica.view().tail().filter(|tail| *tail != replica.me()) {
                     packet.from = tail.address;
                 }
@@ -687,11 +694,11 @@
         let mut outputs: VecDeque<Output> = replica.step(now, input).into();
         while let Some(output) = outputs.pop_front() {
             match output {
-                Output::Send { to, note } => self.send(place, to, note),
+                Output::Send { to, message } => self.send(place, to, message),
                 Output::Write {
                     id,
                     records,
-                    is_whole,
+                    replaces_all: is_whole,
                 } => {
                     let machine = &mut self.machines[place];
                     machine.unsynced.push_back(PendingWrite {
@@ -709,14 +716,15 @@
                 }
                 Output::Response {
                     number,
-                    is_replied,
+                    is_final,
                     body,
-                } => self.on_answer(number, is_replied, &body),
-                Output::Settled { ticket, body } | Output::Judged { ticket, body } => {
+                } => self.on_answer(number, is_final, &body),
+                Output::Committed { request_id, body }
+                | Output::ChangeRejected { request_id, body } => {
                     let Some(replica) = &mut self.machines[place].replica else {
                         return;
                     };
-                    outputs.extend(replica.respond(now, ticket, body));
+                    outputs.extend(replica.respond(now, request_id, body));
                 }
                 Output::ViewChanged(view) => {
                     let is_spoilt = self.rules.fault == Some(DeliberateFault::CountEmptyMember);
@@ -728,9 +736,9 @@
         }
     }
 
-    fn send(&mut self, place: usize, to: Address, note: Note) {
+    fn send(&mut self, place: usize, to: Address, message: ReplicationMessage) {
         let from = self.machines[place].address;
-        let to = self.true_target(to, &note);
+        let to = self.true_target(to, &message);
         let cut_at = |address: Address| {
             self.machines
                 .iter()
@@ -743,18 +751,25 @@
             cut_at(to).is_some_and(|(direction, _)| direction != CutDirection::Outward);
         if !is_kept_in && !is_kept_out {
             self.steps
-                .push_back(Step::Deliver(Packet { from, to, note }));
+                .push_back(Step::Deliver(Packet { from, to, message }));
         }
     }
 
     /// Where a deliberate fault had a voter take a ballot for the tail's, its answer goes to the proposer.
-    fn true_target(&self, to: Address, note: &Note) -> Address {
-        let (Note::Accepted { round, .. }, Some(DeliberateFault::AcceptWithLiveLease)) =
-            (note, self.rules.fault)
+    fn true_target(&self, to: Address, message: &ReplicationMessage) -> Address {
+        let (
+            ReplicationMessage::Accepted {
+                proposal_number, ..
+            },
+            Some(DeliberateFault::AcceptWithLiveLease),
+        ) = (message, self.rules.fault)
         else {
             return to;
         };
-        let proposer = self.machines.iter().find(|m| m.disk.0 == round.proposer);
+        let proposer = self
+            .machines
+            .iter()
+            .find(|m| m.disk.0 == proposal_number.proposer);
         proposer.map_or(to, |m| m.address)
     }
 
@@ -912,16 +927,21 @@
             let machine = self.machines.iter().find(|m| m.address == address);
             machine
                 .and_then(|m| m.replica.as_ref())
-                .map(Replica::lease_round)
+                .map(Replica::lease_request_number)
         };
-        match &packet.note {
-            Note::LeaseAsk { view, round } => {
-                (1u8, view, newest(packet.from) == Some(*round)).hash(&mut hasher)
-            }
-            Note::LeaseGrant { view, round, disk } => {
-                (2u8, view, newest(packet.to) == Some(*round), disk).hash(&mut hasher);
-            }
-            note => note.hash(&mut hasher),
+        match &packet.message {
+            ReplicationMessage::LeaseRequest {
+                view,
+                request_number,
+            } => (1u8, view, newest(packet.from) == Some(*request_number)).hash(&mut hasher),
+            ReplicationMessage::LeaseGrant {
+                view,
+                request_number,
+                disk,
+            } => {
+                (2u8, view, newest(packet.to) == Some(*request_number), disk).hash(&mut hasher);
+            }
+            message => message.hash(&mut hasher),
         }
         hasher.finish()
     }
--- a/crates/testbed/src/explorer/register.rs
+++ b/crates/testbed/src/explorer/register.rs
@@ -45,9 +45,9 @@
     fn preview(&self, body: &[u8]) -> Preview {
         match Command::decode(body) {
             Some(command) if self.taken.contains(&command.id) || self.fits(command) => {
-                Preview::Enter
+                Preview::Admit
             }
-            _ => Preview::TurnAway(vec![REFUSED]),
+            _ => Preview::Reject(vec![REFUSED]),
         }
     }
     fn apply(&mut self, body: &[u8]) -> Vec<u8> {
--- a/crates/testbed/src/explorer/stored_disk.rs
+++ b/crates/testbed/src/explorer/stored_disk.rs
@@ -21,9 +21,13 @@
         for record in records {
             match record {
                 Record::View { .. } => self.view = Some(record),
-                Record::Accepted { ref ballot } => {
-                    let (instance, round) = (ballot.view.epoch, ballot.round);
-                    self.promised = Some(Record::Promised { instance, round });
+                Record::Accepted { ref proposal } => {
+                    let (instance, proposal_number) =
+                        (proposal.view.epoch, proposal.proposal_number);
+                    self.promised = Some(Record::Promised {
+                        instance,
+                        proposal_number,
+                    });
                     self.accepted = Some(record);
                 }
                 Record::Promised { .. } => self.promised = Some(record),
--- a/crates/testbed/src/world/machines.rs
+++ b/crates/testbed/src/world/machines.rs
@@ -14,12 +14,13 @@
             .map(|n| Address::loopback(1001 + n as u16))
             .collect();
         let mut timing = ControllerTiming::default();
-        timing.replica.suspect = self.rules.suspect.unwrap_or(timing.replica.suspect);
+        timing.replica.suspect_timeout =
+            self.rules.suspect.unwrap_or(timing.replica.suspect_timeout);
         timing.quorum = self.rules.quorum;
         timing.quota = self.tails_bounds();
-        timing.replica.copies = self.rules.copies;
+        timing.replica.min_chain_length = self.rules.copies;
         if self.rules.mutant == Some(Mutant::SkipFencing) {
-            timing.replica.lease = Milliseconds(0);
+            timing.replica.lease_duration = Milliseconds(0);
         }
         if self.rules.mutant == Some(Mutant::IgnoreLease) {
             timing.lease = Milliseconds::seconds(60);
--- a/crates/testbed/src/world/relays.rs
+++ b/crates/testbed/src/world/relays.rs
@@ -209,7 +209,7 @@
         for machine in 0..self.routers.len() {
             let m = &self.routers[machine];
             let now = MonotonicInstant(self.now + m.offset);
-            let has_lease = |node: &Node| node.lease_state().reason(now) == LeaseStatus::Leased;
+            let has_lease = |node: &Node| node.lease_state().status(now) == LeaseStatus::Leased;
             if self.now >= m.frozen_until && m.node.as_ref().is_some_and(|node| !has_lease(node)) {
                 self.step_node(machine, NodeInput::Seeds(seeds.clone()));
             }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,6 +1,6 @@
 use placement::{DigestChange, ServerEntry};
 use quota::{CreditAsk, CreditGrant};
-use replication::Note;
+use replication::ReplicationMessage;
 use types::{
     Address, ConfigEpoch, Delta, Milliseconds, ServerName, TokenKey, ViewNumber, ZoneName, messages,
 };
@@ -191,9 +191,9 @@
     /// All letters.
     pub enum Message {
         /// Between replicas of the core.
-        Note {
+        Replication {
             /// It.
-            note: Box<Note>,
+            message: Box<ReplicationMessage>,
         },
         /// From a member to the core.
         LeaseRequest {
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -6,7 +6,10 @@
 
 use placement::{DigestChange, ServerEntry};
 use quota::{Amount, CreditAsk, CreditGrant, CreditRequest, QuotaLimit, TenantGrant};
-use replication::{Ballot, ChainPosition, Change, Note, Round, Ticket, View, Voter};
+use replication::{
+    ChainPosition, Change, ChangeRequestId, ProposalNumber, ReplicationMessage, View, ViewProposal,
+    Voter,
+};
 use types::{
     Address, ConfigEpoch, Delta, DiskId, Milliseconds, SequenceNumber, ServerName, TenantName,
     TokenKey, ViewNumber, ZoneName,
@@ -17,7 +20,7 @@
 };
 
 variant_names!(ALL_LETTERS, letter_name(Message) {
-    Message::Note { .. } => "Note",
+    Message::Replication { .. } => "Note",
     Message::LeaseRequest { .. } => "Poll",
     Message::LeaseResponse { .. } => "PollResponse",
     Message::PlanRequest { .. } => "PlanAsk",
@@ -40,27 +43,27 @@
     Message::CoreLocation { .. } => "CoreLocation",
 });
 
-variant_names!(ALL_NOTES, note_name(Note) {
-    Note::Heartbeat { .. } => "Beat",
-    Note::Prepare { .. } => "Prepare",
-    Note::Promise { .. } => "Promise",
-    Note::Accept { .. } => "Accept",
-    Note::Accepted { .. } => "Accepted",
-    Note::Outdone { .. } => "Outdone",
-    Note::Decided { .. } => "Decided",
-    Note::LeaseAsk { .. } => "LeaseAsk",
-    Note::LeaseGrant { .. } => "LeaseGrant",
-    Note::Pass { .. } => "Pass",
-    Note::Level { .. } => "Level",
-    Note::Follow { .. } => "Follow",
-    Note::Feed { .. } => "Feed",
-    Note::SnapshotOffer { .. } => "SnapshotOffer",
-    Note::SnapshotAsk { .. } => "SnapshotAsk",
-    Note::SnapshotPiece { .. } => "SnapshotPiece",
-    Note::Propose { .. } => "Propose",
-    Note::Response { .. } => "Response",
-    Note::Judge { .. } => "Judge",
-    Note::Leaving { .. } => "Leaving",
+variant_names!(ALL_NOTES, note_name(ReplicationMessage) {
+    ReplicationMessage::Heartbeat { .. } => "Beat",
+    ReplicationMessage::Prepare { .. } => "Prepare",
+    ReplicationMessage::Promise { .. } => "Promise",
+    ReplicationMessage::Accept { .. } => "Accept",
+    ReplicationMessage::Accepted { .. } => "Accepted",
+    ReplicationMessage::ProposalRejected { .. } => "Outdone",
+    ReplicationMessage::Decided { .. } => "Decided",
+    ReplicationMessage::LeaseRequest { .. } => "LeaseAsk",
+    ReplicationMessage::LeaseGrant { .. } => "LeaseGrant",
+    ReplicationMessage::Forward { .. } => "Pass",
+    ReplicationMessage::CatchUpTarget { .. } => "Level",
+    ReplicationMessage::CatchUpRequest { .. } => "Follow",
+    ReplicationMessage::CatchUpBatch { .. } => "Feed",
+    ReplicationMessage::SnapshotOffer { .. } => "SnapshotOffer",
+    ReplicationMessage::SnapshotRequest { .. } => "SnapshotAsk",
+    ReplicationMessage::SnapshotChunk { .. } => "SnapshotPiece",
+    ReplicationMessage::Propose { .. } => "Propose",
+    ReplicationMessage::Response { .. } => "Response",
+    ReplicationMessage::ConfirmRejection { .. } => "Judge",
+    ReplicationMessage::Draining { .. } => "Leaving",
 });
 
 variant_names!(ALL_READINGS, reading_name(Query) {
@@ -107,22 +110,22 @@
     }
 }
 
-fn round() -> Round {
-    Round {
+fn proposal_number() -> ProposalNumber {
+    ProposalNumber {
         count: 3,
         proposer: 0xfeed_0000_0000_0000_0000_0000_0000_beef,
     }
 }
 
-fn ballot() -> Ballot {
-    Ballot {
-        round: round(),
+fn proposal() -> ViewProposal {
+    ViewProposal {
+        proposal_number: proposal_number(),
         view: view(),
     }
 }
 
-fn ticket() -> Ticket {
-    Ticket {
+fn request_id() -> ChangeRequestId {
+    ChangeRequestId {
         origin: Address::loopback(7104),
         number: 0x1122_3344_5566_7788,
     }
@@ -131,119 +134,121 @@
 fn change(seq: u64) -> Change {
     Change {
         seq: SequenceNumber(seq),
-        stamp: ViewNumber(7),
-        ticket: ticket(),
+        origin_view: ViewNumber(7),
+        request_id: request_id(),
         body: b"the body of a change".to_vec(),
     }
 }
 
-fn notes() -> Vec<Note> {
+fn notes() -> Vec<ReplicationMessage> {
     let disk = DiskId(0xabcd);
     vec![
-        Note::Heartbeat {
+        ReplicationMessage::Heartbeat {
             disk,
             view: ViewNumber(7),
             last: SequenceNumber(12),
-            stamp: ViewNumber(6),
-            replied: SequenceNumber(11),
+            origin_view: ViewNumber(6),
+            commit_index: SequenceNumber(11),
             is_caught_up: true,
             is_healthy: false,
-            has_members: false,
+            has_member_majority: false,
         },
-        Note::Heartbeat {
+        ReplicationMessage::Heartbeat {
             disk,
             view: ViewNumber(7),
             last: SequenceNumber(12),
-            stamp: ViewNumber(6),
-            replied: SequenceNumber(11),
+            origin_view: ViewNumber(6),
+            commit_index: SequenceNumber(11),
             is_caught_up: false,
             is_healthy: true,
-            has_members: false,
+            has_member_majority: false,
         },
-        Note::Prepare {
+        ReplicationMessage::Prepare {
             instance: ViewNumber(8),
-            round: round(),
+            proposal_number: proposal_number(),
         },
-        Note::Promise {
+        ReplicationMessage::Promise {
             instance: ViewNumber(8),
-            round: round(),
+            proposal_number: proposal_number(),
             disk,
-            accepted: Some(ballot()),
+            accepted: Some(proposal()),
         },
-        Note::Promise {
+        ReplicationMessage::Promise {
             instance: ViewNumber(8),
-            round: round(),
+            proposal_number: proposal_number(),
             disk,
             accepted: None,
         },
-        Note::Accept { ballot: ballot() },
-        Note::Accepted {
+        ReplicationMessage::Accept {
+            proposal: proposal(),
+        },
+        ReplicationMessage::Accepted {
             instance: ViewNumber(8),
-            round: round(),
+            proposal_number: proposal_number(),
             disk,
         },
-        Note::Outdone {
+        ReplicationMessage::ProposalRejected {
             instance: ViewNumber(8),
-            promised: round(),
+            promised: proposal_number(),
         },
-        Note::Decided { view: view() },
-        Note::LeaseAsk {
+        ReplicationMessage::Decided { view: view() },
+        ReplicationMessage::LeaseRequest {
             view: ViewNumber(7),
-            round: 41,
+            request_number: 41,
         },
-        Note::LeaseGrant {
+        ReplicationMessage::LeaseGrant {
             view: ViewNumber(7),
-            round: 41,
+            request_number: 41,
             disk,
         },
-        Note::Pass {
+        ReplicationMessage::Forward {
             view: ViewNumber(7),
             change: change(13),
         },
-        Note::Level {
+        ReplicationMessage::CatchUpTarget {
             view: ViewNumber(7),
             last: SequenceNumber(13),
         },
-        Note::Follow {
+        ReplicationMessage::CatchUpRequest {
             disk,
             last: SequenceNumber(9),
-            stamp: ViewNumber(5),
+            origin_view: ViewNumber(5),
         },
-        Note::Feed {
+        ReplicationMessage::CatchUpBatch {
             changes: vec![change(10), change(11)],
         },
-        Note::SnapshotOffer {
+        ReplicationMessage::SnapshotOffer {
             last: SequenceNumber(20),
-            stamp: ViewNumber(6),
+            origin_view: ViewNumber(6),
             length: 4096,
         },
-        Note::SnapshotAsk {
+        ReplicationMessage::SnapshotRequest {
             last: SequenceNumber(20),
             offset: 1024,
         },
-        Note::SnapshotPiece {
+        ReplicationMessage::SnapshotChunk {
             last: SequenceNumber(20),
-            stamp: ViewNumber(6),
+            origin_view: ViewNumber(6),
             offset: 1024,
             length: 4096,
             bytes: b"a piece of a snapshot".to_vec(),
         },
-        Note::Propose {
-            ticket: ticket(),
+        ReplicationMessage::Propose {
+            request_id: request_id(),
             body: b"a proposal".to_vec(),
         },
-        Note::Response {
+        ReplicationMessage::Response {
             number: 99,
-            is_replied: true,
+            is_final: true,
             body: b"an answer".to_vec(),
         },
-        Note::Judge {
+        ReplicationMessage::ConfirmRejection {
             view: ViewNumber(7),
-            ticket: ticket(),
+            request_id: request_id(),
             last: SequenceNumber(13),
             body: b"a proposal".to_vec(),
         },
-        Note::Leaving { disk },
+        ReplicationMessage::Draining { disk },
     ]
 }
 
@@ -400,8 +405,8 @@
 fn messages() -> Vec<Message> {
     let mut messages: Vec<Message> = notes()
         .into_iter()
-        .map(|note| Message::Note {
-            note: Box::new(note),
+        .map(|message| Message::Replication {
+            message: Box::new(message),
         })
         .collect();
     messages.push(Message::LeaseRequest {
