--- a/crates/controller/src/own_interface.rs
+++ b/crates/controller/src/admin/http.rs
@@ -1,9 +1,9 @@
 //! The product's own interface for operators, over HTTP.
 
-use crate::control_event::ControlEvent;
+use crate::admin::control_client::OPERATOR_PATIENCE;
+use crate::admin::control_client::{Attempt, ReplicationTransport};
 use crate::controller::OperatorRequest;
-use crate::core_line::OPERATOR_PATIENCE;
-use crate::core_line::{Attempt, ReplicationTransport};
+use crate::event_loop::ControlEvent;
 use crate::metrics::Metrics;
 use config::{Command, Fault, Proposal};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/controller/src/controller/operators.rs
+++ b/crates/controller/src/admin/pending_requests.rs
@@ -1,7 +1,6 @@
 //! What operators wait for: readings at the tail and proposals to the head, tried again until their time is up.
 
-use super::*;
-use crate::controller::{Controller, ControllerOutput, OperatorRequest};
+use crate::controller::{Controller, ControllerOutput, OperatorRequest, Waiting};
 use config::{Command, Proposal};
 use replication::Input;
 use types::{Address, ConfigEpoch, Milliseconds, ResultCode};
@@ -13,7 +12,7 @@
 const SEEN_WITHIN: Milliseconds = Milliseconds(700);
 
 impl Controller {
-    pub(super) fn on_operator(&mut self, number: u64, ask: OperatorRequest) {
+    pub(crate) fn on_operator(&mut self, number: u64, ask: OperatorRequest) {
         let is_read = matches!(ask, OperatorRequest::Read(_));
         let deadline = self.now
             + if is_read {
@@ -49,7 +48,7 @@
         self.try_again(number);
     }
 
-    pub(super) fn try_again(&mut self, number: u64) {
+    pub(crate) fn try_again(&mut self, number: u64) {
         let Some(waiting) = self.waiting.get_mut(&number) else {
             return;
         };
@@ -110,7 +109,7 @@
         }
     }
 
-    pub(super) fn ask_tail(&mut self, number: u64, reading: Query) {
+    pub(crate) fn ask_tail(&mut self, number: u64, reading: Query) {
         let Some(tail) = self.replica.view().tail() else {
             return;
         };
@@ -130,7 +129,7 @@
 
     /// The tail's answer. It's taken only for the question that waits under this number, and only from
     /// the one that was asked last.
-    pub(super) fn on_told(&mut self, from: Address, asked: u64, status: u16, body: Vec<u8>) {
+    pub(crate) fn on_told(&mut self, from: Address, asked: u64, status: u16, body: Vec<u8>) {
         let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of == Some(from);
         let Some((&number, waiting)) = self.waiting.iter().find(|(_, waiting)| is_its(waiting))
         else {
@@ -150,7 +149,7 @@
     /// The tail's word on what is to be known before it's proposed: which epoch is the newest, or whether those
     /// to be forgotten are heard. If nobody hears them, it's proposed; a tail that does not know yet is asked
     /// again; any other word is the operator's answer.
-    pub(super) fn clear(&mut self, number: u64, status: u16, body: Vec<u8>) {
+    pub(crate) fn clear(&mut self, number: u64, status: u16, body: Vec<u8>) {
         let Some(waiting) = self.waiting.get_mut(&number) else {
             return;
         };
@@ -183,7 +182,7 @@
         }
     }
 
-    pub(super) fn give_up(&mut self, number: u64, code: ResultCode) {
+    pub(crate) fn give_up(&mut self, number: u64, code: ResultCode) {
         self.waiting.remove(&number);
         let body = serde_json::json!({"code": code.number(), "result": code.word(), "why": code.meaning()});
         let body = serde_json::to_vec(&body).expect("a JSON value is JSON");
@@ -195,7 +194,7 @@
     }
 
     /// The core's answer to a proposal made here, taken only for the newest try of an operator's.
-    pub(super) fn on_response(&mut self, asked: u64, is_final: bool, body: Vec<u8>) {
+    pub(crate) fn on_response(&mut self, asked: u64, is_final: bool, body: Vec<u8>) {
         let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of.is_none();
         let Some((&number, waiting)) = self.waiting.iter_mut().find(|(_, waiting)| is_its(waiting))
         else {
--- a/crates/controller/src/controller/reading.rs
+++ b/crates/controller/src/admin/queries.rs
@@ -11,7 +11,7 @@
 
 impl Controller {
     /// What the ledger says, as status and body.
-    pub(super) fn read(&self, reading: &Query) -> (u16, Vec<u8>) {
+    pub(crate) fn read(&self, reading: &Query) -> (u16, Vec<u8>) {
         let config_state = self.replica.state_machine();
         let missing = |code: ResultCode, why: String| {
             let value =
--- /dev/null
+++ b/crates/controller/src/admin/task.rs
@@ -0,0 +1,296 @@
+use crate::admin::control_client::OPERATOR_PATIENCE;
+use crate::admin::control_client::{Attempt, ReplicationTransport, Told};
+use crate::controller::OperatorRequest;
+use config::{Command, Fault, PlanDialect, Proposal};
+use transport::{Request, Response};
+use types::{ConfigEpoch, Milliseconds, ResultCode, ZoneName, random_bytes};
+use wire::Query;
+
+/// What an operator's call asks for, in whatever dialect.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum AdminCall {
+    /// Take a whole plan.
+    Plan {
+        /// As sent.
+        bytes: Vec<u8>,
+        /// The revision that it builds on.
+        base: u64,
+    },
+    /// Change the plan.
+    Change {
+        /// As sent.
+        bytes: Vec<u8>,
+        /// The revision that it builds on.
+        base: u64,
+    },
+    /// Give the newest plan.
+    ReadPlan,
+    /// Give a zone no new work.
+    Withdraw {
+        /// The zone.
+        zone: ZoneName,
+    },
+    /// Give a zone work again.
+    Restore {
+        /// The zone.
+        zone: ZoneName,
+    },
+    /// Whether this controller serves the core.
+    Readiness,
+}
+
+/// What became of a call.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum AdminAnswer {
+    /// It is done, or so it is.
+    Done,
+    /// The newest plan, as it was taken.
+    Plan(Vec<u8>),
+    /// Not done, or not known to be.
+    Refused {
+        /// The numbered result.
+        code: ResultCode,
+        /// More about it.
+        why: String,
+        /// The plan's faults.
+        faults: Vec<Fault>,
+    },
+}
+
+/// How operators' calls and their answers look.
+pub trait AdminDialect: Send + Sync {
+    /// Reads a call; `None` if it is none of the dialect's, an answer at once if it can't be read.
+    fn read(&self, request: &Request) -> Result<Option<AdminCall>, Box<Response>>;
+    /// Writes its answer.
+    fn write(&self, answer: AdminAnswer) -> Response;
+    /// How long whoever sent a call of so many bytes waits for its answer. Nothing is begun for it after that.
+    fn patience(&self, _body_bytes: usize) -> Milliseconds {
+        OPERATOR_PATIENCE
+    }
+}
+
+fn refused(code: ResultCode, why: impl Into<String>, faults: Vec<Fault>) -> AdminAnswer {
+    AdminAnswer::Refused {
+        code,
+        why: why.into(),
+        faults,
+    }
+}
+
+/// The core's words as an answer.
+fn answer_of(status: u16, body: &[u8]) -> AdminAnswer {
+    if status == 200 {
+        return AdminAnswer::Done;
+    }
+    let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
+    let is_code = |code: &&ResultCode| value["code"].as_u64() == Some(u64::from(code.number()));
+    let code = ResultCode::ALL
+        .iter()
+        .find(is_code)
+        .copied()
+        .unwrap_or(ResultCode::FateUnknown);
+    refused(code, value["why"].as_str().unwrap_or_default(), vec![])
+}
+
+/// The same call at any time and any controller has the same id.
+fn id_of(kind: &str, bytes: &[u8], base: u64) -> String {
+    let mut hasher = blake3::Hasher::new();
+    hasher
+        .update(kind.as_bytes())
+        .update(&base.to_be_bytes())
+        .update(bytes);
+    format!("{kind}-{base}-{}", &hasher.finalize().to_hex()[..32])
+}
+
+/// What a call's task does next.
+#[derive(Debug, Clone)]
+pub enum SchedulerStep {
+    /// Ask the core; its answer goes to [`AdminTask::on_told`].
+    Ask(OperatorRequest),
+    /// It is over.
+    Answer(AdminAnswer),
+}
+
+/// What the core's next answer to a call's task is about.
+#[derive(Debug, Clone)]
+enum Stage {
+    /// The plan that a change is to be merged into.
+    Merging {
+        id: String,
+        bytes: Vec<u8>,
+        base: u64,
+    },
+    /// Whether a document that has faults now was taken before.
+    Fate { faults: Vec<Fault> },
+    /// What became of a proposal.
+    Proposed,
+    /// The newest plan.
+    Query,
+    /// Nothing; it is over.
+    Over,
+}
+
+/// A call on its way, as a state machine: what it asks of the core, step by step, until it is answered.
+///
+/// Invariant: it is refused for good only by the tail's own word: on a proposal, or that a document which has
+/// faults was not taken and builds on nothing that is yet to come.
+pub struct AdminTask<'a> {
+    plans: &'a dyn PlanDialect,
+    zones: &'a [ZoneName],
+    stage: Stage,
+}
+
+impl<'a> AdminTask<'a> {
+    /// A call's task and its first step. `zones` may be evacuated besides those that members and plans name.
+    pub fn begin(
+        call: AdminCall,
+        plans: &'a dyn PlanDialect,
+        zones: &'a [ZoneName],
+        is_ready: bool,
+    ) -> (AdminTask<'a>, SchedulerStep) {
+        let mut task = AdminTask {
+            plans,
+            zones,
+            stage: Stage::Over,
+        };
+        let step = match call {
+            AdminCall::Plan { bytes, base } => {
+                let id = id_of("plan", &bytes, base);
+                let command = Command::plan_in(plans, bytes, Some(base));
+                task.propose_document(id, command)
+            }
+            AdminCall::Change { bytes, base } => {
+                task.stage = Stage::Merging {
+                    id: id_of("change", &bytes, base),
+                    bytes,
+                    base,
+                };
+                // Merged into the tail's plan: an older one would be a conflict that isn't one.
+                SchedulerStep::Ask(OperatorRequest::Read(Query::Base {
+                    at_least: ConfigEpoch(u64::MAX),
+                }))
+            }
+            AdminCall::ReadPlan => {
+                task.stage = Stage::Query;
+                SchedulerStep::Ask(OperatorRequest::Read(Query::ConfigEpoch {
+                    epoch: ConfigEpoch(0),
+                }))
+            }
+            AdminCall::Withdraw { zone } => task.propose(chance_id(), Command::Withdraw { zone }),
+            AdminCall::Restore { zone } => task.propose(chance_id(), Command::Restore { zone }),
+            AdminCall::Readiness if is_ready => SchedulerStep::Answer(AdminAnswer::Done),
+            AdminCall::Readiness => SchedulerStep::Answer(refused(
+                ResultCode::CoreNotReady,
+                "not in the chain",
+                vec![],
+            )),
+        };
+        (task, step)
+    }
+
+    /// The core's status and body in answer to what was asked; `None` if none came in time.
+    pub fn on_told(&mut self, told: Option<Told>) -> SchedulerStep {
+        let stage = std::mem::replace(&mut self.stage, Stage::Over);
+        let Some((status, body)) = told else {
+            let code = if matches!(stage, Stage::Proposed) {
+                ResultCode::FateUnknown
+            } else {
+                ResultCode::CoreNotReady
+            };
+            return SchedulerStep::Answer(refused(code, "no answer in time", vec![]));
+        };
+        match stage {
+            Stage::Merging { id, bytes, base } if status == 200 => {
+                self.merge(id, bytes, base, &body)
+            }
+            Stage::Fate { faults } if status == ResultCode::UnknownChange.http_status() => {
+                SchedulerStep::Answer(refused(ResultCode::BadPlan, "nothing changed", faults))
+            }
+            Stage::Query if status == 200 => SchedulerStep::Answer(AdminAnswer::Plan(body)),
+            Stage::Merging { .. }
+            | Stage::Fate { .. }
+            | Stage::Proposed
+            | Stage::Query
+            | Stage::Over => SchedulerStep::Answer(answer_of(status, &body)),
+        }
+    }
+
+    /// Merges a change into the tail's plan, which comes behind its epoch.
+    fn merge(&mut self, id: String, bytes: Vec<u8>, base: u64, told: &[u8]) -> SchedulerStep {
+        let Some((epoch, plan)) = told.split_first_chunk::<8>() else {
+            return SchedulerStep::Answer(refused(
+                ResultCode::CoreNotReady,
+                "no plan to merge into",
+                vec![],
+            ));
+        };
+        let command = Command::change_in(
+            self.plans,
+            bytes,
+            ConfigEpoch(u64::from_be_bytes(*epoch)),
+            plan,
+            Some(base),
+        );
+        let newest = self.plans.parse(plan).map_or(0, |plan| plan.revision);
+        if command.is_err() && base > newest {
+            // It may have none with the plan that it was made for.
+            let why = format!("it builds on revision {base}, which is not accepted so far");
+            return SchedulerStep::Answer(refused(ResultCode::CoreNotReady, why, vec![]));
+        }
+        self.propose_document(id, command)
+    }
+
+    fn propose(&mut self, id: String, command: Command) -> SchedulerStep {
+        self.stage = Stage::Proposed;
+        SchedulerStep::Ask(OperatorRequest::Propose(Proposal {
+            id,
+            builds_on: None,
+            seen: ConfigEpoch(0),
+            command,
+        }))
+    }
+
+    /// Proposes what a document came to. One with faults now may have been taken when it was first sent.
+    fn propose_document(
+        &mut self,
+        id: String,
+        command: Result<Command, Vec<Fault>>,
+    ) -> SchedulerStep {
+        match command {
+            Ok(command) => self.propose(id, command.with_zones(self.zones)),
+            Err(faults) => {
+                self.stage = Stage::Fate { faults };
+                SchedulerStep::Ask(OperatorRequest::Read(Query::Fate { id }))
+            }
+        }
+    }
+}
+
+impl ReplicationTransport {
+    /// Carries a call out for as long as its attempt lasts. `zones` may be evacuated besides those that members
+    /// and plans name.
+    pub fn carry(
+        &self,
+        call: AdminCall,
+        plans: &dyn PlanDialect,
+        zones: &[ZoneName],
+        is_ready: bool,
+        attempt: &Attempt,
+    ) -> AdminAnswer {
+        let (mut task, mut step) = AdminTask::begin(call, plans, zones, is_ready);
+        loop {
+            match step {
+                SchedulerStep::Answer(answer) => return answer,
+                SchedulerStep::Ask(ask) => step = task.on_told(self.ask(ask, attempt).ok()),
+            }
+        }
+    }
+}
+
+/// Of a call that may be given any number of times.
+fn chance_id() -> String {
+    format!("c-{:032x}", u128::from_be_bytes(random_bytes()))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/admin/tests.rs
+++ b/crates/controller/src/admin/task/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use crate::admin::{AdminAnswer, AdminCall};
+use crate::admin::control_client::{Attempt, ReplicationTransport};
+use crate::admin::task::{AdminAnswer, AdminCall};
 use crate::controller::ControllerInput;
-use crate::core_line::{Attempt, ReplicationTransport};
 use config::OwnPlans;
 use std::sync::Arc;
 use types::{Milliseconds, ResultCode};
 
 /// A core that answers each question from the words given, in turn.
 fn core(words: Vec<(u16, Vec<u8>)>) -> ReplicationTransport {
-    let responses = crate::core_line::Responses::default();
+    let responses = crate::admin::control_client::Responses::default();
     let words = Arc::new(std::sync::Mutex::new(std::collections::VecDeque::from(
         words,
     )));
@@ -97,9 +97,10 @@
 fn what_an_attempt_leaves_unfinished_is_given_up() {
     let heard = Arc::new(std::sync::Mutex::new(vec![]));
     let reachable_peers = heard.clone();
-    let silent = ReplicationTransport::new(crate::core_line::Responses::default(), move |input| {
-        reachable_peers.lock().unwrap().push(input)
-    });
+    let silent = ReplicationTransport::new(
+        crate::admin::control_client::Responses::default(),
+        move |input| reachable_peers.lock().unwrap().push(input),
+    );
     let call = AdminCall::Withdraw {
         zone: "east".into(),
     };
--- /dev/null
+++ b/crates/controller/src/consensus.rs
@@ -0,0 +1,3 @@
+//! Driver of the replicated log: the thread that owns the data folder.
+
+pub(crate) mod disk_thread;
--- a/crates/controller/src/disk_thread/tests.rs
+++ b/crates/controller/src/consensus/disk_thread/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::disk_thread::{DiskEvent, DiskThread};
+use crate::consensus::disk_thread::{DiskEvent, DiskThread};
 use config::ConfigStateMachine;
 use replication::{
     ChainPosition, Change, ChangeRequestId, Record, Replica, StateMachine, Timing, View, Voter,
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,4 +1,4 @@
-use crate::contacts::PeerDiscovery;
+use crate::discovery::peer_discovery::PeerDiscovery;
 use config::{Command, ConfigStateMachine, Proposal};
 use quota::{QuotaAuthority, QuotaBounds};
 use replication::{
@@ -9,11 +9,6 @@
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TokenKey, ViewNumber};
 use wire::{CoreLocation, LeaseRequest, Message, Query, SPLICE_MOST};
 
-mod members;
-mod operators;
-mod quotas;
-mod reading;
-
 /// The spans that a controller goes by besides the replica's own.
 #[derive(Debug, Clone, Copy)]
 pub struct ControllerTiming {
@@ -165,75 +160,75 @@
 /// Invariants: news and answers leave only while the replica may answer. "Accepted" is said only once
 /// as many members as the quorum asks for are known to have the news.
 pub struct Controller {
-    replica: Replica<ConfigStateMachine>,
+    pub(crate) replica: Replica<ConfigStateMachine>,
     /// Where the core is, for those who ask here and for this one, should it have been away.
-    contacts: PeerDiscovery,
-    timing: ControllerTiming,
+    pub(crate) contacts: PeerDiscovery,
+    pub(crate) timing: ControllerTiming,
     /// Proposed as the fleet's, should there be none.
-    key: TokenKey,
-    key_deadline: MonotonicInstant,
-    now: MonotonicInstant,
-    leases: LeaseTable,
+    pub(crate) key: TokenKey,
+    pub(crate) key_deadline: MonotonicInstant,
+    pub(crate) now: MonotonicInstant,
+    pub(crate) leases: LeaseTable,
     /// Since when it keeps them: older ones are not in the table.
-    leases_since: MonotonicInstant,
-    seen: BTreeMap<Address, MonotonicInstant>,
+    pub(crate) leases_since: MonotonicInstant,
+    pub(crate) seen: BTreeMap<Address, MonotonicInstant>,
     /// When any member last said that it hears this one.
-    told_of: BTreeMap<Address, MonotonicInstant>,
+    pub(crate) told_of: BTreeMap<Address, MonotonicInstant>,
     /// Since when it has replied for the core without a break.
-    responses_since: Option<MonotonicInstant>,
+    pub(crate) responses_since: Option<MonotonicInstant>,
     /// Members that polled lately: they are told news at once.
-    subscribers: BTreeMap<Address, Subscriber>,
+    pub(crate) subscribers: BTreeMap<Address, Subscriber>,
     /// Polls of those that are not members yet.
-    joining: BTreeMap<Address, LeaseRequest>,
+    pub(crate) joining: BTreeMap<Address, LeaseRequest>,
     /// Grants credit of tenants' quotas while this is the tail; with the view in which it has been so.
-    quotas: Option<(ViewNumber, QuotaAuthority)>,
-    join_deadline: MonotonicInstant,
-    settle_deadline: MonotonicInstant,
-    retire_deadline: MonotonicInstant,
+    pub(crate) quotas: Option<(ViewNumber, QuotaAuthority)>,
+    pub(crate) join_deadline: MonotonicInstant,
+    pub(crate) settle_deadline: MonotonicInstant,
+    pub(crate) retire_deadline: MonotonicInstant,
     /// When members without a lease are called next, and who was called last.
-    next_call: MonotonicInstant,
-    last_called: Option<Address>,
-    settled: VecDeque<Settled>,
-    waiting: BTreeMap<u64, Waiting>,
+    pub(crate) next_call: MonotonicInstant,
+    pub(crate) last_called: Option<Address>,
+    pub(crate) settled: VecDeque<Settled>,
+    pub(crate) waiting: BTreeMap<u64, Waiting>,
     /// The last number under which something went out for an operator.
-    last_asked: u64,
-    next_inner: u64,
-    outputs: Vec<ControllerOutput>,
-    poll_count: u64,
+    pub(crate) last_asked: u64,
+    pub(crate) next_inner: u64,
+    pub(crate) outputs: Vec<ControllerOutput>,
+    pub(crate) poll_count: u64,
 }
 
-struct Subscriber {
+pub(crate) struct Subscriber {
     /// The newest epoch that it has or was told of.
-    told: ConfigEpoch,
-    deadline: MonotonicInstant,
+    pub(crate) told: ConfigEpoch,
+    pub(crate) deadline: MonotonicInstant,
 }
 
-struct Settled {
-    epoch: ConfigEpoch,
-    request_id: ChangeRequestId,
-    body: Vec<u8>,
-    deadline: MonotonicInstant,
+pub(crate) struct Settled {
+    pub(crate) epoch: ConfigEpoch,
+    pub(crate) request_id: ChangeRequestId,
+    pub(crate) body: Vec<u8>,
+    pub(crate) deadline: MonotonicInstant,
 }
 
-struct Waiting {
-    ask: OperatorRequest,
-    next_try: Option<MonotonicInstant>,
-    patience_deadline: MonotonicInstant,
-    deadline: MonotonicInstant,
+pub(crate) struct Waiting {
+    pub(crate) ask: OperatorRequest,
+    pub(crate) next_try: Option<MonotonicInstant>,
+    pub(crate) patience_deadline: MonotonicInstant,
+    pub(crate) deadline: MonotonicInstant,
     /// By then the tail must have said what is to be known before it's proposed.
-    clear_deadline: MonotonicInstant,
+    pub(crate) clear_deadline: MonotonicInstant,
     /// Whether that is known: that nobody hears those whom it would forget, or what was the newest epoch when
     /// a zone's change came in.
-    is_cleared: bool,
+    pub(crate) is_cleared: bool,
     /// The number under which its question, or its newest proposal, goes out; no other has it, in this
     /// life or an earlier one.
-    asked: u64,
+    pub(crate) asked: u64,
     /// Who was asked, while it's a question that waits. Nobody else answers it.
-    asked_of: Option<Address>,
+    pub(crate) asked_of: Option<Address>,
 }
 
 /// Numbers from here on are the controller's own proposals.
-const INNER: u64 = 1 << 62;
+pub(crate) const INNER: u64 = 1 << 62;
 
 impl Controller {
     /// A controller around a replica at the start of its life. `contacts` knows where it is reached and its seeds.
@@ -324,12 +319,12 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn may_respond(&self) -> bool {
+    pub(crate) fn may_respond(&self) -> bool {
         self.replica.may_respond(self.now)
     }
 
     /// Has the replica take an input, and does what it wants.
-    fn drive(&mut self, input: Input) {
+    pub(crate) fn drive(&mut self, input: Input) {
         for output in self.replica.step(self.now, input) {
             match output {
                 Output::Send { to, message } => self.send_message(to, message),
@@ -376,7 +371,7 @@
         }
     }
 
-    fn send_message(&mut self, to: Address, message: ReplicationMessage) {
+    pub(crate) fn send_message(&mut self, to: Address, message: ReplicationMessage) {
         let is_bulk = match &message {
             ReplicationMessage::SnapshotChunk { .. } | ReplicationMessage::CatchUpBatch { .. } => {
                 true
@@ -395,7 +390,7 @@
         });
     }
 
-    fn send(&mut self, to: Address, message: Message) {
+    pub(crate) fn send(&mut self, to: Address, message: Message) {
         let is_bulk = matches!(message, Message::PlanChunk { .. } | Message::Told { .. });
         self.outputs.push(ControllerOutput::Send {
             to,
@@ -404,7 +399,7 @@
         });
     }
 
-    fn on_message(&mut self, from: Address, message: Message) {
+    pub(crate) fn on_message(&mut self, from: Address, message: Message) {
         match message {
             Message::Replication { message } => self.drive(Input::Message {
                 from,
@@ -457,7 +452,7 @@
     }
 
     /// Another controller tells where the core is.
-    fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
+    pub(crate) fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
         self.contacts
             .learn(self.replica.view().epoch, self.voters());
         let answer = self
@@ -471,7 +466,7 @@
     }
 
     /// Tells the seeds where the core is, once in a while.
-    fn exchange_contacts(&mut self) {
+    pub(crate) fn exchange_contacts(&mut self) {
         if self.now < self.contacts.next_timer() {
             return;
         }
@@ -483,7 +478,7 @@
             .for_each(|(seed, message)| self.send(seed, message));
     }
 
-    fn voters(&self) -> Vec<Address> {
+    pub(crate) fn voters(&self) -> Vec<Address> {
         self.replica
             .view()
             .voters
@@ -493,7 +488,7 @@
     }
 
     /// Gives an answer for the core, if this is still the tail and may.
-    fn answer(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
+    pub(crate) fn answer(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
         match self.replica.respond(self.now, request_id, body) {
             Some(Output::Send { to, message }) => self.send_message(to, message),
             Some(Output::Response {
@@ -506,7 +501,7 @@
     }
 
     /// Whether as many know this epoch as must.
-    fn is_known(&self, epoch: ConfigEpoch) -> bool {
+    pub(crate) fn is_known(&self, epoch: ConfigEpoch) -> bool {
         let membership = &self.replica.state_machine().membership;
         match self.timing.quorum {
             Quorum::Majority => self.leases.is_known_to_most(membership, epoch),
@@ -521,19 +516,19 @@
 
     /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
     /// members must know it, its answer alone waits for them: they may be gone since.
-    fn is_firm(&self, epoch: ConfigEpoch) -> bool {
+    pub(crate) fn is_firm(&self, epoch: ConfigEpoch) -> bool {
         self.replica.has_copies()
             && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
     }
 
-    fn has_quorum(&self) -> bool {
+    pub(crate) fn has_quorum(&self) -> bool {
         let membership = &self.replica.state_machine().membership;
         let has_member_majority =
             self.timing.quorum == Quorum::Holders || self.leases.has_majority(membership, self.now);
         self.may_respond() && has_member_majority
     }
 
-    fn on_clock_event(&mut self) {
+    pub(crate) fn on_clock_event(&mut self) {
         let has_majority = self.has_quorum();
         self.replica.set_has_member_majority(has_majority);
         self.responses_since = if self.may_respond() {
@@ -570,7 +565,7 @@
         }
     }
 
-    fn propose_inner(&mut self, command: Command) {
+    pub(crate) fn propose_inner(&mut self, command: Command) {
         self.next_inner += 1;
         let proposal = Proposal {
             id: String::new(),
@@ -584,7 +579,13 @@
         });
     }
 
-    fn on_plan_ask(&mut self, from: Address, epoch: ConfigEpoch, offset: u64, have: ConfigEpoch) {
+    pub(crate) fn on_plan_ask(
+        &mut self,
+        from: Address,
+        epoch: ConfigEpoch,
+        offset: u64,
+        have: ConfigEpoch,
+    ) {
         let config_state = self.replica.state_machine();
         if let Some((base, delta)) = &config_state.newest
             && (epoch, have, offset) == (config_state.plan_epoch, *base, 0)
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::contacts::PeerDiscovery;
 use crate::controller::{
     Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
+use crate::discovery::peer_discovery::PeerDiscovery;
 use config::{Command, ConfigStateMachine, Proposal};
 use replication::{
     ChainPosition, Record, RecoveredRecords, Replica, ReplicationMessage, View, Voter,
--- a/crates/controller/src/relay.rs
+++ b/crates/controller/src/discovery/diskless_controller.rs
@@ -1,7 +1,7 @@
 //! A controller without a disk: it keeps nothing and votes on nothing, but may be all that a process is told of. It
 //! tells nodes that ask it where the core is, and knows where operators are served.
 
-use crate::contacts::PeerDiscovery;
+use crate::discovery::peer_discovery::PeerDiscovery;
 use types::{Address, MonotonicInstant};
 use wire::Message;
 
--- a/crates/controller/src/relay/tests.rs
+++ b/crates/controller/src/discovery/diskless_controller/tests.rs
@@ -1,4 +1,4 @@
-use crate::relay::{DisklessController, RelayInput};
+use crate::discovery::diskless_controller::{DisklessController, RelayInput};
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, ViewNumber};
 use wire::{ControllerContact, CoreLocation, LeaseRequest, LeaseResponse, Member, Message};
 
--- a/crates/controller/src/relay_daemon.rs
+++ b/crates/controller/src/discovery/diskless_daemon.rs
@@ -1,9 +1,9 @@
 //! Runs a controller without a disk.
 
+use crate::discovery::diskless_controller::{DisklessController, RelayInput};
+use crate::discovery::redirect::Redirector;
 use crate::process::Dialects;
 use crate::process::{SETTINGS_PERIOD, operators_gate, stop_flag};
-use crate::redirect::Redirector;
-use crate::relay::{DisklessController, RelayInput};
 use crate::settings::Settings;
 use config::parse_addresses;
 use std::net::TcpListener;
--- a/crates/controller/src/contacts/tests.rs
+++ b/crates/controller/src/discovery/peer_discovery/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::contacts::PeerDiscovery;
+use crate::discovery::peer_discovery::PeerDiscovery;
 use types::{Address, Milliseconds, MonotonicInstant, ViewNumber};
 use wire::{ControllerContact, CoreLocation, LeaseResponse, Message, seal};
 
--- a/crates/controller/src/control_event.rs
+++ b/crates/controller/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! What reaches the control thread from all others.
 
+use crate::consensus::disk_thread::DiskEvent;
 use crate::controller::ControllerInput;
-use crate::disk_thread::DiskEvent;
 
 /// One message to the control thread.
 pub(crate) enum ControlEvent {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,32 +2,28 @@
 //! routers what is in force.
 
 mod admin;
-mod admin_command;
-mod contacts;
-mod control_event;
+mod consensus;
 mod controller;
-mod core_line;
-mod daemon;
-mod disk_thread;
+mod discovery;
+mod event_loop;
+mod membership;
 mod metrics;
-mod own_interface;
 mod process;
-mod redirect;
-mod relay;
-mod relay_daemon;
+mod quotas;
 mod settings;
+mod startup;
 
-pub use admin::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
-pub use contacts::{ContactTiming, PeerDiscovery};
+pub use admin::control_client::{Attempt, ReplicationTransport, Told};
+pub use admin::task::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
+pub use consensus::disk_thread::{DiskEvent, DiskThread};
 pub use controller::{
     Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
-pub use core_line::{Attempt, ReplicationTransport, Told};
-pub use daemon::run;
-pub use disk_thread::{DiskEvent, DiskThread};
+pub use discovery::diskless_controller::{DisklessController, RelayInput};
+pub use discovery::peer_discovery::{ContactTiming, PeerDiscovery};
+pub use discovery::redirect::ReadAddresses;
 pub use process::{Dialects, ReadSeeds};
-pub use redirect::ReadAddresses;
-pub use relay::{DisklessController, RelayInput};
 pub use settings::Settings;
+pub use startup::run;
 
-pub use admin_command::{AdminCommand, AdminSubcommand};
+pub use admin::command_line::{AdminCommand, AdminSubcommand};
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/membership/leases.rs
@@ -1,7 +1,6 @@
 //! The members: their leases, the news that they are told, who joins and who is let go.
 
-use super::*;
-use crate::controller::{Controller, Quorum};
+use crate::controller::{Controller, INNER, Quorum, Subscriber};
 use config::Command;
 use std::collections::BTreeSet;
 use types::{Address, ConfigEpoch, Milliseconds, ZoneName};
@@ -13,7 +12,7 @@
 const CALLED_AT_ONCE: usize = 16;
 
 impl Controller {
-    pub(super) fn on_poll(&mut self, from: Address, poll: LeaseRequest) {
+    pub(crate) fn on_poll(&mut self, from: Address, poll: LeaseRequest) {
         self.poll_count += 1;
         if !self.may_respond() {
             let voters = self.voters();
@@ -48,7 +47,7 @@
     }
 
     /// Answers a member's poll with a lease, which it keeps, and with what it lacks.
-    pub(super) fn give_lease(&mut self, to: Address, poll: &LeaseRequest) {
+    pub(crate) fn give_lease(&mut self, to: Address, poll: &LeaseRequest) {
         let newest = self.replica.state_machine().epoch;
         let deadline = self.now + self.timing.lease;
         self.leases.renew(to, poll.epoch.min(newest), deadline);
@@ -83,7 +82,7 @@
     }
 
     /// For one that has this epoch.
-    pub(super) fn update(&self, has: ConfigEpoch) -> ConfigUpdate {
+    pub(crate) fn update(&self, has: ConfigEpoch) -> ConfigUpdate {
         let config_state = self.replica.state_machine();
         let members_since = config_state.membership.since;
         let member = |(address, zone): &(Address, ZoneName)| Member {
@@ -101,7 +100,7 @@
     }
 
     /// Tells news to members that polled lately, and answers settled changes that most members know.
-    pub(super) fn release(&mut self) {
+    pub(crate) fn release(&mut self) {
         let (epoch, now) = (self.replica.state_machine().epoch, self.now);
         let is_behind =
             |subscriber: &Subscriber| subscriber.told < epoch && now < subscriber.deadline;
@@ -143,7 +142,7 @@
     }
 
     /// Whether enough of those before the last change of the membership know the membership now.
-    pub(super) fn is_membership_settled(&self) -> bool {
+    pub(crate) fn is_membership_settled(&self) -> bool {
         let membership = &self.replica.state_machine().membership;
         match self.timing.quorum {
             Quorum::Majority => self.leases.is_membership_settled(membership),
@@ -153,7 +152,7 @@
 
     /// Tells members without a lease where the core is: those whose seeds are all gone can't ask. Some at a time, by
     /// turns, and only once all that know it had time to ask.
-    pub(super) fn call_members(&mut self) {
+    pub(crate) fn call_members(&mut self) {
         let has_listened = self
             .responses_since
             .is_some_and(|since| self.now.since(since) >= self.timing.lease);
@@ -199,7 +198,7 @@
     }
 
     /// Lets those in that asked, a change of the membership at a time.
-    pub(super) fn admit(&mut self) {
+    pub(crate) fn admit(&mut self) {
         let membership = &self.replica.state_machine().membership;
         let members = &membership.members;
         let joined: Vec<Address> = self
@@ -227,7 +226,7 @@
     }
 
     /// Once more than half of the previous members know the membership, they are needed for no majority any more.
-    pub(super) fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         let membership = &self.replica.state_machine().membership;
         if membership.previous == membership.members
             || self.now < self.settle_deadline
@@ -241,7 +240,7 @@
     }
 
     /// Takes members out that have held no lease for long.
-    pub(super) fn retire(&mut self) {
+    pub(crate) fn retire(&mut self) {
         if self.now < self.retire_deadline || !self.is_membership_settled() {
             return;
         }
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -1,7 +1,7 @@
 //! What a controller's process has in common, with a disk and without.
 
-use crate::admin::AdminDialect;
-use crate::redirect::ReadAddresses;
+use crate::admin::task::AdminDialect;
+use crate::discovery::redirect::ReadAddresses;
 use config::{OwnPlans, PlanDialect};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
--- a/crates/controller/src/controller/quotas.rs
+++ b/crates/controller/src/quotas.rs
@@ -8,7 +8,7 @@
 
 impl Controller {
     /// This is the tail, and may answer for the core.
-    pub(super) fn begin_quotas(&mut self) {
+    pub(crate) fn begin_quotas(&mut self) {
         if self.quotas.is_none() {
             let authority = QuotaAuthority::new(self.timing.quota, self.now);
             self.quotas = Some((self.replica.view().epoch, authority));
@@ -16,7 +16,7 @@
     }
 
     /// The view was replaced. What was granted is known here only if no other tail came between.
-    pub(super) fn keep_quotas(&mut self, view: &View) {
+    pub(crate) fn keep_quotas(&mut self, view: &View) {
         let is_tail = view.tail() == Some(self.replica.me());
         self.quotas = match self.quotas.take() {
             Some((former, authority)) if is_tail && former.next() == view.epoch => {
@@ -26,7 +26,7 @@
         };
     }
 
-    pub(super) fn on_credit_ask(&mut self, from: Address, ask: &CreditAsk) {
+    pub(crate) fn on_credit_ask(&mut self, from: Address, ask: &CreditAsk) {
         if !self.may_respond() {
             return;
         }
@@ -47,7 +47,7 @@
     }
 
     /// Tenants with a quota, as far as nodes have asked for credit of theirs.
-    pub(super) fn tenants(&self) -> serde_json::Value {
+    pub(crate) fn tenants(&self) -> serde_json::Value {
         let tenants = self
             .quotas
             .as_ref()
