--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/attempts.rs
@@ -1,4 +1,4 @@
-use crate::node::{Placement, Rejection};
+use crate::control::node::{Placement, Rejection};
 use crate::request_state::{Failure, RequestInput, RequestOutput, RequestStateMachine};
 use types::{Milliseconds, ResultCode, ServerName};
 
--- a/crates/router/src/authorization.rs
+++ b/crates/router/src/authorization.rs
@@ -1,6 +1,6 @@
 //! Which tenant a request is of: by its API key, under the plan in force.
 
-use crate::node::Rejection;
+use crate::control::node::Rejection;
 use config::{KeyDigest, QuotaUnit, TenantPlan, TenantTable};
 use placement::RequestCost;
 use quota::{Amount, QuotaLimit};
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,4 +1,4 @@
-use crate::node::Rejection;
+use crate::control::node::Rejection;
 use crate::response_validation::{AnswerIdentity, ClaimedIdentity};
 use bytes::Bytes;
 use placement::{PrefixHash, RequestCost, ServerEntry};
--- a/crates/router/src/carrier.rs
+++ b/crates/router/src/carrier.rs
@@ -1,10 +1,10 @@
 //! Carries one request from its client to a server and the answer back.
 
+use crate::admin::metrics::Metrics;
 use crate::attempts::AttemptOutput;
-use crate::control_event::ControlEvent;
+use crate::control::event::ControlEvent;
+use crate::control::node::{NodeInput, Placement, resume_id};
 use crate::interface::{ClientRequest, LIFE_HEADER, ResumeRequest, RunRequest};
-use crate::metrics::Metrics;
-use crate::node::{NodeInput, Placement, resume_id};
 use crate::piece_reader::{ChunkReader, Passed};
 use crate::request_state::Failure;
 use crate::shared::{Place, Shared, silence};
--- a/crates/router/src/control_event.rs
+++ b/crates/router/src/control/event.rs
@@ -1,6 +1,6 @@
 //! What reaches the control thread from all others.
 
-use crate::node::{NodeInput, Placement, Rejection};
+use crate::control::node::{NodeInput, Placement, Rejection};
 use crate::token::Token;
 
 /// One message to the control thread.
--- a/crates/router/src/node.rs
+++ b/crates/router/src/control/node.rs
@@ -1,5 +1,5 @@
+use crate::discovery::endpoint_list::{ListOutput, ListPeers, ListTiming, ServerList};
 use crate::dissemination::{DigestTiming, Dissemination};
-use crate::server_list::{ListOutput, ListPeers, ListTiming, ServerList};
 use config::{KeyHasher, Plan, TenantTable};
 use placement::{
     Decision, Digest, Event, FLEET, Scheduler, SchedulerRules, ServerEntry, Timestamped,
@@ -15,13 +15,13 @@
 use wire::{ConfigUpdate, Member, Message};
 
 mod config_updates;
-mod credit;
+mod lease;
 mod messages;
-mod placing;
-mod polling;
+mod quota_credit;
+mod request_placement;
 
 pub use messages::{KvTask, NodeInput, NodeOutput, Placement, PlacementRequest, Rejection};
-pub use placing::resume_id;
+pub use request_placement::resume_id;
 
 /// The spans that a node goes by.
 #[derive(Debug, Clone, Copy)]
--- a/crates/router/src/node/config_updates.rs
+++ b/crates/router/src/control/node/config_updates.rs
@@ -1,7 +1,7 @@
 //! What is in force: news, the plan that goes with it, and taking both up.
 
 use super::*;
-use crate::node::{Node, NodeOutput};
+use crate::control::node::{Node, NodeOutput};
 use config::{Fault, Plan};
 use placement::Event;
 use types::{Address, ConfigEpoch, Delta, Milliseconds, MonotonicInstant, ResultCode};
--- a/crates/router/src/node/messages.rs
+++ b/crates/router/src/control/node/messages.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::call::Access;
-use crate::server_list::{ListReading, ReadEffort};
+use crate::discovery::endpoint_list::{ListReading, ReadEffort};
 use crate::token::Token;
 use config::{Fault, KeyDigest, Plan, ServiceKind};
 use placement::{Decision, Event, PrefixHash, RequestCost, Timestamped};
--- a/crates/router/src/node/credit.rs
+++ b/crates/router/src/control/node/quota_credit.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::authorization::{quota_amount, quota_limit, unauthorized};
 use crate::call::Access;
-use crate::node::{Node, NodeOutput, PlacementRequest, Rejection};
+use crate::control::node::{Node, NodeOutput, PlacementRequest, Rejection};
 use config::{KeyDigest, Plan, TenantPlan, TenantTable};
 use quota::{Admission, CreditGrant, QuotaRejection, Settlement};
 use quota::{Amount, QuotaLimit};
--- a/crates/router/src/node/placing.rs
+++ b/crates/router/src/control/node/request_placement.rs
@@ -1,6 +1,6 @@
 //! Where a request goes, and which ids are in hand.
 
-use crate::node::{Node, NodeOutput, Placement, PlacementRequest, Rejection};
+use crate::control::node::{Node, NodeOutput, Placement, PlacementRequest, Rejection};
 use crate::token::Token;
 use config::ServicePlan;
 use placement::{Decision, Event};
--- a/crates/router/src/node/tests.rs
+++ b/crates/router/src/control/node/tests.rs
@@ -1,10 +1,10 @@
-use super::placing::ENDED_IDS;
+use super::request_placement::ENDED_IDS;
 use super::*;
 use crate::call::Access;
-use crate::node::{
+use crate::control::node::{
     Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, resume_id,
 };
-use crate::server_list::{ListReading, ListTiming};
+use crate::discovery::endpoint_list::{ListReading, ListTiming};
 use crate::token::{Token, run_id};
 use config::{ServiceKind, parse_plan};
 use placement::{Event, Outcome, RequestCost, SchedulerRules, ServerEntry};
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -1,17 +1,17 @@
+use crate::admin::decision_log::Journal;
+use crate::admin::metrics::Metrics;
+use crate::admin::replay::ReplayHead;
 use crate::call::CallDialect;
 use crate::call_limits::SharedLimits;
 use crate::carrier::{fetch, resume, take_request};
-use crate::control_event::ControlEvent;
-use crate::ingress::Ingress;
-use crate::journal::Journal;
-use crate::list_reader;
-use crate::metrics::Metrics;
-use crate::node::{
+use crate::control::event::ControlEvent;
+use crate::control::node::{
     KvTask, Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, Rejection,
 };
-use crate::poller;
-use crate::replay::ReplayHead;
-use crate::server_list::ReadEffort;
+use crate::discovery::endpoint_list::ReadEffort;
+use crate::discovery::list_reader;
+use crate::discovery::report_poller;
+use crate::ingress::Ingress;
 use crate::settings::Settings;
 use crate::shared::{NEVER, Shared};
 use crate::token::Token;
@@ -153,7 +153,7 @@
             let control = sender.clone();
             let tell_scheduler =
                 move |event| drop(control.send(ControlEvent::Input(NodeInput::Event(event))));
-            poller::start(settings.platform.clone(), tell_scheduler)
+            report_poller::start(settings.platform.clone(), tell_scheduler)
                 .map_err(|fault| fault.to_string())?;
             (None, None)
         }
--- a/crates/router/src/server_list/tests.rs
+++ b/crates/router/src/discovery/endpoint_list/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
-use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
+use crate::discovery::endpoint_list::{
+    ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList,
+};
 use placement::ServerEntry;
 use std::collections::VecDeque;
 use types::{Address, Milliseconds, MonotonicInstant};
--- a/crates/router/src/server_list/tests/restart.rs
+++ b/crates/router/src/discovery/endpoint_list/tests/restart.rs
@@ -1,7 +1,9 @@
 //! A whole fleet that starts at once, in front of a platform that takes few calls.
 
 use super::*;
-use crate::server_list::{ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList};
+use crate::discovery::endpoint_list::{
+    ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList,
+};
 use placement::{ServerEntry, mix};
 use types::{Address, MonotonicInstant};
 use wire::Message;
--- a/crates/router/src/list_reader.rs
+++ b/crates/router/src/discovery/list_reader.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's list of servers in a dialect, page by page, on a thread of its own.
 
 use crate::call::CallDialect;
-use crate::server_list::{ListReading, ReadEffort};
+use crate::discovery::endpoint_list::{ListReading, ReadEffort};
 use bytes::Bytes;
 use placement::ServerEntry;
 use std::sync::Arc;
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -3,12 +3,12 @@
 
 pub(crate) mod detached;
 
+use crate::admin::metrics::Metrics;
 use crate::attempts::{AttemptInput, AttemptOutput};
 use crate::authorization::authorize;
 use crate::call::{Call, CallDialect, Sending};
+use crate::control::node::{NodeInput, Placement, Rejection};
 use crate::event_splitter::{EventSplitter, StreamEvent};
-use crate::metrics::Metrics;
-use crate::node::{NodeInput, Placement, Rejection};
 use crate::request_state::{Failure, RequestInput, RequestStateMachine};
 use crate::response_validation::{AnswerIdentity, AnswerPlace, ResponseValidation};
 use crate::shared::Shared;
--- a/crates/router/src/forward/detached.rs
+++ b/crates/router/src/forward/detached.rs
@@ -3,8 +3,8 @@
 
 use super::Forwarder;
 use crate::call::CallDialect;
-use crate::control_event::ControlEvent;
-use crate::node::{NodeInput, Placement, PlacementRequest, Rejection};
+use crate::control::event::ControlEvent;
+use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
 use crate::shared::Shared;
 use config::Plan;
 use std::sync::Arc;
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/forward/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::call::{Access, Call, CallDialect, Sending, ServerLoad};
-use crate::control_event::ControlEvent;
-use crate::node::{NodeInput, Placement, PlacementRequest, Rejection};
+use crate::control::event::ControlEvent;
+use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
 use crate::response_validation::{AnswerIdentity, ClaimedIdentity};
 use crate::token::run_id;
 use config::parse_plan;
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-use crate::server_list::ListTiming;
+use crate::discovery::endpoint_list::ListTiming;
 use config::{a_name, addresses, an_address, within};
 use placement::SchedulerRules;
 use schematic::Config;
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,8 +1,8 @@
+use crate::admin::metrics::Metrics;
 use crate::authorization::authorize;
 use crate::call_limits::SharedLimits;
-use crate::control_event::ControlEvent;
-use crate::metrics::Metrics;
-use crate::node::{NodeInput, Placement, Rejection};
+use crate::control::event::ControlEvent;
+use crate::control::node::{NodeInput, Placement, Rejection};
 use config::{KeyDigest, KeyHasher, Plan, RouteTable, TenantTable};
 use placement::{Event, Outcome};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/router/src/trip.rs
+++ b/crates/router/src/trip.rs
@@ -1,6 +1,6 @@
+use crate::admin::metrics::Metrics;
 use crate::attempts::{AttemptInput, AttemptOutput, AttemptSequence};
-use crate::metrics::Metrics;
-use crate::node::{NodeInput, Placement, PlacementRequest, Rejection};
+use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
 use crate::request_state::{Failure, RequestStateMachine};
 use crate::shared::{Place, Shared};
 use crate::token::run_id;
