--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -411,8 +411,8 @@
                 copies: plan.btb.m as u32,
                 most_copies: plan.btb.m_most as u32,
             },
-            cold_per_second: plan.cold_per_s as u32,
-            cold_span: Milliseconds(plan.cold_ms),
+            warm_up_per_second: plan.cold_per_s as u32,
+            warm_up_duration: Milliseconds(plan.cold_ms),
             memory_tokens: plan.memory_tokens,
         };
         let services = self
--- a/crates/placement/examples/placing_speed.rs
+++ b/crates/placement/examples/placing_speed.rs
@@ -14,8 +14,8 @@
         first_token: Milliseconds(800),
         slots: 128,
         btb: BtbRules::default(),
-        cold_per_second: 20,
-        cold_span: Milliseconds(3000),
+        warm_up_per_second: 20,
+        warm_up_duration: Milliseconds(3000),
         memory_tokens: 650_000,
     };
     let mut scheduler = Scheduler::new(
@@ -23,7 +23,7 @@
         1,
         SchedulerRules {
             block_micros: 143,
-            does_order_copies: false,
+            orders_kv_copies: false,
             ..SchedulerRules::default()
         },
     );
@@ -42,7 +42,7 @@
     let entry = |n: u64| ServerEntry {
         server: format!("i-{n:08x}").as_str().into(),
         slots: Some(128),
-        cold_left: Some(Milliseconds(0)),
+        warm_up_left: Some(Milliseconds(0)),
         zone: "north".into(),
         pool: "model".into(),
         ..ServerEntry::default()
@@ -63,9 +63,9 @@
     let in_flight = |n: u64| InFlight {
         server: entry(n).server,
         count: 1,
-        unread: 500,
+        pending_prefill_tokens: 500,
         tokens: 12_000,
-        read: 9,
+        prefilled_tokens: 9,
     };
     let sketch = Sketch {
         missing: None,
@@ -86,7 +86,7 @@
             })
             .collect(),
         in_flight: (0..90).map(in_flight).collect(),
-        leaving: vec![],
+        draining: vec![],
     };
     let sketches = std::time::Instant::now();
     for peer in 2..=90 {
@@ -109,7 +109,7 @@
         ],
         round: 0,
         tried: vec![],
-        demand: RequestCost {
+        request_cost: RequestCost {
             hash_tokens: vec![512, 4870, 6610],
             prompt_tokens: 11_992,
             output_tokens: 400,
--- a/crates/placement/src/window.rs
+++ b/crates/placement/src/arrival_window.rs
@@ -6,11 +6,11 @@
 ///
 /// Invariant: each queue holds moments in order, none older than the window when last looked at.
 #[derive(Debug, Clone, Default)]
-pub struct Window {
+pub struct ArrivalWindow {
     arrivals: BTreeMap<PrefixHash, VecDeque<MonotonicInstant>>,
 }
 
-impl Window {
+impl ArrivalWindow {
     /// A prompt with this prefix came.
     pub fn arrive(&mut self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) {
         let queue = self.arrivals.entry(prefix).or_default();
--- a/crates/placement/src/window/tests.rs
+++ b/crates/placement/src/arrival_window/tests.rs
@@ -1,10 +1,14 @@
+use crate::arrival_window::ArrivalWindow;
 use crate::sketch::PrefixHash;
-use crate::window::Window;
 use types::{Milliseconds, MonotonicInstant};
 
 #[test]
 fn arrivals_leave_the_window_one_by_one() {
-    let (mut window, prefix, span) = (Window::default(), PrefixHash(1), Milliseconds::seconds(5));
+    let (mut window, prefix, span) = (
+        ArrivalWindow::default(),
+        PrefixHash(1),
+        Milliseconds::seconds(5),
+    );
     for at in [0, 1000, 2000, 3000] {
         window.arrive(prefix, MonotonicInstant(at), span);
     }
--- a/crates/placement/src/blocks.rs
+++ b/crates/placement/src/block_hash.rs
@@ -1,4 +1,4 @@
-use crate::share::mix;
+use crate::rendezvous::mix;
 use crate::sketch::PrefixHash;
 
 /// Cuts a prompt into blocks and hashes each with all before it, so equal hashes mean equal
--- a/crates/placement/src/blocks/tests.rs
+++ b/crates/placement/src/block_hash/tests.rs
@@ -1,4 +1,4 @@
-use crate::blocks::block_hashes;
+use crate::block_hash::block_hashes;
 
 #[test]
 fn prefixes_share_hashes_exactly_as_far_as_they_agree() {
--- a/crates/placement/src/claim.rs
+++ b/crates/placement/src/budget_claim.rs
@@ -9,7 +9,7 @@
 /// lease's span. And a claim under a new membership holds only after that span, and a little more, has passed since
 /// this node learned of it, so that none under a former membership is left. A life begins without any claim.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Claim {
+pub struct BudgetClaim {
     /// When this node learned of the membership that it goes by. `None` until it's told of one.
     membership_from: Option<MonotonicInstant>,
     since: ConfigEpoch,
@@ -23,7 +23,7 @@
     span: Milliseconds,
 }
 
-impl Claim {
+impl BudgetClaim {
     /// The members were told of, as they are since this epoch. Says whether the membership is another one than
     /// before, also if its members are the same.
     pub fn learn_membership(
--- a/crates/placement/src/digest.rs
+++ b/crates/placement/src/digest.rs
@@ -1,4 +1,4 @@
-use crate::share::{key_of, mix};
+use crate::rendezvous::{key_of, mix};
 use crate::sketch::{CachedPrefix, HotPrefix, InFlight, PrefixHash, Sketch};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Address, ServerName, messages};
@@ -11,13 +11,13 @@
     /// Requests in hand at a server, by [`server_key`] of its name.
     Load(u32),
     /// Prompt tokens of them that are still to be read, in units of 128.
-    Unread(u32),
+    PendingPrefill(u32),
     /// Tokens that they take of its memory, in units of 1,024.
     Memory(u32),
     /// Nodes that believe a server to hold a prefix, by [`life_key`].
-    Held(PrefixHash, u32),
+    Cached(PrefixHash, u32),
     /// Nodes that know a server to be leaving, by [`server_key`].
-    Leaving(u32),
+    Draining(u32),
 }
 
 /// A sketch, or the sum of many, in the compact form that nodes send to each other.
@@ -44,23 +44,23 @@
         /// Their requests in hand.
         pub load_counts: Vec<u16>,
         /// Servers with prompts still to be read.
-        pub unread: Vec<u32>,
+        pub pending_prefill_tokens: Vec<u32>,
         /// Units of tokens.
-        pub unread_counts: Vec<u16>,
+        pub pending_prefill_counts: Vec<u16>,
         /// Servers whose memory is taken.
         pub memory: Vec<u32>,
         /// Units of tokens.
         pub memory_counts: Vec<u16>,
         /// Prefixes that are held.
-        pub held: Vec<u64>,
+        pub cached: Vec<u64>,
         /// By these lives of servers.
-        pub held_by: Vec<u32>,
+        pub cached_by: Vec<u32>,
         /// As so many nodes believe.
-        pub held_counts: Vec<u16>,
+        pub cached_counts: Vec<u16>,
         /// Servers that are leaving.
-        pub leaving: Vec<u32>,
+        pub draining: Vec<u32>,
         /// As so many nodes know.
-        pub leaving_counts: Vec<u16>,
+        pub draining_counts: Vec<u16>,
         /// Members that are not in it: always all of them.
         pub missing: Vec<Address>,
     }
@@ -75,7 +75,7 @@
 const LEAVING: usize = 256;
 
 /// Tokens of a unit in which unread prompts are told.
-pub const UNREAD_UNIT: u64 = 128;
+pub const PREFILL_UNIT: u64 = 128;
 /// Tokens of a unit in which memory is told.
 pub const MEMORY_UNIT: u64 = 1024;
 
@@ -103,22 +103,25 @@
             let units =
                 |tokens: u64, unit: u64| tokens.div_ceil(unit).min(u64::from(u16::MAX)) as u16;
             digest.more(DigestKey::Load(server), cut(busy.count));
-            digest.more(DigestKey::Unread(server), units(busy.unread, UNREAD_UNIT));
+            digest.more(
+                DigestKey::PendingPrefill(server),
+                units(busy.pending_prefill_tokens, PREFILL_UNIT),
+            );
             digest.more(DigestKey::Memory(server), units(busy.tokens, MEMORY_UNIT));
         }
-        for held in sketch.holdings.iter().take(HELD[0]) {
+        for cached in sketch.holdings.iter().take(HELD[0]) {
             digest.more(
-                DigestKey::Held(
-                    held.prefix,
-                    incarnation_key(&held.server, held.incarnation, held.is_shown),
+                DigestKey::Cached(
+                    cached.prefix,
+                    incarnation_key(&cached.server, cached.incarnation, cached.is_shown),
                 ),
                 1,
             );
         }
         sketch
-            .leaving
+            .draining
             .iter()
-            .for_each(|server| digest.more(DigestKey::Leaving(server_key(server)), 1));
+            .for_each(|server| digest.more(DigestKey::Draining(server_key(server)), 1));
         digest.bound(HOT[0], HELD[0]);
         digest
     }
@@ -163,14 +166,16 @@
                         .extend(names.get(server).map(|name| InFlight {
                             server: (*name).clone(),
                             count: u32::from(*count),
-                            unread: u64::from(self.count(DigestKey::Unread(*server))) * UNREAD_UNIT,
+                            pending_prefill_tokens: u64::from(
+                                self.count(DigestKey::PendingPrefill(*server)),
+                            ) * PREFILL_UNIT,
                             tokens: u64::from(self.count(DigestKey::Memory(*server))) * MEMORY_UNIT,
-                            read: 0,
+                            prefilled_tokens: 0,
                         }))
                 }
                 // Told with the server's load.
-                DigestKey::Unread(_) | DigestKey::Memory(_) => {}
-                DigestKey::Held(prefix, key) => {
+                DigestKey::PendingPrefill(_) | DigestKey::Memory(_) => {}
+                DigestKey::Cached(prefix, key) => {
                     sketch.holdings.extend(incarnations.get(&(key & !1)).map(
                         |(name, incarnation)| CachedPrefix {
                             prefix: *prefix,
@@ -180,13 +185,13 @@
                         },
                     ))
                 }
-                DigestKey::Leaving(server) => sketch
-                    .leaving
+                DigestKey::Draining(server) => sketch
+                    .draining
                     .extend(names.get(server).map(|name| (*name).clone())),
             }
         }
         // Of both, that it's shown counts: it must come last.
-        sketch.holdings.sort_by_key(|held| held.is_shown);
+        sketch.holdings.sort_by_key(|cached| cached.is_shown);
         sketch
     }
 
@@ -230,15 +235,15 @@
         self.bound(HOT[1], HELD[1]);
     }
 
-    fn bound(&mut self, hot: usize, held: usize) {
+    fn bound(&mut self, hot: usize, cached: usize) {
         type IsKind = fn(&DigestKey) -> bool;
         let kinds: [(usize, IsKind); 6] = [
             (hot, |key| matches!(key, DigestKey::HotPrefix(_))),
-            (held, |key| matches!(key, DigestKey::Held(..))),
+            (cached, |key| matches!(key, DigestKey::Cached(..))),
             (LOADS, |key| matches!(key, DigestKey::Load(_))),
-            (LOADS, |key| matches!(key, DigestKey::Unread(_))),
+            (LOADS, |key| matches!(key, DigestKey::PendingPrefill(_))),
             (LOADS, |key| matches!(key, DigestKey::Memory(_))),
-            (LEAVING, |key| matches!(key, DigestKey::Leaving(_))),
+            (LEAVING, |key| matches!(key, DigestKey::Draining(_))),
         ];
         for (most, is_kind) in kinds {
             let mut those: Vec<(u16, DigestKey)> = self
@@ -258,17 +263,17 @@
 
     /// What must be told to one who holds `held`. Large counts are told again only once they are off by
     /// more than an eighth. `None`: nothing.
-    pub fn change_from(&self, held: &Digest) -> Option<DigestChange> {
+    pub fn change_from(&self, cached: &Digest) -> Option<DigestChange> {
         let mut change = DigestChange::default();
-        let mut is_any = self.missing != held.missing;
-        let gone = held
+        let mut is_any = self.missing != cached.missing;
+        let gone = cached
             .counts
             .keys()
             .filter(|key| !self.counts.contains_key(key))
             .map(|key| (*key, 0));
         let new = self.counts.iter().map(|(key, count)| (*key, *count));
         for (key, count) in gone.chain(new) {
-            let old = held.count(key);
+            let old = cached.count(key);
             let is_close =
                 old > 0 && count > 0 && u32::from(old.abs_diff(count)) * 8 <= u32::from(old);
             if old == count || is_close {
@@ -302,22 +307,22 @@
                 self.loads.push(server);
                 self.load_counts.push(count);
             }
-            DigestKey::Unread(server) => {
-                self.unread.push(server);
-                self.unread_counts.push(count);
+            DigestKey::PendingPrefill(server) => {
+                self.pending_prefill_tokens.push(server);
+                self.pending_prefill_counts.push(count);
             }
             DigestKey::Memory(server) => {
                 self.memory.push(server);
                 self.memory_counts.push(count);
             }
-            DigestKey::Held(prefix, incarnation) => {
-                self.held.push(prefix.0);
-                self.held_by.push(incarnation);
-                self.held_counts.push(count);
+            DigestKey::Cached(prefix, incarnation) => {
+                self.cached.push(prefix.0);
+                self.cached_by.push(incarnation);
+                self.cached_counts.push(count);
             }
-            DigestKey::Leaving(server) => {
-                self.leaving.push(server);
-                self.leaving_counts.push(count);
+            DigestKey::Draining(server) => {
+                self.draining.push(server);
+                self.draining_counts.push(count);
             }
         }
     }
@@ -333,41 +338,45 @@
             .iter()
             .zip(&self.load_counts)
             .map(|(server, n)| (DigestKey::Load(*server), *n));
-        let held = self.held.iter().zip(&self.held_by).zip(&self.held_counts);
-        let held = held.map(|((prefix, incarnation), n)| {
-            (DigestKey::Held(PrefixHash(*prefix), *incarnation), *n)
+        let cached = self
+            .cached
+            .iter()
+            .zip(&self.cached_by)
+            .zip(&self.cached_counts);
+        let cached = cached.map(|((prefix, incarnation), n)| {
+            (DigestKey::Cached(PrefixHash(*prefix), *incarnation), *n)
         });
-        let leaving = self
-            .leaving
+        let draining = self
+            .draining
             .iter()
-            .zip(&self.leaving_counts)
-            .map(|(s, n)| (DigestKey::Leaving(*s), *n));
-        let unread = self
-            .unread
+            .zip(&self.draining_counts)
+            .map(|(s, n)| (DigestKey::Draining(*s), *n));
+        let pending_prefill_tokens = self
+            .pending_prefill_tokens
             .iter()
-            .zip(&self.unread_counts)
-            .map(|(s, n)| (DigestKey::Unread(*s), *n));
+            .zip(&self.pending_prefill_counts)
+            .map(|(s, n)| (DigestKey::PendingPrefill(*s), *n));
         let memory = self
             .memory
             .iter()
             .zip(&self.memory_counts)
             .map(|(s, n)| (DigestKey::Memory(*s), *n));
         hot.chain(loads)
-            .chain(unread)
+            .chain(pending_prefill_tokens)
             .chain(memory)
-            .chain(held)
-            .chain(leaving)
+            .chain(cached)
+            .chain(draining)
     }
 
     /// About how many bytes it takes in a letter.
     pub fn bytes(&self) -> u64 {
-        let (hot, loads, held) = (
+        let (hot, loads, cached) = (
             self.hot.len() * 10,
             self.loads.len() * 6,
-            self.held.len() * 14,
+            self.cached.len() * 14,
         );
-        let tokens = (self.unread.len() + self.memory.len()) * 6;
-        (hot + loads + tokens + held + self.leaving.len() * 6 + self.missing.len() * 8) as u64
+        let tokens = (self.pending_prefill_tokens.len() + self.memory.len()) * 6;
+        (hot + loads + tokens + cached + self.draining.len() * 6 + self.missing.len() * 8) as u64
     }
 }
 
--- a/crates/placement/src/digest/tests.rs
+++ b/crates/placement/src/digest/tests.rs
@@ -17,11 +17,11 @@
         in_flight: vec![InFlight {
             server: "a".into(),
             count,
-            unread: 0,
+            pending_prefill_tokens: 0,
             tokens: 0,
-            read: 0,
+            prefilled_tokens: 0,
         }],
-        leaving: vec!["b".into()],
+        draining: vec!["b".into()],
         ..Sketch::default()
     }
 }
@@ -38,14 +38,14 @@
         ServerName::from("b"),
         ServerName::from("a-later"),
     );
-    let read = sum.sketch(1, 1, [(&a, 3), (&b, 1), (&other, 3)].into_iter());
+    let prefilled_tokens = sum.sketch(1, 1, [(&a, 3), (&b, 1), (&other, 3)].into_iter());
     assert_eq!(
-        (read.hot, read.in_flight),
+        (prefilled_tokens.hot, prefilled_tokens.in_flight),
         (sketch(2).hot, sketch(2).in_flight)
     );
     assert_eq!(
-        (read.holdings, read.leaving),
-        (sketch(2).holdings, sketch(2).leaving)
+        (prefilled_tokens.holdings, prefilled_tokens.draining),
+        (sketch(2).holdings, sketch(2).draining)
     );
     let next_life = sum.sketch(1, 1, [(&a, 4)].into_iter());
     assert_eq!(
@@ -65,10 +65,10 @@
         }),
     );
     let change = new.change_from(&old).expect("it differs");
-    let mut held = old.clone();
-    held.apply(&change);
-    assert_eq!(held, new);
-    assert_eq!(new.change_from(&held), None);
+    let mut cached = old.clone();
+    cached.apply(&change);
+    assert_eq!(cached, new);
+    assert_eq!(new.change_from(&cached), None);
     let (many, nearly) = (Digest::of(&sketch(80)), Digest::of(&sketch(89)));
     assert_eq!(
         nearly.change_from(&many),
@@ -99,9 +99,9 @@
             .map(|n| InFlight {
                 server: ServerName(format!("s{n}")),
                 count: 1,
-                unread: 0,
+                pending_prefill_tokens: 0,
                 tokens: 0,
-                read: 0,
+                prefilled_tokens: 0,
             })
             .collect(),
         ..Sketch::default()
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -20,7 +20,8 @@
         pub slots: Option<u32>,
         /// How much longer it is cold, if the list tells.
         #[serde(default)]
-        pub cold_left: Option<Milliseconds>,
+        #[serde(rename = "cold_left")]
+        pub warm_up_left: Option<Milliseconds>,
         /// Its zone.
         pub zone: ZoneName,
         /// Its pool, such as `model` or `app`.
@@ -150,7 +151,8 @@
         tried: Vec<ServerName>,
         /// What it asks of a server, where the client tells.
         #[serde(default)]
-        demand: RequestCost,
+        #[serde(rename = "demand")]
+        request_cost: RequestCost,
     },
     /// The first piece came.
     FirstToken {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -6,32 +6,32 @@
 //! dated events and gives decisions, the same ones for the same events.
 //!
 
-mod allowance;
-mod blocks;
-mod claim;
+mod arrival_window;
+mod block_hash;
+mod budget_claim;
 mod digest;
 mod event;
-mod repeat_window;
-mod residency;
+mod prefix_residency;
+mod rendezvous;
+mod retry_budget;
+mod retry_window;
 mod rules;
 mod scheduler;
 mod server_state;
-mod share;
 mod sketch;
-mod window;
 
-pub use allowance::Allowance;
-pub use blocks::block_hashes;
-pub use claim::Claim;
+pub use arrival_window::ArrivalWindow;
+pub use block_hash::block_hashes;
+pub use budget_claim::BudgetClaim;
 pub use digest::{Digest, DigestChange, DigestKey, incarnation_key, server_key};
 pub use event::{
     Candidate, Decision, Event, Outcome, PlacementReason, RequestCost, ServerEntry, Timestamped,
 };
-pub use repeat_window::RepeatWindow;
-pub use residency::Residency;
+pub use prefix_residency::PrefixResidency;
+pub use rendezvous::{key_of, mix, rank, share, share_at};
+pub use retry_budget::RetryBudget;
+pub use retry_window::RetryWindow;
 pub use rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
 pub use scheduler::Scheduler;
 pub use server_state::{Load, ServerState};
-pub use share::{key_of, mix, rank, share, share_at};
 pub use sketch::{CachedPrefix, FLEET, HotPrefix, InFlight, PrefixHash, Sketch};
-pub use window::Window;
--- a/crates/placement/src/residency.rs
+++ b/crates/placement/src/prefix_residency.rs
@@ -1,4 +1,4 @@
-use crate::share::mix;
+use crate::rendezvous::mix;
 use crate::sketch::PrefixHash;
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -11,11 +11,11 @@
 ///
 /// Invariant: a part counts as matched only if every part before it does.
 #[derive(Debug, Clone, Default)]
-pub struct Residency {
+pub struct PrefixResidency {
     parts: Parts,
     sent: Parts,
     /// Tokens that the server has read so far, as far as known.
-    read: u64,
+    prefilled_tokens: u64,
     /// Tokens that its memory holds; zero: not told.
     memory: u64,
 }
@@ -27,7 +27,7 @@
 struct Used {
     at: MonotonicInstant,
     /// What the server had read by then.
-    read: u64,
+    prefilled_tokens: u64,
 }
 
 /// Prefix hashes are spread well already. A hasher without a seed: the same events, the same order.
@@ -53,40 +53,40 @@
 /// What was sent and has shown no first token after this is expected no more.
 const SENT_LIFE: Milliseconds = Milliseconds::seconds(10);
 
-impl Residency {
+impl PrefixResidency {
     /// How many tokens the server's memory holds; zero: not told.
     pub fn set_memory(&mut self, tokens: u64) {
         self.memory = tokens;
     }
     /// The server has read so many tokens more, whoever sent them.
-    pub fn note_read(&mut self, tokens: u64) {
-        self.read += tokens;
+    pub fn record_prefill(&mut self, tokens: u64) {
+        self.prefilled_tokens += tokens;
     }
     /// A prompt is on its way there.
-    pub fn send(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
+    pub fn record_sent(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
         if self.sent.len() > BOUND {
             self.sent.retain(|_, used| now.since(used.at) < SENT_LIFE);
         }
         let used = Used {
             at: now,
-            read: self.read,
+            prefilled_tokens: self.prefilled_tokens,
         };
         self.sent.extend(hashes.iter().map(|hash| (*hash, used)));
     }
     /// It came to nothing.
-    pub fn unsend(&mut self, hashes: &[PrefixHash]) {
+    pub fn forget_sent(&mut self, hashes: &[PrefixHash]) {
         for hash in hashes {
             self.sent.remove(hash);
         }
     }
     /// The server has worked through this prompt, or was given a copy.
-    pub fn hold(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
+    pub fn record_cached(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
         for hash in hashes {
             self.parts.insert(
                 *hash,
                 Used {
                     at: now,
-                    read: self.read,
+                    prefilled_tokens: self.prefilled_tokens,
                 },
             );
             self.sent.remove(hash);
@@ -100,7 +100,7 @@
         }
     }
     /// It does not hold these after all.
-    pub fn drop_all(&mut self, hashes: &[PrefixHash]) {
+    pub fn evict(&mut self, hashes: &[PrefixHash]) {
         for hash in hashes {
             self.parts.remove(hash);
             self.sent.remove(hash);
@@ -135,7 +135,7 @@
 
     /// Whether what was read since then leaves it in memory.
     fn has_room_for(&self, used: &Used) -> bool {
-        self.memory == 0 || self.read - used.read < self.memory
+        self.memory == 0 || self.prefilled_tokens - used.prefilled_tokens < self.memory
     }
 }
 
--- a/crates/placement/src/residency/tests.rs
+++ b/crates/placement/src/prefix_residency/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use crate::residency::Residency;
+use crate::prefix_residency::PrefixResidency;
 use crate::sketch::PrefixHash;
 use types::MonotonicInstant;
 
 #[test]
 fn the_longest_held_prefix_counts_and_old_belief_fades() {
     let hashes: Vec<PrefixHash> = (1..=5).map(PrefixHash).collect();
-    let mut residency = Residency::default();
-    residency.hold(&hashes[..3], MonotonicInstant(0));
+    let mut residency = PrefixResidency::default();
+    residency.record_cached(&hashes[..3], MonotonicInstant(0));
     assert_eq!(residency.matched(&hashes, MonotonicInstant(1)), 3);
     assert_eq!(residency.matched(&hashes, MonotonicInstant(0) + LIFE), 0);
-    residency.drop_all(&hashes[1..3]);
+    residency.evict(&hashes[1..3]);
     assert_eq!(residency.matched(&hashes, MonotonicInstant(1)), 1);
-    residency.send(&hashes, MonotonicInstant(2));
+    residency.record_sent(&hashes, MonotonicInstant(2));
     assert_eq!(
         (
             residency.matched(&hashes, MonotonicInstant(3)),
@@ -20,6 +20,6 @@
         ),
         (5, false)
     );
-    residency.unsend(&hashes);
+    residency.forget_sent(&hashes);
     assert_eq!(residency.matched(&hashes, MonotonicInstant(3)), 1);
 }
--- a/crates/placement/src/share/tests.rs
+++ b/crates/placement/src/rendezvous/tests.rs
@@ -1,4 +1,4 @@
-use crate::share::share;
+use crate::rendezvous::share;
 use types::Address;
 use yare::parameterized;
 
--- a/crates/placement/src/allowance.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -6,7 +6,7 @@
 /// part of the fleet's allowance for that time, and what was saved up before, which is bounded. A new
 /// life has nothing, so that restarts bring nothing. Counted in thousandths of a repeat.
 #[derive(Debug, Clone, Copy)]
-pub struct Allowance {
+pub struct RetryBudget {
     saved: u64,
     dripped: MonotonicInstant,
 }
@@ -15,10 +15,10 @@
 /// Milliseconds in which a part of one repeat a minute gives a thousandth.
 const EACH: u64 = 60_000 / ONE;
 
-impl Allowance {
+impl RetryBudget {
     /// At the start of a life.
     pub fn new(now: MonotonicInstant) -> Self {
-        Allowance {
+        RetryBudget {
             saved: 0,
             dripped: now,
         }
--- a/crates/placement/src/allowance/tests.rs
+++ b/crates/placement/src/retry_budget/tests.rs
@@ -1,9 +1,9 @@
-use crate::allowance::Allowance;
+use crate::retry_budget::RetryBudget;
 use types::MonotonicInstant;
 
 #[test]
 fn a_fifth_and_the_allowance_a_minute_and_no_more() {
-    let mut allowance = Allowance::new(MonotonicInstant(0));
+    let mut allowance = RetryBudget::new(MonotonicInstant(0));
     let mut spent = 0;
     // Ten minutes, a request each second, a repeat wanted each time.
     for second in 1..=600 {
--- a/crates/placement/src/repeat_window.rs
+++ b/crates/placement/src/retry_window.rs
@@ -8,7 +8,7 @@
 /// the fleet's extra). A part that grows, also from nothing at the start of a life, counts only after a window:
 /// until then, what a former life or a member that is gone spent of it is still in sight.
 #[derive(Debug, Clone)]
-pub struct RepeatWindow {
+pub struct RetryWindow {
     part: u32,
     /// Since when the part is to grow.
     grows_from: Option<MonotonicInstant>,
@@ -17,10 +17,10 @@
     repeats: u32,
 }
 
-impl RepeatWindow {
+impl RetryWindow {
     /// At the start of a life.
     pub fn new(now: MonotonicInstant) -> Self {
-        RepeatWindow {
+        RetryWindow {
             part: 0,
             grows_from: Some(now),
             arrivals: VecDeque::new(),
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -49,10 +49,12 @@
     pub btb: BtbRules,
     /// Requests a second that a cold server bears, over the whole fleet; zero: there is no such bound.
     #[serde(default)]
-    pub cold_per_second: u32,
+    #[serde(rename = "cold_per_second")]
+    pub warm_up_per_second: u32,
     /// How long a server is cold after its start, unless the list tells.
     #[serde(default)]
-    pub cold_span: Milliseconds,
+    #[serde(rename = "cold_span")]
+    pub warm_up_duration: Milliseconds,
     /// Tokens that a server's memory holds; zero: not told.
     #[serde(default)]
     pub memory_tokens: u64,
@@ -74,49 +76,66 @@
 #[serde(default)]
 pub struct SchedulerRules {
     /// Whether sketches of others count.
-    pub does_merge: bool,
+    #[serde(rename = "does_merge")]
+    pub merges_peer_sketches: bool,
     /// Whether requests are refused by expected first-token time.
-    pub does_admit: bool,
+    #[serde(rename = "does_admit")]
+    pub enforces_deadlines: bool,
     /// A fresh server reaches its full cap after this.
-    pub ramp: Milliseconds,
+    #[serde(rename = "ramp")]
+    pub slow_start_duration: Milliseconds,
     /// What a fresh server may have in hand at first, fleet-wide.
-    pub ramp_start: u32,
+    #[serde(rename = "ramp_start")]
+    pub slow_start_initial_cap: u32,
     /// A sketch older than this counts no more.
-    pub sketch_life: Milliseconds,
+    #[serde(rename = "sketch_life")]
+    pub sketch_lifetime: Milliseconds,
     /// A copy is taken for resident this long after it was ordered.
-    pub copy_span: Milliseconds,
+    #[serde(rename = "copy_span")]
+    pub copy_duration: Milliseconds,
     /// An active prefix cools when nothing came for this long.
-    pub cool_after: Milliseconds,
+    #[serde(rename = "cool_after")]
+    pub deactivate_after: Milliseconds,
     /// Copies that one server may be ordered to take at a time.
     pub copies_per_server: u32,
     /// How much busier than the least busy one a cache match may be.
-    pub imbalance: u32,
+    #[serde(rename = "imbalance")]
+    pub max_load_imbalance: u32,
     /// Where first-token times start from, without prefill.
     pub base_first_token: Milliseconds,
     /// Prefill of a block, in microseconds, until it has been seen.
     pub block_micros: u64,
     /// How long a request holds a slot, until it has been seen.
-    pub hold: Milliseconds,
+    #[serde(rename = "hold")]
+    pub service_time: Milliseconds,
     /// Repeats that a service's traffic earns, in percent of it.
-    pub repeat_percent: u32,
+    #[serde(rename = "repeat_percent")]
+    pub retry_percent: u32,
     /// Repeats that a service may have besides, a minute, over the whole fleet.
-    pub repeats_a_minute: u32,
+    #[serde(rename = "repeats_a_minute")]
+    pub retries_per_minute: u32,
     /// Tokens of a block: what Y counts in, where clients tell tokens.
     pub block_tokens: u32,
     /// Whether servers take orders to copy KV. If not, the next real requests of an active prefix are what
     /// warms further servers.
-    pub does_order_copies: bool,
+    #[serde(rename = "does_order_copies")]
+    pub orders_kv_copies: bool,
     /// Where real requests warm further servers, they do so only once the holders' first pieces are expected
     /// later than this: until then a copy, which has to be read anew, gains nothing.
-    pub warm_from: Milliseconds,
+    #[serde(rename = "warm_from")]
+    pub warming_threshold: Milliseconds,
     /// Repeats are bounded in each sliding window of this length; zero: by the minute.
-    pub repeat_window: Milliseconds,
+    #[serde(rename = "repeat_window")]
+    pub retry_window: Milliseconds,
     /// Repeats that a service may have in such a window besides the percentage, over the whole fleet.
-    pub repeats_in_window: u32,
+    #[serde(rename = "repeats_in_window")]
+    pub retries_per_window: u32,
     /// What a server in another zone than the node's own is held to cost, as time.
-    pub zone_bias: Milliseconds,
+    #[serde(rename = "zone_bias")]
+    pub zone_penalty: Milliseconds,
     /// What a full server is held to cost beyond an empty one, as time.
-    pub load_bias: Milliseconds,
+    #[serde(rename = "load_bias")]
+    pub load_penalty: Milliseconds,
     /// What reading a token costs the others that wait there, in percent of the time that it takes.
     pub prefill_percent: u32,
     /// Servers whose costs differ by no more than this are equal: the one that holds more, or the one that
@@ -125,13 +144,16 @@
     /// A step of a server that runs one request, in microseconds.
     pub step_micros: u64,
     /// What each further running request adds to a step, in microseconds.
-    pub step_micros_each: u64,
+    #[serde(rename = "step_micros_each")]
+    pub step_micros_per_request: u64,
     /// What may wait at a server beyond its slots, in percent of them.
     pub queue_percent: u32,
     /// The fleet is taken to have at least so many members where cold servers are shared out.
-    pub members_least: u32,
+    #[serde(rename = "members_least")]
+    pub min_members: u32,
     /// A server's own report of its requests counts for this long.
-    pub report_life: Milliseconds,
+    #[serde(rename = "report_life")]
+    pub report_lifetime: Milliseconds,
     /// A first piece that came may have come this much later than expected, besides what is usual.
     pub lag_slack: Milliseconds,
     /// A first piece is overdue this long after it was expected, besides what is usual.
@@ -141,34 +163,34 @@
 impl Default for SchedulerRules {
     fn default() -> Self {
         SchedulerRules {
-            does_merge: true,
-            does_admit: true,
-            ramp: Milliseconds::seconds(8),
-            ramp_start: 2,
-            sketch_life: Milliseconds(3000),
-            copy_span: Milliseconds(400),
-            cool_after: Milliseconds::seconds(15),
+            merges_peer_sketches: true,
+            enforces_deadlines: true,
+            slow_start_duration: Milliseconds::seconds(8),
+            slow_start_initial_cap: 2,
+            sketch_lifetime: Milliseconds(3000),
+            copy_duration: Milliseconds(400),
+            deactivate_after: Milliseconds::seconds(15),
             copies_per_server: 8,
-            imbalance: 3,
+            max_load_imbalance: 3,
             base_first_token: Milliseconds(30),
             block_micros: 2500,
-            hold: Milliseconds(400),
-            repeat_percent: 20,
-            repeats_a_minute: 10,
+            service_time: Milliseconds(400),
+            retry_percent: 20,
+            retries_per_minute: 10,
             block_tokens: 16,
-            does_order_copies: true,
-            warm_from: Milliseconds(0),
-            repeat_window: Milliseconds(0),
-            repeats_in_window: 0,
-            zone_bias: Milliseconds(0),
-            load_bias: Milliseconds(60),
+            orders_kv_copies: true,
+            warming_threshold: Milliseconds(0),
+            retry_window: Milliseconds(0),
+            retries_per_window: 0,
+            zone_penalty: Milliseconds(0),
+            load_penalty: Milliseconds(60),
             prefill_percent: 100,
             hysteresis: Milliseconds(20),
             step_micros: 3400,
-            step_micros_each: 97,
+            step_micros_per_request: 97,
             queue_percent: 50,
-            members_least: 1,
-            report_life: Milliseconds(2000),
+            min_members: 1,
+            report_lifetime: Milliseconds(2000),
             lag_slack: Milliseconds(400),
             overdue_slack: Milliseconds(1000),
         }
--- a/crates/placement/src/scheduler.rs
+++ b/crates/placement/src/scheduler.rs
@@ -1,12 +1,12 @@
-use crate::allowance::Allowance;
-use crate::claim::Claim;
+use crate::arrival_window::ArrivalWindow;
+use crate::budget_claim::BudgetClaim;
 use crate::event::{Decision, Event, Outcome, ServerEntry, Timestamped};
-use crate::repeat_window::RepeatWindow;
+use crate::rendezvous::{key_of, rank, share, share_at};
+use crate::retry_budget::RetryBudget;
+use crate::retry_window::RetryWindow;
 use crate::rules::{BtbRules, Rules, SchedulerRules, ServiceRules};
 use crate::server_state::ServerState;
-use crate::share::{key_of, rank, share, share_at};
 use crate::sketch::{CachedPrefix, InFlight, PrefixHash, Sketch};
-use crate::window::Window;
 use peer_totals::PeerTotals;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -40,23 +40,23 @@
     /// When this life took its first event.
     begun: Option<MonotonicInstant>,
     /// To what fresh and cold servers bear.
-    claim: Claim,
+    claim: BudgetClaim,
     members: Vec<Address>,
     servers: BTreeMap<ServerName, ServerState>,
-    window: Window,
+    window: ArrivalWindow,
     peers: BTreeMap<Address, Peer>,
     /// The sum of the peers' sketches that count.
     told: PeerTotals,
     /// When the next of them counts no more.
-    told_until: Option<MonotonicInstant>,
+    next_expiry: Option<MonotonicInstant>,
     /// Whether every other member's sketch counts.
-    knows_all: bool,
+    hears_all_members: bool,
     /// How many peers' sketches count.
     counted_peers: u32,
     active: BTreeMap<PrefixHash, Active>,
-    requests: BTreeMap<RequestId, InHand>,
-    repeats: BTreeMap<ServiceName, Allowance>,
-    repeat_windows: BTreeMap<ServiceName, RepeatWindow>,
+    requests: BTreeMap<RequestId, InFlightRequest>,
+    repeats: BTreeMap<ServiceName, RetryBudget>,
+    repeat_windows: BTreeMap<ServiceName, RetryWindow>,
     sketch_number: u64,
     decisions: Vec<Decision>,
 }
@@ -68,7 +68,7 @@
     /// Whether it is in the sum.
     is_counted: bool,
     /// The latest it told of what its requests made each server read in its life.
-    read: BTreeMap<ServerName, u64>,
+    prefilled_tokens: BTreeMap<ServerName, u64>,
 }
 
 /// A prefix in a burst.
@@ -95,7 +95,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct InHand {
+struct InFlightRequest {
     service: ServiceName,
     is_repeat: bool,
     /// When the first piece was expected.
@@ -144,14 +144,14 @@
             services: BTreeMap::new(),
             zone: None,
             begun: None,
-            claim: Claim::default(),
+            claim: BudgetClaim::default(),
             members: vec![own],
             servers: BTreeMap::new(),
-            window: Window::default(),
+            window: ArrivalWindow::default(),
             peers: BTreeMap::new(),
             told: PeerTotals::default(),
-            told_until: None,
-            knows_all: true,
+            next_expiry: None,
+            hears_all_members: true,
             counted_peers: 0,
             active: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -212,9 +212,18 @@
                 hashes,
                 round,
                 tried,
-                demand,
+                request_cost,
             } => {
-                self.on_prompt(request, service, hashes, round, &tried, &demand, begun, now);
+                self.on_prompt(
+                    request,
+                    service,
+                    hashes,
+                    round,
+                    &tried,
+                    &request_cost,
+                    begun,
+                    now,
+                );
             }
             Event::FirstToken { request } => self.on_first_token(request, now),
             Event::Ended { request, outcome } => self.on_ended(&request, outcome, now),
@@ -258,11 +267,10 @@
             }
         }
         holdings.truncate(512);
-        let busy = self
-            .servers
-            .iter()
-            .filter(|(_, server)| server.own > 0 || server.read > server.read_told);
-        let leaving = self
+        let busy = self.servers.iter().filter(|(_, server)| {
+            server.own > 0 || server.prefilled_tokens > server.reported_prefilled_tokens
+        });
+        let draining = self
             .servers
             .iter()
             .filter(|(_, server)| server.is_listed && server.is_draining);
@@ -275,16 +283,16 @@
                 .map(|(name, server)| InFlight {
                     server: name.clone(),
                     count: server.own,
-                    unread: server.unread,
+                    pending_prefill_tokens: server.pending_prefill_tokens,
                     tokens: server.tokens,
-                    read: server.read,
+                    prefilled_tokens: server.prefilled_tokens,
                 })
                 .collect(),
-            leaving: leaving.map(|(name, _)| name.clone()).collect(),
+            draining: draining.map(|(name, _)| name.clone()).collect(),
             missing: None,
         };
         for server in self.servers.values_mut() {
-            server.read_told = server.read;
+            server.reported_prefilled_tokens = server.prefilled_tokens;
         }
         sketch
     }
@@ -324,10 +332,10 @@
         }
         for entry in entries {
             match self.servers.get_mut(&entry.server) {
-                Some(server) => server.note_entry(entry, now),
+                Some(server) => server.update_from_list(entry, now),
                 None => {
                     let mut state = ServerState::new(&entry, now, &self.scheduler_rules);
-                    state.theirs = self.told.load(&entry.server);
+                    state.peer_load = self.told.load(&entry.server);
                     state.rank = rank(state.key, &self.own, &self.members) as u32;
                     self.servers.insert(entry.server, state);
                 }
@@ -376,13 +384,13 @@
         }
         if is_new_life {
             server.listed_from = now;
-            server.cold_until = None;
+            server.warming_up_until = None;
         }
-        let suspect_ramp = server.suspect_until;
+        let ejected_until = server.ejected_until;
         if server.incarnation != Some(incarnation) {
-            server.ramp_from = now - up;
-            if let Some(deadline) = suspect_ramp {
-                server.ramp_from = server.ramp_from.max(deadline);
+            server.slow_start_from = now - up;
+            if let Some(deadline) = ejected_until {
+                server.slow_start_from = server.slow_start_from.max(deadline);
             }
         }
         server.incarnation = Some(incarnation);
@@ -402,7 +410,9 @@
         hand.first = Some(now);
         let footprint = hand.footprint;
         if let Some(server) = self.servers.get_mut(&hand.server) {
-            server.unread = server.unread.saturating_sub(footprint.uncached);
+            server.pending_prefill_tokens = server
+                .pending_prefill_tokens
+                .saturating_sub(footprint.uncached);
         }
         let lag = now.since(hand.placed).0.saturating_sub(hand.expected.0);
         let (name, was_noted) = (
@@ -410,7 +420,7 @@
             std::mem::replace(&mut hand.is_noted, true),
         );
         if !was_noted {
-            self.note_lag(&name, lag, now);
+            self.record_lag(&name, lag, now);
         }
         let Some(hand) = self.requests.get_mut(&request) else {
             return;
@@ -418,8 +428,8 @@
         let Some(server) = self.servers.get_mut(&name) else {
             return;
         };
-        if server.late == 0 && !server.is_suspect(now) {
-            server.well();
+        if server.consecutive_late == 0 && !server.is_ejected(now) {
+            server.record_success();
         }
         if server.incarnation != hand.incarnation {
             return;
@@ -444,7 +454,7 @@
                     server: hand.server.clone(),
                 });
             }
-            server.residency.hold(&hand.hashes, now);
+            server.residency.record_cached(&hand.hashes, now);
             return;
         }
         if hand.was_idle && uncached >= 16 {
@@ -461,19 +471,19 @@
                 server: server_name,
             });
         }
-        server.residency.hold(&hand.hashes, now);
+        server.residency.record_cached(&hand.hashes, now);
     }
 
     /// A first piece came, or is still missing, so much later than expected.
-    fn note_lag(&mut self, name: &ServerName, lag: u64, now: MonotonicInstant) {
-        let usual = usual_lag(&self.servers, name).unwrap_or(u64::MAX / 8);
-        let may_lose = self.may_lose(name, now);
+    fn record_lag(&mut self, name: &ServerName, lag: u64, now: MonotonicInstant) {
+        let usual = median_lag(&self.servers, name).unwrap_or(u64::MAX / 8);
+        let may_eject = self.may_eject(name, now);
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
-        if server.note_lag(lag, usual) && may_lose {
-            server.late = 0;
-            if let Some(span) = server.fault(now, true) {
+        if server.record_lag(lag, usual) && may_eject {
+            server.consecutive_late = 0;
+            if let Some(span) = server.record_failure(now, true) {
                 self.decisions.push(Decision::Suspected {
                     server: name.clone(),
                     span,
@@ -483,30 +493,30 @@
     }
 
     /// Whether it may be kept from work on mere doubt: no more than half of a pool ever is.
-    fn may_lose(&self, name: &ServerName, now: MonotonicInstant) -> bool {
+    fn may_eject(&self, name: &ServerName, now: MonotonicInstant) -> bool {
         let Some(own) = self.servers.get(name) else {
             return false;
         };
-        let is_kin = |server: &&ServerState| {
+        let is_in_pool = |server: &&ServerState| {
             server.is_listed && !server.is_draining && server.pool == own.pool
         };
         let (all, lost) = self
             .servers
             .values()
-            .filter(is_kin)
+            .filter(is_in_pool)
             .fold((0, 0), |(all, lost), server| {
-                (all + 1, lost + usize::from(server.is_suspect(now)))
+                (all + 1, lost + usize::from(server.is_ejected(now)))
             });
         (lost + 1) * 2 <= all
     }
 
     /// Pieces that are far overdue tell as much as those that came late, and sooner.
-    pub(super) fn note_overdue(&mut self, now: MonotonicInstant) {
-        let is_overdue = |hand: &InHand| {
+    pub(super) fn record_overdue(&mut self, now: MonotonicInstant) {
+        let is_overdue = |hand: &InFlightRequest| {
             if hand.first.is_some() || hand.is_noted {
                 return false;
             }
-            let usual = usual_lag(&self.servers, &hand.server).unwrap_or(u64::MAX / 8);
+            let usual = median_lag(&self.servers, &hand.server).unwrap_or(u64::MAX / 8);
             let slack =
                 Milliseconds(usual.saturating_mul(4) + self.scheduler_rules.overdue_slack.0);
             now.since(hand.placed) > Milliseconds(hand.expected.0 + slack.0)
@@ -526,7 +536,7 @@
                 hand.server.clone(),
                 now.since(hand.placed).0.saturating_sub(hand.expected.0),
             );
-            self.note_lag(&name, lag, now);
+            self.record_lag(&name, lag, now);
         }
     }
 
@@ -540,23 +550,25 @@
         server.own = server.own.saturating_sub(1);
         server.tokens = server.tokens.saturating_sub(hand.footprint.memory);
         if hand.first.is_none() {
-            server.unread = server.unread.saturating_sub(hand.footprint.uncached);
+            server.pending_prefill_tokens = server
+                .pending_prefill_tokens
+                .saturating_sub(hand.footprint.uncached);
         }
         if outcome != Outcome::Complete && hand.first.is_none() {
-            server.residency.unsend(&hand.hashes);
+            server.residency.forget_sent(&hand.hashes);
         }
         match outcome {
             Outcome::Complete => {
-                server.well();
+                server.record_success();
                 // Without a prompt, a server works from the start to its first piece.
                 let is_plain = hand.footprint.is_told && hand.hashes.is_empty();
                 let since = hand.first.filter(|_| !is_plain).unwrap_or(hand.placed);
-                let held = now
+                let cached = now
                     .since(since)
                     .0
                     .saturating_sub(hand.footprint.queue * u64::from(is_plain));
-                let held = held.clamp(5, 60_000);
-                server.hold = Milliseconds((server.hold.0 * 7 + held) / 8);
+                let cached = cached.clamp(5, 60_000);
+                server.service_time = Milliseconds((server.service_time.0 * 7 + cached) / 8);
             }
             Outcome::Cancelled | Outcome::Refused => {}
             Outcome::Unsent | Outcome::Failed => {
@@ -577,17 +589,17 @@
                         if hand.is_repeat {
                             allowance.give_back(part);
                         } else {
-                            allowance.unearn(self.scheduler_rules.repeat_percent);
+                            allowance.unearn(self.scheduler_rules.retry_percent);
                         }
                     }
                 }
-                if !is_certain && !self.may_lose(&hand.server, now) {
+                if !is_certain && !self.may_eject(&hand.server, now) {
                     return;
                 }
                 let Some(server) = self.servers.get_mut(&hand.server) else {
                     return;
                 };
-                if let Some(span) = server.fault(now, is_certain) {
+                if let Some(span) = server.record_failure(now, is_certain) {
                     self.decisions.push(Decision::Suspected {
                         server: hand.server,
                         span,
@@ -603,7 +615,7 @@
             return;
         };
         server.residency.clear();
-        if let Some(span) = server.fault(now, true) {
+        if let Some(span) = server.record_failure(now, true) {
             self.decisions.push(Decision::Suspected {
                 server: name.clone(),
                 span,
@@ -612,7 +624,7 @@
     }
 
     fn on_peer_sketch(&mut self, from: Address, sketch: Sketch, now: MonotonicInstant) {
-        if from == self.own || !self.scheduler_rules.does_merge {
+        if from == self.own || !self.scheduler_rules.merges_peer_sketches {
             return;
         }
         let is_old = self.peers.get(&from).is_some_and(|peer| {
@@ -621,7 +633,7 @@
         if is_old {
             return;
         }
-        for name in &sketch.leaving {
+        for name in &sketch.draining {
             if let Some(server) = self.servers.get_mut(name) {
                 // The platform's list lags; whoever hears first tells the rest.
                 server.is_draining = true;
@@ -634,16 +646,20 @@
         let known = former
             .as_mut()
             .filter(|_| is_same_life)
-            .map(|peer| std::mem::take(&mut peer.read));
-        let mut read = known.unwrap_or_default();
+            .map(|peer| std::mem::take(&mut peer.prefilled_tokens));
+        let mut prefilled_tokens = known.unwrap_or_default();
         for told in &sketch.in_flight {
-            let before = read.insert(told.server.clone(), told.read).unwrap_or(0);
+            let before = prefilled_tokens
+                .insert(told.server.clone(), told.prefilled_tokens)
+                .unwrap_or(0);
             // What the sender's requests made a server read meanwhile drives older parts out there.
             if let Some(server) = self.servers.get_mut(&told.server).filter(|_| is_same_life) {
-                server.residency.note_read(told.read.saturating_sub(before));
+                server
+                    .residency
+                    .record_prefill(told.prefilled_tokens.saturating_sub(before));
             }
         }
-        read.retain(|name, _| self.servers.contains_key(name));
+        prefilled_tokens.retain(|name, _| self.servers.contains_key(name));
         if let Some(former) = former.filter(|peer| peer.is_counted) {
             self.told.remove(&former.sketch);
             sum_loads(&mut self.servers, &self.told, &former.sketch);
@@ -656,7 +672,7 @@
                 heard: now,
                 sketch,
                 is_counted: true,
-                read,
+                prefilled_tokens,
             },
         );
         self.count_known();
@@ -681,20 +697,20 @@
     /// How many nodes there are at least, as far as known here.
     fn fleet_size(&self) -> u32 {
         (self.members.len() as u32)
-            .max(self.scheduler_rules.members_least)
+            .max(self.scheduler_rules.min_members)
             .max(self.counted_peers + 1)
     }
 
     /// Sketches that have grown old count no more.
     fn expire_peers(&mut self, now: MonotonicInstant) {
-        if self.told_until.is_none_or(|deadline| now < deadline) {
+        if self.next_expiry.is_none_or(|deadline| now < deadline) {
             return;
         }
-        let incarnation = self.scheduler_rules.sketch_life;
+        let lifetime = self.scheduler_rules.sketch_lifetime;
         for peer in self
             .peers
             .values_mut()
-            .filter(|peer| peer.is_counted && now.since(peer.heard) >= incarnation)
+            .filter(|peer| peer.is_counted && now.since(peer.heard) >= lifetime)
         {
             self.told.remove(&peer.sketch);
             sum_loads(&mut self.servers, &self.told, &peer.sketch);
@@ -705,12 +721,12 @@
 
     /// What follows from which sketches count.
     fn count_known(&mut self) {
-        let incarnation = self.scheduler_rules.sketch_life;
+        let lifetime = self.scheduler_rules.sketch_lifetime;
         let counted = self.peers.values().filter(|peer| peer.is_counted);
-        self.told_until = counted.map(|peer| peer.heard + incarnation).min();
+        self.next_expiry = counted.map(|peer| peer.heard + lifetime).min();
         let heard = self.heard();
         self.counted_peers = heard.len() as u32 - 1;
-        self.knows_all = self.members.iter().all(|member| heard.contains(member));
+        self.hears_all_members = self.members.iter().all(|member| heard.contains(member));
     }
 
     /// Members whose sights are known here: one's own, those that told theirs, those in a sum.
@@ -731,15 +747,15 @@
 
     /// Arrivals of a prefix within the window, over all nodes.
     fn count(&self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) -> u32 {
-        let theirs = self.told.count(prefix).unwrap_or(0);
-        self.window.count(prefix, now, span) + theirs
+        let peer_load = self.told.count(prefix).unwrap_or(0);
+        self.window.count(prefix, now, span) + peer_load
     }
 
     /// Requests believed in hand at a server, over all nodes.
     fn load(&self, server: &ServerState, now: MonotonicInstant) -> u32 {
-        let known = server.own + server.theirs.count;
+        let known = server.own + server.peer_load.count;
         match server.reported {
-            Some((reported, at)) if now.since(at) < self.scheduler_rules.report_life => {
+            Some((reported, at)) if now.since(at) < self.scheduler_rules.report_lifetime => {
                 known.max(reported)
             }
             _ => known,
@@ -787,20 +803,23 @@
 fn sum_loads(servers: &mut BTreeMap<ServerName, ServerState>, told: &PeerTotals, sketch: &Sketch) {
     for load in &sketch.in_flight {
         if let Some(server) = servers.get_mut(&load.server) {
-            server.theirs = told.load(&load.server);
+            server.peer_load = told.load(&load.server);
         }
     }
 }
 
 /// The middle of the lags of a server's kin; `None` where too few are known and well to tell.
-fn usual_lag(servers: &BTreeMap<ServerName, ServerState>, name: &ServerName) -> Option<u64> {
+fn median_lag(servers: &BTreeMap<ServerName, ServerState>, name: &ServerName) -> Option<u64> {
     let own = servers.get(name)?;
-    let is_kin = |(other, server): &(&ServerName, &ServerState)| {
-        *other != name && server.is_listed && server.pool == own.pool && server.faults == 0
+    let is_in_pool = |(other, server): &(&ServerName, &ServerState)| {
+        *other != name
+            && server.is_listed
+            && server.pool == own.pool
+            && server.consecutive_failures == 0
     };
     let mut lags: Vec<u64> = servers
         .iter()
-        .filter(is_kin)
+        .filter(is_in_pool)
         .map(|(_, server)| server.lag)
         .collect();
     let all = servers
@@ -819,7 +838,7 @@
     members: &[Address],
 ) -> u32 {
     share(
-        rules.repeats_a_minute,
+        rules.retries_per_minute,
         key_of(service.as_str()),
         own,
         members,
--- a/crates/placement/src/scheduler/peer_totals.rs
+++ b/crates/placement/src/scheduler/peer_totals.rs
@@ -11,20 +11,20 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerTotals {
     hot: BTreeMap<PrefixHash, u32>,
-    holdings: BTreeMap<PrefixHash, Vec<ToldHolding>>,
+    holdings: BTreeMap<PrefixHash, Vec<ReportedPrefix>>,
     loads: BTreeMap<ServerName, Load>,
 }
 
 /// How many peers say that a server in one life holds a prefix, or was sent it.
 #[derive(Debug, Clone)]
-pub(super) struct ToldHolding {
+pub(super) struct ReportedPrefix {
     server: ServerName,
     incarnation: u64,
     shown: u32,
     sent: u32,
 }
 
-impl ToldHolding {
+impl ReportedPrefix {
     pub(super) fn is_of(&self, server: &ServerName, incarnation: u64) -> bool {
         self.incarnation == incarnation && self.server == *server
     }
@@ -42,14 +42,14 @@
         }
         for holding in &sketch.holdings {
             let those = self.holdings.entry(holding.prefix).or_default();
-            let is_it = |t: &&mut ToldHolding| {
+            let is_it = |t: &&mut ReportedPrefix| {
                 t.server == holding.server && t.incarnation == holding.incarnation
             };
             let place = match those.iter_mut().find(is_it) {
                 Some(place) => place,
                 None => {
                     let (server, incarnation) = (holding.server.clone(), holding.incarnation);
-                    those.push(ToldHolding {
+                    those.push(ReportedPrefix {
                         server,
                         incarnation,
                         shown: 0,
@@ -68,7 +68,7 @@
         for told in &sketch.in_flight {
             let load = self.loads.entry(told.server.clone()).or_default();
             load.count += told.count;
-            load.unread += told.unread;
+            load.pending_prefill_tokens += told.pending_prefill_tokens;
             load.tokens += told.tokens;
         }
     }
@@ -106,9 +106,11 @@
                 continue;
             };
             load.count = load.count.saturating_sub(told.count);
-            load.unread = load.unread.saturating_sub(told.unread);
+            load.pending_prefill_tokens = load
+                .pending_prefill_tokens
+                .saturating_sub(told.pending_prefill_tokens);
             load.tokens = load.tokens.saturating_sub(told.tokens);
-            if load.count == 0 && load.unread == 0 && load.tokens == 0 {
+            if load.count == 0 && load.pending_prefill_tokens == 0 && load.tokens == 0 {
                 self.loads.remove(&told.server);
             }
         }
@@ -122,7 +124,7 @@
         self.loads.get(server).copied().unwrap_or_default()
     }
     /// What peers say of who holds a prefix.
-    pub(super) fn holdings(&self, prefix: PrefixHash) -> &[ToldHolding] {
+    pub(super) fn holdings(&self, prefix: PrefixHash) -> &[ReportedPrefix] {
         self.holdings.get(&prefix).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/placement/src/scheduler/placing.rs
+++ b/crates/placement/src/scheduler/placing.rs
@@ -1,30 +1,30 @@
 //! Choosing a server for a request.
 
 use super::*;
-use crate::allowance::Allowance;
 use crate::event::{Candidate, Decision, PlacementReason, RequestCost};
-use crate::repeat_window::RepeatWindow;
+use crate::rendezvous::{key_of, mix, rank, share_at};
+use crate::retry_budget::RetryBudget;
+use crate::retry_window::RetryWindow;
 use crate::rules::{SchedulerRules, ServiceRules};
 use crate::scheduler::Scheduler;
 use crate::server_state::ServerState;
-use crate::share::{key_of, mix, rank, share_at};
 use crate::sketch::PrefixHash;
 use types::{Milliseconds, MonotonicInstant, RequestId, ResultCode, ServerName, ServiceName};
 
 /// A request that wants a server.
-pub(super) struct Ask<'a> {
+pub(super) struct PlacementRequest<'a> {
     pub(super) request: &'a RequestId,
     pub(super) rules: &'a ServiceRules,
     pub(super) hashes: &'a [PrefixHash],
     /// The place of the counted prefix's last hash.
     pub(super) counted: Option<usize>,
     pub(super) tried: &'a [ServerName],
-    pub(super) demand: &'a RequestCost,
+    pub(super) request_cost: &'a RequestCost,
     pub(super) is_active: bool,
     pub(super) now: MonotonicInstant,
 }
 
-impl Ask<'_> {
+impl PlacementRequest<'_> {
     /// The counted prefix.
     pub(super) fn prefix(&self) -> Option<PrefixHash> {
         self.counted.map(|place| self.hashes[place])
@@ -32,7 +32,7 @@
 }
 
 /// Where it goes.
-pub(super) struct Choice {
+pub(super) struct Placement {
     pub(super) chosen: Candidate,
     pub(super) reason: PlacementReason,
     pub(super) was_idle: bool,
@@ -41,7 +41,7 @@
 }
 
 /// Why it goes nowhere, and when to come back.
-pub(super) struct Refusal {
+pub(super) struct Rejection {
     pub(super) code: ResultCode,
     pub(super) why: String,
     pub(super) wait: Milliseconds,
@@ -60,7 +60,7 @@
 }
 
 /// A candidate with what the choice needs besides.
-struct Weighed {
+struct WeighedServer {
     candidate: Candidate,
     slots: u32,
     tie: u64,
@@ -75,7 +75,7 @@
         hashes: Vec<PrefixHash>,
         round: u32,
         tried: &[ServerName],
-        demand: &RequestCost,
+        request_cost: &RequestCost,
         begun: MonotonicInstant,
         now: MonotonicInstant,
     ) {
@@ -94,32 +94,32 @@
             let why = "the service's repeats are used up".to_owned();
             return self.refuse(request, service, ResultCode::NoServer, why, wait, round);
         }
-        let counted = self.counted_place(&rules, &hashes, demand);
+        let counted = self.counted_place(&rules, &hashes, request_cost);
         let prefix = counted.map(|place| hashes[place]);
         if let (Some(prefix), 0) = (prefix, round) {
             self.window.arrive(prefix, now, rules.btb.window);
         }
         let count = prefix.map_or(0, |prefix| self.count(prefix, now, rules.btb.window));
         if let Some(prefix) = prefix {
-            self.note_burst(prefix, &rules, &service, &hashes, count, now);
+            self.activate_burst(prefix, &rules, &service, &hashes, count, now);
         }
         let is_active = prefix.is_some_and(|prefix| self.active.contains_key(&prefix));
-        let ask = Ask {
+        let placement_request = PlacementRequest {
             request: &request,
             rules: &rules,
             hashes: &hashes,
             counted,
             tried,
-            demand,
+            request_cost,
             is_active,
             now,
         };
-        let choice = if demand.is_told() {
-            self.choose_by_time(&ask)
+        let choice = if request_cost.is_told() {
+            self.choose_by_time(&placement_request)
         } else {
-            self.choose_by_load(&ask)
+            self.choose_by_load(&placement_request)
         };
-        let Choice {
+        let Placement {
             chosen,
             reason,
             was_idle,
@@ -127,26 +127,26 @@
             candidates,
         } = match choice {
             Ok(choice) => choice,
-            Err(Refusal { code, why, wait }) => {
+            Err(Rejection { code, why, wait }) => {
                 return self.refuse(request, service, code, why, wait, round);
             }
         };
         // Only what goes to a server counts, as a repeat or as traffic.
-        self.note_placed(&service, round, now);
+        self.record_placed(&service, round, now);
         if let Some(server) = self.servers.get_mut(&chosen.server) {
             server.own += 1;
-            server.unread += footprint.uncached;
+            server.pending_prefill_tokens += footprint.uncached;
             server.tokens += footprint.memory;
             if rules.memory_tokens > 0 {
-                server.read += footprint.uncached;
+                server.prefilled_tokens += footprint.uncached;
                 server.residency.set_memory(rules.memory_tokens);
-                server.residency.note_read(footprint.uncached);
+                server.residency.record_prefill(footprint.uncached);
             }
-            if rules.cold_per_second > 0 {
-                server.note_sent(now);
+            if rules.warm_up_per_second > 0 {
+                server.record_sent(now);
             }
-            server.residency.send(&hashes, now);
-            let hand = InHand {
+            server.residency.record_sent(&hashes, now);
+            let hand = InFlightRequest {
                 service: service.clone(),
                 is_repeat: round > 0,
                 expected: chosen.expected,
@@ -184,25 +184,25 @@
         now: MonotonicInstant,
     ) -> Result<(), Milliseconds> {
         let scheduler_rules = &self.scheduler_rules;
-        if scheduler_rules.repeat_window.0 > 0 {
+        if scheduler_rules.retry_window.0 > 0 {
             if round == 0 {
                 return Ok(());
             }
             let own_rank = rank(key_of(service.as_str()), &self.own, &self.members) as u32;
             let part = share_at(
-                scheduler_rules.repeats_in_window,
+                scheduler_rules.retries_per_window,
                 own_rank,
                 self.fleet_size(),
             );
             let window = self
                 .repeat_windows
                 .entry(service.clone())
-                .or_insert_with(|| RepeatWindow::new(begun));
+                .or_insert_with(|| RetryWindow::new(begun));
             let wait = window.check(
-                scheduler_rules.repeat_percent,
+                scheduler_rules.retry_percent,
                 part,
                 now,
-                scheduler_rules.repeat_window,
+                scheduler_rules.retry_window,
             );
             return wait.map_err(|wait| wait.max_with(WAIT_LEAST));
         }
@@ -210,7 +210,7 @@
         let allowance = self
             .repeats
             .entry(service.clone())
-            .or_insert_with(|| Allowance::new(now));
+            .or_insert_with(|| RetryBudget::new(now));
         allowance.drip(part, now);
         if round > 0 && !allowance.has_one() {
             Err(Milliseconds(1000))
@@ -219,16 +219,13 @@
         }
     }
 
-    fn note_placed(&mut self, service: &ServiceName, round: u32, now: MonotonicInstant) {
-        let (span, begun) = (
-            self.scheduler_rules.repeat_window,
-            self.begun.unwrap_or(now),
-        );
+    fn record_placed(&mut self, service: &ServiceName, round: u32, now: MonotonicInstant) {
+        let (span, begun) = (self.scheduler_rules.retry_window, self.begun.unwrap_or(now));
         if span.0 > 0 {
             let window = self
                 .repeat_windows
                 .entry(service.clone())
-                .or_insert_with(|| RepeatWindow::new(begun));
+                .or_insert_with(|| RetryWindow::new(begun));
             return window.place(round > 0, now, span);
         }
         let part = repeat_part(&self.scheduler_rules, service, &self.own, &self.members);
@@ -236,18 +233,21 @@
             if round > 0 {
                 allowance.spend();
             } else {
-                allowance.earn(self.scheduler_rules.repeat_percent, part);
+                allowance.earn(self.scheduler_rules.retry_percent, part);
             }
         }
     }
 
     /// The choice where clients tell nothing of their requests: by requests in hand, and by blocks held.
-    fn choose_by_load(&self, ask: &Ask) -> Result<Choice, Refusal> {
-        let (weighed, full_until) = self.weigh(ask);
-        let deadline = ask.rules.first_token;
-        let Some((place, reason)) =
-            choose(&weighed, ask.is_active, deadline, &self.scheduler_rules)
-        else {
+    fn choose_by_load(&self, placement_request: &PlacementRequest) -> Result<Placement, Rejection> {
+        let (weighed, full_until) = self.weigh(placement_request);
+        let deadline = placement_request.rules.first_token;
+        let Some((place, reason)) = choose(
+            &weighed,
+            placement_request.is_active,
+            deadline,
+            &self.scheduler_rules,
+        ) else {
             let (code, why) = if full_until.0 > 0 {
                 (
                     ResultCode::Crowded,
@@ -259,17 +259,17 @@
                     "no server that may serve it is known and well",
                 )
             };
-            return Err(Refusal {
+            return Err(Rejection {
                 code,
                 why: why.to_owned(),
                 wait: full_until.max_with(Milliseconds(1000)),
             });
         };
         let chosen = weighed[place].candidate.clone();
-        if self.scheduler_rules.does_admit && chosen.expected > deadline {
+        if self.scheduler_rules.enforces_deadlines && chosen.expected > deadline {
             let why = late_words(chosen.expected, deadline);
             let wait = Milliseconds(chosen.expected.0 - deadline.0).max_with(Milliseconds(1000));
-            return Err(Refusal {
+            return Err(Rejection {
                 code: ResultCode::Crowded,
                 why,
                 wait,
@@ -277,7 +277,7 @@
         }
         let was_idle = chosen.load < weighed[place].slots;
         let candidates = weighed.into_iter().map(|w| w.candidate).collect();
-        Ok(Choice {
+        Ok(Placement {
             chosen,
             reason,
             was_idle,
@@ -313,24 +313,24 @@
         &self,
         rules: &ServiceRules,
         hashes: &[PrefixHash],
-        demand: &RequestCost,
+        request_cost: &RequestCost,
     ) -> Option<usize> {
         if !rules.btb.is_on {
             return None;
         }
-        if demand.hash_tokens.is_empty() {
+        if request_cost.hash_tokens.is_empty() {
             let place = (rules.btb.blocks as usize).checked_sub(1)?;
             return (place < hashes.len()).then_some(place);
         }
         let needed =
             u64::from(rules.btb.blocks.max(1)) * u64::from(self.scheduler_rules.block_tokens);
         let mut so_far = 0;
-        let mut parts = demand.hash_tokens.iter().take(hashes.len());
+        let mut parts = request_cost.hash_tokens.iter().take(hashes.len());
         let place = parts.position(|tokens| {
             so_far += u64::from(*tokens);
             so_far >= needed
         })?;
-        let is_own = place + 1 == hashes.len() && so_far >= u64::from(demand.prompt_tokens);
+        let is_own = place + 1 == hashes.len() && so_far >= u64::from(request_cost.prompt_tokens);
         (!is_own).then_some(place)
     }
 
@@ -344,7 +344,7 @@
     ) -> bool {
         server.is_listed
             && !server.is_draining
-            && !server.is_suspect(now)
+            && !server.is_ejected(now)
             && server.pool == rules.pool
             && !self.is_withdrawn(&server.zone)
             && (rules.zones.is_empty() || rules.zones.contains(&server.zone))
@@ -360,7 +360,7 @@
         load: u32,
         now: MonotonicInstant,
     ) -> Result<(), Milliseconds> {
-        if server.is_fresh(now, &self.scheduler_rules) {
+        if server.is_in_slow_start(now, &self.scheduler_rules) {
             let part = self.claimed(cap, server, now)?;
             // What a former life of a node left there shows only in what others and the server itself tell.
             return if server.own < part && load < cap {
@@ -371,25 +371,25 @@
         }
         let part = share_at(cap, server.rank, self.members.len() as u32);
         // Beyond the own part, room that others leave may be used, if all others are heard.
-        let may_borrow = self.knows_all && load < cap;
+        let may_borrow = self.hears_all_members && load < cap;
         if server.own < part || may_borrow {
             Ok(())
         } else {
-            Err(server.hold)
+            Err(server.service_time)
         }
     }
 
     /// All servers that may take the request now, and, if some are only full, until when about.
-    fn weigh(&self, ask: &Ask) -> (Vec<Weighed>, Milliseconds) {
-        let Ask {
+    fn weigh(&self, placement_request: &PlacementRequest) -> (Vec<WeighedServer>, Milliseconds) {
+        let PlacementRequest {
             request,
             rules,
             hashes,
             tried,
             now,
             ..
-        } = *ask;
-        let counted = ask.prefix();
+        } = *placement_request;
+        let counted = placement_request.prefix();
         let mut weighed = vec![];
         let mut full_until = Milliseconds(0);
         let request_key = key_of(request.as_str());
@@ -409,17 +409,17 @@
                 continue;
             }
             let is_warm = counted.is_some_and(|prefix| self.is_warm(prefix, name, server, now));
-            let held = server.residency.matched(hashes, now);
+            let cached = server.residency.matched(hashes, now);
             let is_expected =
                 counted.is_some_and(|prefix| self.is_told(prefix, name, server).is_some());
             let matched = if is_warm || is_expected {
-                held.max(rules.btb.blocks)
+                cached.max(rules.btb.blocks)
             } else {
-                held
+                cached
             };
             let slots = server.slots.unwrap_or(rules.slots).max(1);
-            let queue =
-                u64::from((load + 1).saturating_sub(slots)) * server.hold.0 / u64::from(slots);
+            let queue = u64::from((load + 1).saturating_sub(slots)) * server.service_time.0
+                / u64::from(slots);
             let prefill = (hashes.len() as u64).saturating_sub(u64::from(matched))
                 * server.block_micros
                 / 1000;
@@ -431,7 +431,7 @@
                 expected,
                 is_warm,
             };
-            weighed.push(Weighed {
+            weighed.push(WeighedServer {
                 candidate,
                 slots,
                 tie: mix(key ^ request_key),
@@ -453,12 +453,12 @@
 
 /// Which of the weighed servers, and why.
 fn choose(
-    weighed: &[Weighed],
+    weighed: &[WeighedServer],
     is_active: bool,
     deadline: Milliseconds,
     rules: &SchedulerRules,
 ) -> Option<(usize, PlacementReason)> {
-    let least = |may: &dyn Fn(&Weighed) -> bool| {
+    let least = |may: &dyn Fn(&WeighedServer) -> bool| {
         let those = weighed.iter().enumerate().filter(|(_, w)| may(w));
         those
             .min_by_key(|(_, w)| (w.candidate.load, w.tie))
@@ -476,7 +476,8 @@
             matching.max_by_key(|(_, w)| (w.candidate.matched, u32::MAX - w.candidate.load, w.tie));
         match best {
             Some((place, w))
-                if w.candidate.load <= weighed[idlest].candidate.load + rules.imbalance =>
+                if w.candidate.load
+                    <= weighed[idlest].candidate.load + rules.max_load_imbalance =>
             {
                 (place, PlacementReason::CacheMatch)
             }
@@ -484,7 +485,7 @@
             None => (idlest, PlacementReason::LeastLoaded),
         }
     };
-    if rules.does_admit && weighed[first.0].candidate.expected > deadline {
+    if rules.enforces_deadlines && weighed[first.0].candidate.expected > deadline {
         let soonest = weighed
             .iter()
             .enumerate()
--- a/crates/placement/src/scheduler/tests.rs
+++ b/crates/placement/src/scheduler/tests.rs
@@ -21,8 +21,8 @@
             blocks: 4,
             ..BtbRules::default()
         },
-        cold_per_second: 0,
-        cold_span: Milliseconds(0),
+        warm_up_per_second: 0,
+        warm_up_duration: Milliseconds(0),
         memory_tokens: 0,
     };
     Rules {
@@ -48,7 +48,7 @@
         hashes,
         round: 0,
         tried: vec![],
-        demand: RequestCost::default(),
+        request_cost: RequestCost::default(),
     }
 }
 
@@ -266,7 +266,7 @@
 }
 
 #[parameterized(
-    leaving = { |p: &mut Played| {
+    draining = { |p: &mut Played| {
         let servers = p.scheduler.servers.iter().map(|(name, s)| ServerEntry {
             server: name.clone(), zone: s.zone.clone(), pool: s.pool.clone(), is_draining: name.as_str() != "d", ..ServerEntry::default()
         }).collect();
@@ -283,7 +283,7 @@
         p.take(900, Event::ServerList { servers });
     } },
     told_by_a_peer = { |p: &mut Played| {
-        let sketch = Sketch { number: 1, leaving: vec!["a".into(), "b".into(), "c".into()], ..Sketch::default() };
+        let sketch = Sketch { number: 1, draining: vec!["a".into(), "b".into(), "c".into()], ..Sketch::default() };
         p.take(900, Event::PeerSketch { from: Address::loopback(2), sketch });
     } },
 )]
@@ -360,7 +360,7 @@
                 hashes,
                 round: 1,
                 tried: vec![],
-                demand: RequestCost::default(),
+                request_cost: RequestCost::default(),
             };
             let decisions = played.take(at + 2, again);
             repeats += decisions
--- a/crates/placement/src/scheduler/timing.rs
+++ b/crates/placement/src/scheduler/timing.rs
@@ -1,14 +1,14 @@
 //! Choosing a server where clients tell what they ask: by the expected time to the first piece, and by what
 //! the request costs those that wait beside it.
 
-use super::peer_totals::ToldHolding;
-use super::placing::{Ask, Choice, Refusal, SpanExt, WAIT_LEAST, late_words};
+use super::peer_totals::ReportedPrefix;
+use super::placing::{Placement, PlacementRequest, Rejection, SpanExt, WAIT_LEAST, late_words};
 use super::*;
 use crate::event::{Candidate, PlacementReason, RequestCost};
+use crate::rendezvous::{key_of, mix, share_at};
 use crate::rules::{BtbRules, ServiceRules};
 use crate::scheduler::Scheduler;
 use crate::server_state::ServerState;
-use crate::share::{key_of, mix, share_at};
 use crate::sketch::PrefixHash;
 use types::{Milliseconds, MonotonicInstant, ResultCode, ServerName};
 
@@ -20,7 +20,7 @@
 const LATE_PERCENT: u64 = 60;
 
 /// A server that may take the request.
-struct Scored<'a> {
+struct ScoredServer<'a> {
     name: &'a ServerName,
     slots: u32,
     load: u32,
@@ -37,7 +37,7 @@
     holding: Option<bool>,
 }
 
-impl Scored<'_> {
+impl ScoredServer<'_> {
     fn is_warm(&self) -> bool {
         self.holding == Some(true)
     }
@@ -87,14 +87,17 @@
 }
 
 impl Scheduler {
-    pub(super) fn choose_by_time(&self, ask: &Ask) -> Result<Choice, Refusal> {
-        let (mut scored, survey) = self.score(ask, false);
+    pub(super) fn choose_by_time(
+        &self,
+        placement_request: &PlacementRequest,
+    ) -> Result<Placement, Rejection> {
+        let (mut scored, survey) = self.score(placement_request, false);
         if scored.is_empty() {
             // Rather one more at a server that has yet to show that it works again than a refusal.
-            scored = self.score(ask, true).0;
+            scored = self.score(placement_request, true).0;
         }
         // Prompts stay with what holds them; plain fetches have nothing to stay for.
-        let hysteresis = if ask.hashes.is_empty() {
+        let hysteresis = if placement_request.hashes.is_empty() {
             Milliseconds(0)
         } else {
             self.scheduler_rules.hysteresis
@@ -103,7 +106,7 @@
             return Err(match survey.wait {
                 Some(wait) => {
                     let why = "every server that may serve it is at its cap".to_owned();
-                    Refusal {
+                    Rejection {
                         code: ResultCode::Crowded,
                         why,
                         wait: wait.max_with(WAIT_LEAST),
@@ -111,22 +114,25 @@
                 }
                 None => {
                     let why = "no server that may serve it is known and well".to_owned();
-                    Refusal {
+                    Rejection {
                         code: ResultCode::NoServer,
                         why,
-                        wait: self.well_again(ask).max_with(WAIT_LEAST),
+                        wait: self.well_again(placement_request).max_with(WAIT_LEAST),
                     }
                 }
             });
         };
-        let deadline = if ask.demand.target.0 > 0 {
-            ask.demand.target
+        let deadline = if placement_request.request_cost.target.0 > 0 {
+            placement_request.request_cost.target
         } else {
-            ask.rules.first_token
+            placement_request.rules.first_token
         };
-        let (mut chosen, mut reason) = self.choose_among(ask, &scored, best, &survey, deadline);
+        let (mut chosen, mut reason) =
+            self.choose_among(placement_request, &scored, best, &survey, deadline);
         // A late answer is worth something still; one after the deadline is worth nothing.
-        let latest = deadline.max_with(Milliseconds(ask.demand.deadline.0 * LATE_PERCENT / 100));
+        let latest = deadline.max_with(Milliseconds(
+            placement_request.request_cost.deadline.0 * LATE_PERCENT / 100,
+        ));
         if chosen.expected > deadline.0 {
             let soonest = scored
                 .iter()
@@ -136,38 +142,38 @@
             }
         }
         let has_room = scored.iter().any(|r| r.load * 100 < r.slots * HALF_EMPTY);
-        if self.scheduler_rules.does_admit && chosen.expected > latest.0 && !has_room {
+        if self.scheduler_rules.enforces_deadlines && chosen.expected > latest.0 && !has_room {
             let wait = Milliseconds(chosen.expected - latest.0).max_with(WAIT_LEAST);
-            return Err(Refusal {
+            return Err(Rejection {
                 code: ResultCode::Crowded,
                 why: late_words(Milliseconds(chosen.expected), latest),
                 wait,
             });
         }
-        let mut others: Vec<&Scored> = scored.iter().collect();
-        let by_cost = |r: &&Scored| (r.cost, u64::MAX - r.affinity);
+        let mut others: Vec<&ScoredServer> = scored.iter().collect();
+        let by_cost = |r: &&ScoredServer| (r.cost, u64::MAX - r.affinity);
         if others.len() > SHOWN {
             others.select_nth_unstable_by_key(SHOWN, by_cost);
             others.truncate(SHOWN);
         }
         others.sort_unstable_by_key(by_cost);
-        Ok(Choice {
+        Ok(Placement {
             chosen: chosen.candidate(),
             reason,
             was_idle: chosen.load < chosen.slots,
             footprint: chosen.footprint,
-            candidates: others.into_iter().map(Scored::candidate).collect(),
+            candidates: others.into_iter().map(ScoredServer::candidate).collect(),
         })
     }
 
     fn choose_among<'a, 'b>(
         &self,
-        ask: &Ask,
-        scored: &'b [Scored<'a>],
-        best: &'b Scored<'a>,
+        placement_request: &PlacementRequest,
+        scored: &'b [ScoredServer<'a>],
+        best: &'b ScoredServer<'a>,
         survey: &Survey,
         deadline: Milliseconds,
-    ) -> (&'b Scored<'a>, PlacementReason) {
+    ) -> (&'b ScoredServer<'a>, PlacementReason) {
         let by_cache = || {
             let reason = if best.matched > 0 {
                 PlacementReason::CacheMatch
@@ -176,19 +182,20 @@
             };
             (best, reason)
         };
-        if !ask.is_active {
+        if !placement_request.is_active {
             return by_cache();
         }
-        let least = |may: &dyn Fn(&Scored) -> bool| {
+        let least = |may: &dyn Fn(&ScoredServer) -> bool| {
             let those = scored.iter().filter(|r| may(r));
             those.min_by_key(|r| (r.expected, r.load, u64::MAX - r.affinity))
         };
         let warm = least(&|r| r.is_warm());
-        let wanted = !self.scheduler_rules.does_order_copies && survey.wants_more(&ask.rules.btb);
+        let wanted = !self.scheduler_rules.orders_kv_copies
+            && survey.wants_more(&placement_request.rules.btb);
         // Its own reading warms the next target; a target reads the prefix once, and the rest go where it is held.
         let holder = warm.or_else(|| least(&|r| r.holding.is_some()));
         let is_needed =
-            holder.is_none_or(|holder| holder.expected > self.scheduler_rules.warm_from.0);
+            holder.is_none_or(|holder| holder.expected > self.scheduler_rules.warming_threshold.0);
         if wanted
             && is_needed
             && let Some(target) = best_of(scored, self.scheduler_rules.hysteresis, |r| {
@@ -206,7 +213,7 @@
 
     /// `Some(true)`: it's believed to hold a prefix; `Some(false)`: it was sent there.
     fn holding(
-        told: &[ToldHolding],
+        told: &[ReportedPrefix],
         prefix: PrefixHash,
         name: &ServerName,
         server: &ServerState,
@@ -215,7 +222,7 @@
         let told = told
             .iter()
             .find(|told| told.is_of(name, server.incarnation.unwrap_or(0)));
-        if told.is_some_and(ToldHolding::is_shown) || server.residency.holds(prefix, now) {
+        if told.is_some_and(ReportedPrefix::is_shown) || server.residency.holds(prefix, now) {
             return Some(true);
         }
         if told.is_some() || server.residency.expects(prefix, now) {
@@ -226,47 +233,51 @@
     }
 
     /// When the first server that is kept from work for its faults may have some again.
-    fn well_again(&self, ask: &Ask) -> Milliseconds {
-        let is_kin = |server: &&ServerState| {
-            server.is_listed && !server.is_draining && server.pool == ask.rules.pool
+    fn well_again(&self, placement_request: &PlacementRequest) -> Milliseconds {
+        let is_in_pool = |server: &&ServerState| {
+            server.is_listed && !server.is_draining && server.pool == placement_request.rules.pool
         };
         let waits = self
             .servers
             .values()
-            .filter(is_kin)
-            .filter_map(|server| server.suspect_until);
+            .filter(is_in_pool)
+            .filter_map(|server| server.ejected_until);
         waits
-            .map(|deadline| ask.now.until(deadline))
+            .map(|deadline| placement_request.now.until(deadline))
             .filter(|wait| wait.0 > 0)
             .min()
             .unwrap_or(Milliseconds(1000))
     }
 
     /// All servers that can take the request now, and what is with those that can't.
-    fn score<'a>(&'a self, ask: &Ask, does_trust: bool) -> (Vec<Scored<'a>>, Survey) {
-        let Ask {
+    fn score<'a>(
+        &'a self,
+        placement_request: &PlacementRequest,
+        does_trust: bool,
+    ) -> (Vec<ScoredServer<'a>>, Survey) {
+        let PlacementRequest {
             rules,
             hashes,
             tried,
-            demand,
+            request_cost,
             now,
             ..
-        } = *ask;
+        } = *placement_request;
         let mut scored = Vec::with_capacity(self.servers.len());
         let mut survey = Survey::default();
-        let prefix = ask.prefix();
+        let prefix = placement_request.prefix();
         let told = prefix.map_or(&[][..], |prefix| self.told.holdings(prefix));
-        let prompt = self.prompt_tokens(hashes, demand);
+        let prompt = self.prompt_tokens(hashes, request_cost);
         // Prompts that begin alike prefer the same servers; others are spread.
         let shared = hashes.len().saturating_sub(2);
         let affinity_key = hashes
             .get(shared)
-            .map_or_else(|| key_of(ask.request.as_str()), |hash| hash.0);
+            .map_or_else(|| key_of(placement_request.request.as_str()), |hash| hash.0);
         for (name, server) in &self.servers {
             if !self.may_serve(rules, name, server, now) {
                 continue;
             }
-            let theirs = server.theirs;
+            let peer_load = server.peer_load;
             let load = self.load(server, now);
             let slots = server.slots.unwrap_or(rules.slots).max(1);
             let holding =
@@ -280,24 +291,24 @@
                 continue;
             }
             let matched = server.residency.matched(hashes, now);
-            let matched = match (holding, ask.counted) {
+            let matched = match (holding, placement_request.counted) {
                 (Some(_), Some(place)) => matched.max(place as u32 + 1),
                 _ => matched,
             };
             let kept = self
-                .tokens_of(&hashes[..matched as usize], demand)
+                .tokens_of(&hashes[..matched as usize], request_cost)
                 .min(prompt);
             let memory = if rules.memory_tokens > 0 {
-                prompt + u64::from(demand.output_tokens)
+                prompt + u64::from(request_cost.output_tokens)
             } else {
                 0
             };
-            let queue =
-                u64::from((load + 1).saturating_sub(slots)) * server.hold.0 / u64::from(slots);
+            let queue = u64::from((load + 1).saturating_sub(slots)) * server.service_time.0
+                / u64::from(slots);
             let footprint = Footprint {
                 is_told: true,
                 uncached: prompt - kept,
-                ahead: server.unread + theirs.unread,
+                ahead: server.pending_prefill_tokens + peer_load.pending_prefill_tokens,
                 prompt,
                 memory,
                 queue,
@@ -307,18 +318,18 @@
                 server,
                 &footprint,
                 load,
-                server.tokens + theirs.tokens,
+                server.tokens + peer_load.tokens,
             );
             let reading = self.prefill(server, footprint.uncached);
             let mut cost =
                 expected + reading * u64::from(self.scheduler_rules.prefill_percent) / 100;
-            cost += u64::from(load) * self.scheduler_rules.load_bias.0 / u64::from(slots);
+            cost += u64::from(load) * self.scheduler_rules.load_penalty.0 / u64::from(slots);
             if self.zone.as_ref().is_some_and(|zone| *zone != server.zone) {
-                cost += self.scheduler_rules.zone_bias.0;
+                cost += self.scheduler_rules.zone_penalty.0;
             }
             let affinity = mix(server.key ^ affinity_key);
             let likely = matched;
-            scored.push(Scored {
+            scored.push(ScoredServer {
                 name,
                 slots,
                 load,
@@ -331,7 +342,7 @@
                 holding,
             });
         }
-        self.look_at_first_choice(&mut scored, hashes, demand, shared);
+        self.look_at_first_choice(&mut scored, hashes, request_cost, shared);
         (scored, survey)
     }
 
@@ -340,9 +351,9 @@
     /// request goes, so that it costs nothing to have looked.
     fn look_at_first_choice(
         &self,
-        scored: &mut [Scored],
+        scored: &mut [ScoredServer],
         hashes: &[PrefixHash],
-        demand: &RequestCost,
+        request_cost: &RequestCost,
         shared: usize,
     ) {
         if hashes.len() < 2 || scored.iter().any(|s| s.matched as usize > shared) {
@@ -353,7 +364,7 @@
         };
         let kept = first.footprint.prompt - first.footprint.uncached;
         let saved = self
-            .tokens_of(&hashes[..=shared], demand)
+            .tokens_of(&hashes[..=shared], request_cost)
             .saturating_sub(kept);
         let reading = self
             .servers
@@ -376,20 +387,24 @@
         does_trust: bool,
         now: MonotonicInstant,
     ) -> Result<(), Milliseconds> {
-        if rules.cold_per_second > 0 && server.is_cold(rules.cold_span, now) {
-            let part = self.claimed(rules.cold_per_second, server, now)?;
-            server.check_cold(part, now)?;
+        if rules.warm_up_per_second > 0 && server.is_warming_up(rules.warm_up_duration, now) {
+            let part = self.claimed(rules.warm_up_per_second, server, now)?;
+            server.check_warm_up_rate(part, now)?;
         }
-        let place_wait = Milliseconds(server.hold.0 / u64::from(slots));
+        let place_wait = Milliseconds(server.service_time.0 / u64::from(slots));
         // One that was kept from work shows first that it works again.
-        if !does_trust && server.suspect_until.is_some() && server.faults > 0 && server.own > 0 {
+        if !does_trust
+            && server.ejected_until.is_some()
+            && server.consecutive_failures > 0
+            && server.own > 0
+        {
             return Err(place_wait);
         }
         let cap = slots + slots * self.scheduler_rules.queue_percent / 100;
         let members = self.members.len() as u32;
         let is_own_part = server.own < share_at(cap, server.rank, members);
         // Beyond the own part, room that others leave is used; for those not heard, half of theirs stays free.
-        let unheard = if self.knows_all {
+        let unheard = if self.hears_all_members {
             0
         } else {
             members.saturating_sub(1 + self.counted_peers)
@@ -412,17 +427,17 @@
         tokens: u64,
     ) -> u64 {
         if footprint.prompt == 0 {
-            return server.hold.0 + footprint.queue + server.overdue;
+            return server.service_time.0 + footprint.queue + server.overdue;
         }
         let step = (self.scheduler_rules.step_micros
-            + u64::from(load) * self.scheduler_rules.step_micros_each)
+            + u64::from(load) * self.scheduler_rules.step_micros_per_request)
             / 1000;
         // What doesn't fit beside those that run waits until as much of them has ended.
         let over = (tokens + footprint.memory).saturating_sub(rules.memory_tokens);
         let room = if rules.memory_tokens == 0 || tokens == 0 {
             0
         } else {
-            server.hold.0 * over / tokens
+            server.service_time.0 * over / tokens
         };
         let reading = self.prefill(server, footprint.ahead + footprint.uncached);
         self.scheduler_rules.base_first_token.0
@@ -437,17 +452,17 @@
         tokens * server.block_micros / u64::from(self.scheduler_rules.block_tokens.max(1)) / 1000
     }
 
-    fn prompt_tokens(&self, hashes: &[PrefixHash], demand: &RequestCost) -> u64 {
-        self.tokens_of(hashes, demand)
-            .max(u64::from(demand.prompt_tokens))
+    fn prompt_tokens(&self, hashes: &[PrefixHash], request_cost: &RequestCost) -> u64 {
+        self.tokens_of(hashes, request_cost)
+            .max(u64::from(request_cost.prompt_tokens))
     }
 
     /// Tokens of the leading parts.
-    fn tokens_of(&self, hashes: &[PrefixHash], demand: &RequestCost) -> u64 {
-        if demand.hash_tokens.is_empty() {
+    fn tokens_of(&self, hashes: &[PrefixHash], request_cost: &RequestCost) -> u64 {
+        if request_cost.hash_tokens.is_empty() {
             return hashes.len() as u64 * u64::from(self.scheduler_rules.block_tokens);
         }
-        demand
+        request_cost
             .hash_tokens
             .iter()
             .take(hashes.len())
@@ -458,10 +473,10 @@
 
 /// The cheapest; of those that cost about the same, the one that holds most, then the prefix's own favorite.
 fn best_of<'a, 'b>(
-    scored: &'b [Scored<'a>],
+    scored: &'b [ScoredServer<'a>],
     hysteresis: Milliseconds,
-    may: impl Fn(&Scored) -> bool,
-) -> Option<&'b Scored<'a>> {
+    may: impl Fn(&ScoredServer) -> bool,
+) -> Option<&'b ScoredServer<'a>> {
     let least = scored.iter().filter(|r| may(r)).map(|r| r.cost).min()?;
     let near = scored
         .iter()
--- a/crates/placement/src/scheduler/warming.rs
+++ b/crates/placement/src/scheduler/warming.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 use crate::event::Decision;
+use crate::rendezvous::{key_of, mix, rank};
 use crate::rules::ServiceRules;
 use crate::scheduler::Scheduler;
-use crate::share::{key_of, mix, rank};
 use crate::sketch::PrefixHash;
 use types::{Address, Milliseconds, MonotonicInstant, ServerName, ServiceName};
 
 impl Scheduler {
     /// Makes a prefix active when its count fires, and orders copies that are due.
-    pub(super) fn note_burst(
+    pub(super) fn activate_burst(
         &mut self,
         prefix: PrefixHash,
         rules: &ServiceRules,
@@ -38,14 +38,14 @@
     }
 
     pub(super) fn on_tick(&mut self, now: MonotonicInstant) {
-        self.note_overdue(now);
+        self.record_overdue(now);
         self.assume_copies(now);
-        if self.scheduler_rules.does_order_copies {
+        if self.scheduler_rules.orders_kv_copies {
             self.order_copies(now);
         }
-        self.note_overdue_most(now);
+        self.update_overdue(now);
         self.cool(now);
-        let incarnation = Milliseconds(self.scheduler_rules.sketch_life.0 * 4);
+        let incarnation = Milliseconds(self.scheduler_rules.sketch_lifetime.0 * 4);
         self.peers
             .retain(|_, peer| now.since(peer.heard) < incarnation);
         self.forget_unlisted();
@@ -54,13 +54,13 @@
     /// Nobody tells that an import is done: after a while it's assumed, and first-token times may
     /// disprove it.
     fn assume_copies(&mut self, now: MonotonicInstant) {
-        let span = self.scheduler_rules.copy_span;
+        let span = self.scheduler_rules.copy_duration;
         for active in self.active.values_mut() {
             for (name, copy) in &mut active.copies {
                 if copy.state == CopyState::Ordered && now.since(copy.ordered) >= span {
                     copy.state = CopyState::Assumed;
                     if let Some(server) = self.servers.get_mut(name) {
-                        server.residency.hold(&active.hashes, now);
+                        server.residency.record_cached(&active.hashes, now);
                     }
                 }
             }
@@ -136,7 +136,7 @@
                     self.may_serve(&rules, name, server, now)
                         && !holders.contains(name)
                         && !active.copies.get(*name).is_some_and(is_under_way)
-                        && !server.is_fresh(now, &self.scheduler_rules)
+                        && !server.is_in_slow_start(now, &self.scheduler_rules)
                         && server.knows_kv
                         && server.weights == weights
                         && self.copies_under_way(name) < self.scheduler_rules.copies_per_server
@@ -207,7 +207,7 @@
     }
 
     /// What is overdue at a server now is to be expected of what goes there next.
-    fn note_overdue_most(&mut self, now: MonotonicInstant) {
+    fn update_overdue(&mut self, now: MonotonicInstant) {
         for server in self.servers.values_mut() {
             server.overdue = 0;
         }
@@ -224,7 +224,7 @@
     }
 
     fn cool(&mut self, now: MonotonicInstant) {
-        let span = self.scheduler_rules.cool_after;
+        let span = self.scheduler_rules.deactivate_after;
         for (prefix, active) in &mut self.active {
             if self.told.count(*prefix).is_some() {
                 active.last = now;
@@ -243,7 +243,7 @@
             let copies: Vec<ServerName> = active.copies.into_keys().collect();
             for name in &copies {
                 if let Some(server) = self.servers.get_mut(name) {
-                    server.residency.drop_all(&[prefix]);
+                    server.residency.evict(&[prefix]);
                 }
             }
             self.decisions.push(Decision::Cooled { prefix, copies });
--- a/crates/placement/src/server_state.rs
+++ b/crates/placement/src/server_state.rs
@@ -1,7 +1,7 @@
 use crate::event::ServerEntry;
-use crate::residency::Residency;
+use crate::prefix_residency::PrefixResidency;
+use crate::rendezvous::key_of;
 use crate::rules::SchedulerRules;
-use crate::share::key_of;
 use std::collections::VecDeque;
 use types::{Milliseconds, MonotonicInstant, ZoneName};
 
@@ -11,7 +11,7 @@
     /// Requests.
     pub count: u32,
     /// Prompt tokens of them that it has still to read.
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
     /// Tokens that they take of its memory.
     pub tokens: u64,
 }
@@ -37,7 +37,7 @@
     /// Whether it has refused KV orders as unknown.
     pub knows_kv: bool,
     /// From when its ramp counts.
-    pub ramp_from: MonotonicInstant,
+    pub slow_start_from: MonotonicInstant,
     /// Slots, if it told.
     pub slots: Option<u32>,
     /// Its last report: running and waiting, and when it came.
@@ -45,23 +45,23 @@
     /// This node's requests there.
     pub own: u32,
     /// The requests of those peers there whose sketches count.
-    pub theirs: Load,
+    pub peer_load: Load,
     /// Failures one after another.
-    pub faults: u32,
+    pub consecutive_failures: u32,
     /// How much later than expected its first pieces came lately, in ms, smoothed.
     pub lag: u64,
     /// A first piece may come this much later than expected, besides what is usual.
     pub lag_slack: Milliseconds,
     /// First pieces that came far too late, one after another.
-    pub late: u32,
+    pub consecutive_late: u32,
     /// No work until then.
-    pub suspect_until: Option<MonotonicInstant>,
+    pub ejected_until: Option<MonotonicInstant>,
     /// What it holds.
-    pub residency: Residency,
+    pub residency: PrefixResidency,
     /// Prefill of a block in microseconds.
     pub block_micros: u64,
     /// How long a request holds a slot.
-    pub hold: Milliseconds,
+    pub service_time: Milliseconds,
     /// A number for its name, the same everywhere.
     pub key: u64,
     /// This node's place in the server's own order of the members.
@@ -69,17 +69,17 @@
     /// When it was first listed, or a new life of it was first heard of, in this node's life.
     pub listed_from: MonotonicInstant,
     /// Until when the list says that it is cold; `None` where the list has never told.
-    pub cold_until: Option<MonotonicInstant>,
+    pub warming_up_until: Option<MonotonicInstant>,
     /// What this node sent it lately while it was cold.
-    pub cold_sent: VecDeque<MonotonicInstant>,
+    pub sent_while_warming_up: VecDeque<MonotonicInstant>,
     /// Prompt tokens of this node's requests that it has still to read.
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
     /// Tokens that this node's requests take of its memory.
     pub tokens: u64,
     /// Tokens that this node's requests made it read in this node's life.
-    pub read: u64,
+    pub prefilled_tokens: u64,
     /// What of them the last sketch told.
-    pub read_told: u64,
+    pub reported_prefilled_tokens: u64,
     /// How long this node's most overdue first piece there is overdue, in ms.
     pub overdue: u64,
 }
@@ -95,46 +95,46 @@
             incarnation: None,
             weights: None,
             knows_kv: true,
-            ramp_from: now,
+            slow_start_from: now,
             slots: entry.slots,
             reported: None,
             own: 0,
-            theirs: Load::default(),
-            faults: 0,
+            peer_load: Load::default(),
+            consecutive_failures: 0,
             lag: 0,
             lag_slack: rules.lag_slack,
-            late: 0,
-            suspect_until: None,
-            residency: Residency::default(),
+            consecutive_late: 0,
+            ejected_until: None,
+            residency: PrefixResidency::default(),
             block_micros: rules.block_micros,
-            hold: rules.hold,
+            service_time: rules.service_time,
             key: key_of(entry.server.as_str()),
             rank: 0,
             listed_from: now,
-            cold_until: entry.cold_left.map(|left| now + left),
-            cold_sent: VecDeque::new(),
-            unread: 0,
+            warming_up_until: entry.warm_up_left.map(|left| now + left),
+            sent_while_warming_up: VecDeque::new(),
+            pending_prefill_tokens: 0,
             tokens: 0,
-            read: 0,
-            read_told: 0,
+            prefilled_tokens: 0,
+            reported_prefilled_tokens: 0,
             overdue: 0,
         }
     }
     /// Takes over what the list says of it.
-    pub fn note_entry(&mut self, entry: ServerEntry, now: MonotonicInstant) {
+    pub fn update_from_list(&mut self, entry: ServerEntry, now: MonotonicInstant) {
         self.is_listed = true;
         self.is_draining = entry.is_draining;
         self.zone = entry.zone;
         self.pool = entry.pool;
         self.slots = entry.slots.or(self.slots);
-        if let Some(left) = entry.cold_left {
-            self.cold_until = Some(now + left);
+        if let Some(left) = entry.warm_up_left {
+            self.warming_up_until = Some(now + left);
         }
     }
     /// Whether it is cold. Where the list has not told, it is for as long as the plan says, from when this
     /// node first heard of it.
-    pub fn is_cold(&self, span: Milliseconds, now: MonotonicInstant) -> bool {
-        match self.cold_until {
+    pub fn is_warming_up(&self, span: Milliseconds, now: MonotonicInstant) -> bool {
+        match self.warming_up_until {
             Some(deadline) => now < deadline,
             None => now.since(self.listed_from) < span,
         }
@@ -142,62 +142,66 @@
     /// Whether this node may send it one more while it is cold; else when.
     ///
     /// Invariant: no more than `part` go there in any second.
-    pub fn check_cold(&self, part: u32, now: MonotonicInstant) -> Result<(), Milliseconds> {
+    pub fn check_warm_up_rate(&self, part: u32, now: MonotonicInstant) -> Result<(), Milliseconds> {
         if part == 0 {
-            return Err(COLD_WINDOW);
+            return Err(WARM_UP_RATE_WINDOW);
         }
         let lately = self
-            .cold_sent
+            .sent_while_warming_up
             .iter()
-            .filter(|at| now.since(**at) < COLD_WINDOW);
+            .filter(|at| now.since(**at) < WARM_UP_RATE_WINDOW);
         let Some(oldest) = lately.rev().nth(part as usize - 1) else {
             return Ok(());
         };
-        Err(now.until(*oldest + COLD_WINDOW))
+        Err(now.until(*oldest + WARM_UP_RATE_WINDOW))
     }
     /// It was sent one. Also noted of warm ones: they may turn cold at any moment.
-    pub fn note_sent(&mut self, now: MonotonicInstant) {
+    pub fn record_sent(&mut self, now: MonotonicInstant) {
         while self
-            .cold_sent
+            .sent_while_warming_up
             .front()
-            .is_some_and(|at| now.since(*at) >= COLD_WINDOW)
+            .is_some_and(|at| now.since(*at) >= WARM_UP_RATE_WINDOW)
         {
-            self.cold_sent.pop_front();
+            self.sent_while_warming_up.pop_front();
         }
-        self.cold_sent.push_back(now);
+        self.sent_while_warming_up.push_back(now);
     }
     /// What the whole fleet may have in hand there now.
     pub fn cap(&self, full: u32, now: MonotonicInstant, rules: &SchedulerRules) -> u32 {
-        let age = now.since(self.ramp_from);
-        if age >= rules.ramp {
+        let age = now.since(self.slow_start_from);
+        if age >= rules.slow_start_duration {
             return full;
         }
-        let grown = u64::from(full) * age.0 / rules.ramp.0.max(1);
-        full.min(rules.ramp_start.max(grown as u32))
+        let grown = u64::from(full) * age.0 / rules.slow_start_duration.0.max(1);
+        full.min(rules.slow_start_initial_cap.max(grown as u32))
     }
     /// Whether it's still ramping up.
-    pub fn is_fresh(&self, now: MonotonicInstant, rules: &SchedulerRules) -> bool {
-        now.since(self.ramp_from) < rules.ramp
+    pub fn is_in_slow_start(&self, now: MonotonicInstant, rules: &SchedulerRules) -> bool {
+        now.since(self.slow_start_from) < rules.slow_start_duration
     }
     /// Whether it's kept from work after faults.
-    pub fn is_suspect(&self, now: MonotonicInstant) -> bool {
-        self.suspect_until.is_some_and(|deadline| now < deadline)
+    pub fn is_ejected(&self, now: MonotonicInstant) -> bool {
+        self.ejected_until.is_some_and(|deadline| now < deadline)
     }
     /// A request failed there. Gives how long it is kept from work, if it is.
-    pub fn fault(&mut self, now: MonotonicInstant, is_certain: bool) -> Option<Milliseconds> {
-        self.faults += 1;
+    pub fn record_failure(
+        &mut self,
+        now: MonotonicInstant,
+        is_certain: bool,
+    ) -> Option<Milliseconds> {
+        self.consecutive_failures += 1;
         let needed = if is_certain { 1 } else { 2 };
-        if self.faults < needed || self.is_suspect(now) {
+        if self.consecutive_failures < needed || self.is_ejected(now) {
             return None;
         }
-        let span = Milliseconds((500u64 << self.faults.min(5)).min(8000));
-        self.suspect_until = Some(now + span);
-        self.ramp_from = now + span;
+        let span = Milliseconds((500u64 << self.consecutive_failures.min(5)).min(8000));
+        self.ejected_until = Some(now + span);
+        self.slow_start_from = now + span;
         Some(span)
     }
     /// A first piece came after it had read so many tokens, in so many microseconds besides the base time.
     pub fn learn_prefill(&mut self, took: u64, tokens: u64, rules: &SchedulerRules) {
-        if tokens < LEARN_LEAST {
+        if tokens < MIN_LEARNING_TOKENS {
             return;
         }
         let sample = took * u64::from(rules.block_tokens) / tokens;
@@ -206,27 +210,27 @@
     }
     /// A first piece came this much later than expected, while its kin are `usual` late. Says whether it's
     /// far too slow: a server that answers, but slowly, is as bad as one that doesn't.
-    pub fn note_lag(&mut self, lag: u64, usual: u64) -> bool {
+    pub fn record_lag(&mut self, lag: u64, usual: u64) -> bool {
         self.lag = (self.lag * 3 + lag) / 4;
-        self.late = if lag > self.lag_slack.0 + usual * 4 {
-            self.late + 1
+        self.consecutive_late = if lag > self.lag_slack.0 + usual * 4 {
+            self.consecutive_late + 1
         } else {
             0
         };
-        self.late >= LATE_MOST
+        self.consecutive_late >= MAX_CONSECUTIVE_LATE
     }
     /// A request went well there.
-    pub fn well(&mut self) {
-        self.faults = 0;
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
     }
 }
 
 /// From a prompt with less to read, the reading speed can't be told.
-const LEARN_LEAST: u64 = 2048;
+const MIN_LEARNING_TOKENS: u64 = 2048;
 /// What a cold server bears is told by the second.
-const COLD_WINDOW: Milliseconds = Milliseconds::seconds(1);
+const WARM_UP_RATE_WINDOW: Milliseconds = Milliseconds::seconds(1);
 /// So many late ones in a row are no chance.
-const LATE_MOST: u32 = 2;
+const MAX_CONSECUTIVE_LATE: u32 = 2;
 
 #[cfg(test)]
 mod tests;
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/sketch.rs
@@ -58,13 +58,15 @@
         pub count: u32,
         /// Prompt tokens of them that the server has still to read.
         #[serde(default)]
-        pub unread: u64,
+        #[serde(rename = "unread")]
+        pub pending_prefill_tokens: u64,
         /// Tokens that they take of its memory.
         #[serde(default)]
         pub tokens: u64,
         /// Tokens that the sender's requests made it read in the sender's life.
         #[serde(default)]
-        pub read: u64,
+        #[serde(rename = "read")]
+        pub prefilled_tokens: u64,
     }
 
     /// What one node tells the others, or a sum of what all others tell.
@@ -84,7 +86,8 @@
         /// What the sender has at servers.
         pub in_flight: Vec<InFlight>,
         /// Servers that the sender knows to be leaving.
-        pub leaving: Vec<ServerName>,
+        #[serde(rename = "leaving")]
+        pub draining: Vec<ServerName>,
         /// In a sum over all other nodes: the members whose sights are not in it.
         #[serde(default)]
         pub missing: Option<Vec<Address>>,
--- a/crates/placement/tests/by_time.rs
+++ b/crates/placement/tests/by_time.rs
@@ -20,8 +20,8 @@
         first_token: Milliseconds(800),
         slots: 128,
         btb: BtbRules::default(),
-        cold_per_second: 0,
-        cold_span: Milliseconds(0),
+        warm_up_per_second: 0,
+        warm_up_duration: Milliseconds(0),
         memory_tokens: 650_000,
     }
 }
@@ -29,7 +29,7 @@
 fn scheduler_rules() -> SchedulerRules {
     SchedulerRules {
         block_micros: 143,
-        does_order_copies: false,
+        orders_kv_copies: false,
         ..SchedulerRules::default()
     }
 }
@@ -40,7 +40,7 @@
         zone: zone.into(),
         pool: "model".into(),
         slots: Some(128),
-        cold_left: Some(Milliseconds(0)),
+        warm_up_left: Some(Milliseconds(0)),
         ..ServerEntry::default()
     }
 }
@@ -82,10 +82,10 @@
         })
     }
     /// A prompt of these parts and tokens; gives its request and the decision on it.
-    fn ask(&mut self, at: u64, parts: &[(u64, u32)], round: u32) -> (RequestId, Decision) {
+    fn submit(&mut self, at: u64, parts: &[(u64, u32)], round: u32) -> (RequestId, Decision) {
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
-        let demand = RequestCost {
+        let request_cost = RequestCost {
             hash_tokens: parts.iter().map(|(_, tokens)| *tokens).collect(),
             prompt_tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
             output_tokens: 400,
@@ -98,7 +98,7 @@
             hashes: parts.iter().map(|(hash, _)| PrefixHash(*hash)).collect(),
             round,
             tried: vec![],
-            demand,
+            request_cost,
         };
         let decisions = self.take(at, event);
         let is_answer =
@@ -113,7 +113,7 @@
     }
     fn draft(&mut self, at: u64, prefix: u64) -> (RequestId, Decision) {
         let own = 1_000_000 + self.next;
-        self.ask(at, &[(1, 512), (prefix, 4870), (own, 6610)], 0)
+        self.submit(at, &[(1, 512), (prefix, 4870), (own, 6610)], 0)
     }
     fn end(&mut self, at: u64, request: RequestId, outcome: Outcome) -> Vec<Decision> {
         self.take(at, Event::Ended { request, outcome })
@@ -136,7 +136,7 @@
 fn y_counts_in_tokens_and_never_with_the_own_part(parts: &[(u64, u32)], is_counted: bool) {
     let mut played = Played::new();
     for n in 0..6 {
-        played.ask(n * 10, parts, 0);
+        played.submit(n * 10, parts, 0);
     }
     assert_eq!(
         !played
@@ -166,9 +166,9 @@
     let in_flight = vec![InFlight {
         server: holder.clone(),
         count: 80,
-        unread: 1_000_000,
+        pending_prefill_tokens: 1_000_000,
         tokens: 0,
-        read: 0,
+        prefilled_tokens: 0,
     }];
     let sketch = Sketch {
         incarnation: 1,
@@ -194,9 +194,9 @@
     let in_flight = vec![InFlight {
         server: "a".into(),
         count: 40,
-        unread: 0,
+        pending_prefill_tokens: 0,
         tokens: 649_000,
-        read: 0,
+        prefilled_tokens: 0,
     }];
     let sketch = Sketch {
         incarnation: 1,
@@ -283,7 +283,7 @@
 fn the_own_zone_is_preferred_lightly() {
     let servers = vec![entry("a", "north"), entry("b", "south")];
     let rules = SchedulerRules {
-        zone_bias: Milliseconds(60),
+        zone_penalty: Milliseconds(60),
         ..scheduler_rules()
     };
     let mut played = Played::with(service(), rules, servers);
@@ -302,14 +302,14 @@
 fn late_is_better_than_never_and_the_hopeless_are_told_when_to_come_back() {
     let servers = vec![entry("a", "north"), entry("b", "north")];
     let mut played = Played::with(service(), scheduler_rules(), servers);
-    let tell = |played: &mut Played, number, unread| {
+    let tell = |played: &mut Played, number, pending_prefill_tokens| {
         let in_flight = ["a", "b"]
             .map(|server| InFlight {
                 server: server.into(),
                 count: 100,
-                unread,
+                pending_prefill_tokens,
                 tokens: 0,
-                read: 0,
+                prefilled_tokens: 0,
             })
             .to_vec();
         let sketch = Sketch {
@@ -379,7 +379,7 @@
             },
         );
     }
-    let decisions: Vec<Decision> = (0..40).map(|n| played.ask(n, &[], 0).1).collect();
+    let decisions: Vec<Decision> = (0..40).map(|n| played.submit(n, &[], 0).1).collect();
     let placed = decisions
         .iter()
         .filter(|d| matches!(d, Decision::Placed { .. }))
@@ -400,14 +400,14 @@
 #[test]
 fn a_cold_server_gets_its_rate_and_the_rest_go_elsewhere() {
     let rules = ServiceRules {
-        cold_per_second: 20,
-        cold_span: Milliseconds(3000),
+        warm_up_per_second: 20,
+        warm_up_duration: Milliseconds(3000),
         ..service()
     };
     let servers = vec![
         entry("warm", "north"),
         ServerEntry {
-            cold_left: None,
+            warm_up_left: None,
             ..entry("new", "north")
         },
     ];
@@ -422,7 +422,7 @@
     );
     let mut sent = vec![];
     for at in (0..2900).step_by(10) {
-        let (request, decision) = played.ask(at, &[(at + 5, 10)], 0);
+        let (request, decision) = played.submit(at, &[(at + 5, 10)], 0);
         if server_of(&decision).as_str() == "new" {
             sent.push(at);
         }
@@ -444,13 +444,13 @@
         10_000,
         Event::ServerList {
             servers: vec![ServerEntry {
-                cold_left: Some(Milliseconds(2000)),
+                warm_up_left: Some(Milliseconds(2000)),
                 ..entry("warm", "north")
             }],
         },
     );
     let placed = (0..40)
-        .filter(|n| matches!(played.ask(10_000 + n, &[], 0).1, Decision::Placed { .. }))
+        .filter(|n| matches!(played.submit(10_000 + n, &[], 0).1, Decision::Placed { .. }))
         .count();
     assert!(placed <= 5, "{placed}");
 }
@@ -479,7 +479,7 @@
             .scheduler
             .servers()
             .values()
-            .filter(|server| server.is_suspect(now))
+            .filter(|server| server.is_ejected(now))
             .count();
         assert!(lost <= 2, "{lost} of 4 kept from work on mere doubt");
         for request in requests {
@@ -500,16 +500,16 @@
 #[test]
 fn before_the_members_are_told_a_cold_server_gets_nothing() {
     let rules = ServiceRules {
-        cold_per_second: 20,
-        cold_span: Milliseconds(3000),
+        warm_up_per_second: 20,
+        warm_up_duration: Milliseconds(3000),
         ..service()
     };
     let servers = vec![ServerEntry {
-        cold_left: Some(Milliseconds(60_000)),
+        warm_up_left: Some(Milliseconds(60_000)),
         ..entry("new", "north")
     }];
     let mut played = Played::with(rules, scheduler_rules(), servers);
-    assert!((0..50).all(|n| matches!(played.ask(n * 100, &[], 0).1, Decision::Refused { .. })));
+    assert!((0..50).all(|n| matches!(played.submit(n * 100, &[], 0).1, Decision::Refused { .. })));
     played.take(
         5000,
         Event::Members {
@@ -519,11 +519,11 @@
     );
     // Nor for a second and a half after: what others placed before has left by then, and its second is over.
     assert!((0..30).all(|n| matches!(
-        played.ask(5000 + n * 50, &[], 0).1,
+        played.submit(5000 + n * 50, &[], 0).1,
         Decision::Refused { .. }
     )));
     assert!(matches!(
-        played.ask(6500, &[], 0).1,
+        played.submit(6500, &[], 0).1,
         Decision::Placed { .. }
     ));
 }
--- a/crates/placement/tests/cold_shares.rs
+++ b/crates/placement/tests/cold_shares.rs
@@ -95,8 +95,8 @@
             first_token: Milliseconds(800),
             slots: 128,
             btb: BtbRules::default(),
-            cold_per_second: BEARS as u32,
-            cold_span: Milliseconds(3000),
+            warm_up_per_second: BEARS as u32,
+            warm_up_duration: Milliseconds(3000),
             memory_tokens: 0,
         };
         let services = [("drafts".into(), service)].into();
@@ -113,7 +113,7 @@
         let entry = ServerEntry {
             server: "new".into(),
             slots: Some(128),
-            cold_left: Some(Milliseconds(600_000)),
+            warm_up_left: Some(Milliseconds(600_000)),
             zone: "north".into(),
             pool: "model".into(),
             ..ServerEntry::default()
@@ -177,13 +177,13 @@
         }
     }
     /// A request comes to a node; it ends at once.
-    fn ask(&mut self, place: usize) {
+    fn submit(&mut self, place: usize) {
         if self.now <= self.nodes[place].up_from {
             return;
         }
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
-        let demand = RequestCost {
+        let request_cost = RequestCost {
             prompt_tokens: 100,
             output_tokens: 10,
             deadline: Milliseconds(15_000),
@@ -198,7 +198,7 @@
                 hashes,
                 round: 0,
                 tried,
-                demand,
+                request_cost,
             },
         );
         if decisions
@@ -221,7 +221,7 @@
             self.step();
             for _ in 0..3 {
                 let place = self.random(NODES as u64) as usize;
-                self.ask(place);
+                self.submit(place);
             }
         }
     }
@@ -257,12 +257,15 @@
     fleet.change_membership(all());
     fleet.press(12_000);
     assert_eq!(fleet.most_a_second(START), BEARS);
-    let late = fleet
+    let consecutive_late = fleet
         .placed
         .iter()
         .filter(|at| **at >= START + 6000)
         .count();
-    assert!(late >= BEARS * 6 * 9 / 10, "{late} in six seconds");
+    assert!(
+        consecutive_late >= BEARS * 6 * 9 / 10,
+        "{consecutive_late} in six seconds"
+    );
 }
 
 #[test]
@@ -281,10 +284,10 @@
         "{} in a second",
         fleet.most_a_second(from)
     );
-    let late = fleet.placed.iter().filter(|at| **at >= from + 6000).count();
+    let consecutive_late = fleet.placed.iter().filter(|at| **at >= from + 6000).count();
     assert!(
-        late >= BEARS * 6 * 8 / 10,
-        "{late} in six seconds from the ten that are left"
+        consecutive_late >= BEARS * 6 * 8 / 10,
+        "{consecutive_late} in six seconds from the ten that are left"
     );
 }
 
@@ -356,6 +359,9 @@
     fleet.press(6000);
     let from = fleet.now;
     fleet.press(5000);
-    let late = fleet.placed.iter().filter(|at| **at >= from).count();
-    assert!(late >= BEARS * 5 * 9 / 10, "{late} in five seconds");
+    let consecutive_late = fleet.placed.iter().filter(|at| **at >= from).count();
+    assert!(
+        consecutive_late >= BEARS * 5 * 9 / 10,
+        "{consecutive_late} in five seconds"
+    );
 }
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -14,7 +14,7 @@
 struct Engine {
     name: ServerName,
     speed: f64,
-    cold_until: u64,
+    warming_up_until: u64,
     does_refuse: bool,
     kept: BTreeSet<PrefixHash>,
     read_until: f64,
@@ -57,7 +57,7 @@
         let engine = |n: usize| Engine {
             name: ServerName::from(format!("e{n}").as_str()),
             speed: [1.0, 1.0, 1.3][n % 3],
-            cold_until: 0,
+            warming_up_until: 0,
             does_refuse: false,
             kept: BTreeSet::new(),
             read_until: 0.0,
@@ -95,7 +95,9 @@
         let entry = |engine: &Engine| ServerEntry {
             server: engine.name.clone(),
             slots: Some(128),
-            cold_left: Some(Milliseconds(engine.cold_until.saturating_sub(self.now))),
+            warm_up_left: Some(Milliseconds(
+                engine.warming_up_until.saturating_sub(self.now),
+            )),
             zone: "north".into(),
             pool: "model".into(),
             ..ServerEntry::default()
@@ -164,7 +166,7 @@
                         },
                     );
                     if outcome == Outcome::Refused {
-                        self.ask(place, self.sent[&request].1, 1);
+                        self.submit(place, self.sent[&request].1, 1);
                     }
                 }
             }
@@ -202,7 +204,7 @@
         }
     }
     /// A prompt of 5382 shared tokens and its own comes to a node.
-    fn ask(&mut self, place: usize, prefix: u64, round: u32) {
+    fn submit(&mut self, place: usize, prefix: u64, round: u32) {
         self.next += 1;
         let request = RequestId(format!("o{}", self.next));
         let parts = [
@@ -210,7 +212,7 @@
             (PrefixHash(prefix), 4870),
             (PrefixHash(mix(self.next)), 3000),
         ];
-        let demand = RequestCost {
+        let request_cost = RequestCost {
             hash_tokens: parts.map(|(_, tokens)| tokens).to_vec(),
             prompt_tokens: parts.iter().map(|(_, tokens)| tokens).sum(),
             output_tokens: 400,
@@ -224,7 +226,7 @@
             hashes,
             round,
             tried: vec![],
-            demand,
+            request_cost,
         };
         if round == 0 {
             self.asked.push(self.now);
@@ -305,8 +307,8 @@
         first_token: Milliseconds(800),
         slots: 128,
         btb: BtbRules::default(),
-        cold_per_second: 20,
-        cold_span: Milliseconds(3000),
+        warm_up_per_second: 20,
+        warm_up_duration: Milliseconds(3000),
         memory_tokens: 650_000,
     }
 }
@@ -314,9 +316,9 @@
 fn scheduler_rules() -> SchedulerRules {
     SchedulerRules {
         block_micros: 143,
-        does_order_copies: false,
-        repeat_window: Milliseconds::seconds(10),
-        repeats_in_window: 62,
+        orders_kv_copies: false,
+        retry_window: Milliseconds::seconds(10),
+        retries_per_window: 62,
         ..SchedulerRules::default()
     }
 }
@@ -329,15 +331,15 @@
         // From the fourth second on, one prefix comes fifty times a second, at whatever node.
         if at >= 4000 && at % 20 == 0 {
             let place = fleet.random(10) as usize;
-            fleet.ask(place, 777, 0);
+            fleet.submit(place, 777, 0);
         }
         if at >= 1500 && at % 50 == 0 {
             let (place, prefix) = (fleet.random(10) as usize, 100 + fleet.random(60));
-            fleet.ask(place, prefix, 0);
+            fleet.submit(place, prefix, 0);
         }
     }
-    let late = START + 6000;
-    let hot = |p: &&(u64, ServerName, PlacementReason, u64)| p.3 == 777 && p.0 >= late;
+    let consecutive_late = START + 6000;
+    let hot = |p: &&(u64, ServerName, PlacementReason, u64)| p.3 == 777 && p.0 >= consecutive_late;
     let used: BTreeSet<&ServerName> = fleet.placed.iter().filter(hot).map(|p| &p.1).collect();
     assert!((3..=6).contains(&used.len()), "the burst went to {used:?}");
     let reads: u32 = fleet
@@ -348,8 +350,11 @@
     assert!(reads <= 6, "the hot prefix was read {reads} times");
     assert_eq!(fleet.refused, 0);
     fleet.firsts.sort_unstable();
-    let late = fleet.firsts[fleet.firsts.len() * 98 / 100];
-    assert!(late < 800, "98 % come within {late} ms");
+    let consecutive_late = fleet.firsts[fleet.firsts.len() * 98 / 100];
+    assert!(
+        consecutive_late < 800,
+        "98 % come within {consecutive_late} ms"
+    );
 }
 
 #[test]
@@ -360,7 +365,7 @@
         fleet.step();
         if at % 2000 == 1900 {
             let place = fleet.random(6) as usize;
-            fleet.engines[place].cold_until = fleet.now + 3000;
+            fleet.engines[place].warming_up_until = fleet.now + 3000;
         }
         if at % 300 == 250 {
             let place = fleet.random(11) as usize;
@@ -369,7 +374,7 @@
         if at >= 1500 && at % 8 == 0 {
             let (place, prefix) = (fleet.random(11) as usize, 100 + fleet.random(20));
             let before = fleet.placed.len();
-            fleet.ask(place, prefix, 0);
+            fleet.submit(place, prefix, 0);
             for (now, server, ..) in fleet.placed[before..].iter().cloned() {
                 let engine = fleet
                     .engines
@@ -377,7 +382,7 @@
                     .find(|engine| engine.name == server)
                     .expect("listed");
                 // What the list had not yet told nobody could know: it comes every 100 ms here.
-                if engine.cold_until > now && engine.cold_until - now < 2900 {
+                if engine.warming_up_until > now && engine.warming_up_until - now < 2900 {
                     arrivals_while_cold.entry(server).or_default().push(now);
                 }
             }
@@ -413,7 +418,7 @@
         if at >= 1000 && at % 10 == 0 {
             // Half of all come to one node.
             let place = fleet.random(20).min(10) as usize;
-            fleet.ask(place, 100 + at % 7, 0);
+            fleet.submit(place, 100 + at % 7, 0);
         }
     }
     assert!(
@@ -445,7 +450,7 @@
             fleet.step();
             if at % 15 == 0 {
                 let (place, prefix) = (fleet.random(4) as usize, 100 + fleet.random(5));
-                fleet.ask(place, prefix, 0);
+                fleet.submit(place, prefix, 0);
             }
         }
         fleet.placed
--- a/crates/placement/tests/golden.rs
+++ b/crates/placement/tests/golden.rs
@@ -88,8 +88,8 @@
             copies: 2,
             most_copies: 7,
         },
-        cold_per_second: 9,
-        cold_span: Milliseconds(10_000),
+        warm_up_per_second: 9,
+        warm_up_duration: Milliseconds(10_000),
         memory_tokens: 200_000,
     };
     Rules {
@@ -105,7 +105,7 @@
             server: ServerName::from("model-0.life-3"),
             address: Some("127.0.0.1:8101".into()),
             slots: Some(16),
-            cold_left: Some(Milliseconds(2500)),
+            warm_up_left: Some(Milliseconds(2500)),
             zone: ZoneName::from("north"),
             pool: "model".into(),
             is_draining: false,
@@ -114,7 +114,7 @@
             server: ServerName::from("127.0.0.1:8102"),
             address: None,
             slots: None,
-            cold_left: None,
+            warm_up_left: None,
             zone: ZoneName::from("south"),
             pool: "app".into(),
             is_draining: true,
@@ -140,11 +140,11 @@
         in_flight: vec![InFlight {
             server: server(),
             count: 17,
-            unread: 18,
+            pending_prefill_tokens: 18,
             tokens: 19,
-            read: 20,
+            prefilled_tokens: 20,
         }],
-        leaving: vec![server()],
+        draining: vec![server()],
         missing: Some(vec![Address::loopback(7201)]),
     }
 }
@@ -179,7 +179,7 @@
             hashes: vec![PrefixHash(26), PrefixHash(27)],
             round: 1,
             tried: vec![server()],
-            demand: RequestCost {
+            request_cost: RequestCost {
                 hash_tokens: vec![28, 29],
                 prompt_tokens: 30,
                 output_tokens: 31,
--- a/crates/placement/tests/repeat_window.rs
+++ b/crates/placement/tests/retry_window.rs
@@ -1,12 +1,12 @@
 //! One node's repeats in each sliding window.
 
-use placement::RepeatWindow;
+use placement::RetryWindow;
 use types::{Milliseconds, MonotonicInstant};
 
 #[test]
 fn no_window_has_more_than_its_bound_and_a_new_life_begins_without_the_extra() {
     let window = Milliseconds::seconds(10);
-    let mut node = RepeatWindow::new(MonotonicInstant(0));
+    let mut node = RetryWindow::new(MonotonicInstant(0));
     let mut made = vec![];
     for at in (0..60_000).step_by(50) {
         let now = MonotonicInstant(at);
@@ -35,7 +35,7 @@
 #[test]
 fn a_part_that_grows_counts_after_a_window_and_one_that_shrinks_at_once() {
     let window = Milliseconds::seconds(10);
-    let mut node = RepeatWindow::new(MonotonicInstant(0));
+    let mut node = RetryWindow::new(MonotonicInstant(0));
     assert!(node.check(20, 10, MonotonicInstant(9999), window).is_err());
     assert!(node.check(20, 10, MonotonicInstant(10_000), window).is_ok());
     (0..8).for_each(|_| node.place(true, MonotonicInstant(10_000), window));
--- a/crates/placement/tests/urgency.rs
+++ b/crates/placement/tests/urgency.rs
@@ -12,10 +12,10 @@
     beyond_all_classes = { u32::MAX, 1, 9 },
 )]
 fn the_shorter_against_its_target_goes_first(prompt_tokens: u32, target: u64, class: u8) {
-    let demand = RequestCost {
+    let request_cost = RequestCost {
         prompt_tokens,
         target: Milliseconds(target),
         ..RequestCost::default()
     };
-    assert_eq!(demand.urgency(), class);
+    assert_eq!(request_cost.urgency(), class);
 }
--- a/crates/router/src/authorization.rs
+++ b/crates/router/src/authorization.rs
@@ -54,8 +54,8 @@
 }
 
 /// What a request takes of its tenant's quota.
-pub(crate) fn quota_amount(tenant: &TenantPlan, demand: &RequestCost) -> Amount {
-    let told = u64::from(demand.prompt_tokens) + u64::from(demand.output_tokens);
+pub(crate) fn quota_amount(tenant: &TenantPlan, request_cost: &RequestCost) -> Amount {
+    let told = u64::from(request_cost.prompt_tokens) + u64::from(request_cost.output_tokens);
     match tenant.quota_unit {
         QuotaUnit::Request => Amount::units(1),
         QuotaUnit::Token if told == 0 => Amount::units(tenant.untold_tokens),
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -29,7 +29,7 @@
     /// Hashes of the prompt's parts, each with all before it.
     pub hashes: Vec<PrefixHash>,
     /// What it asks of a server.
-    pub demand: RequestCost,
+    pub request_cost: RequestCost,
 }
 
 impl Call {
--- a/crates/router/src/control/node/messages.rs
+++ b/crates/router/src/control/node/messages.rs
@@ -30,7 +30,7 @@
     /// The prompt's hashes.
     pub hashes: Vec<PrefixHash>,
     /// What it asks of a server.
-    pub demand: RequestCost,
+    pub request_cost: RequestCost,
     /// Zero the first time.
     pub round: u32,
     /// Servers not to be asked again.
--- a/crates/router/src/control/node/quota_credit.rs
+++ b/crates/router/src/control/node/quota_credit.rs
@@ -88,7 +88,7 @@
             .filter(|tenant| tenant.is_limited())?;
         Some((
             tenant.name.as_str().into(),
-            quota_amount(tenant, &ask.demand),
+            quota_amount(tenant, &ask.request_cost),
         ))
     }
 
--- a/crates/router/src/control/node/request_placement.rs
+++ b/crates/router/src/control/node/request_placement.rs
@@ -19,7 +19,7 @@
             route,
             key,
             hashes,
-            demand,
+            request_cost,
             round,
             tried,
             may_have_run,
@@ -97,7 +97,7 @@
             hashes,
             round,
             tried,
-            demand,
+            request_cost,
         });
         let decided = self.outputs[before..]
             .iter()
--- a/crates/router/src/control/node/tests.rs
+++ b/crates/router/src/control/node/tests.rs
@@ -153,7 +153,7 @@
             route: None,
             key: None,
             hashes: vec![],
-            demand: RequestCost::default(),
+            request_cost: RequestCost::default(),
             round,
             tried: vec![],
             may_have_run,
@@ -870,7 +870,10 @@
     }
     played.report(server.as_str(), 2, Milliseconds(100));
     let now = MonotonicInstant(played.at);
-    assert!(played.node.scheduler().servers()[&server].is_fresh(now, &SchedulerRules::default()));
+    assert!(
+        played.node.scheduler().servers()[&server]
+            .is_in_slow_start(now, &SchedulerRules::default())
+    );
 }
 
 /// Whom these outputs poll.
@@ -980,7 +983,7 @@
             route: None,
             key,
             hashes: vec![],
-            demand: RequestCost::default(),
+            request_cost: RequestCost::default(),
             round: 0,
             tried: vec![],
             may_have_run: false,
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -466,7 +466,7 @@
                     "leaving"
                 } else if self.node.withdrawn().contains(&server.zone) {
                     "withdrawn"
-                } else if server.is_suspect(now) {
+                } else if server.is_ejected(now) {
                     "suspected"
                 } else {
                     "serving"
@@ -474,7 +474,7 @@
                 let value = serde_json::json!({
                     "state": state, "zone": server.zone, "pool": server.pool, "incarnation": server.incarnation,
                     "own_requests": server.own, "reported": server.reported.map(|(load, _)| load),
-                    "block_micros": server.block_micros, "hold_ms": server.hold.0, "faults": server.faults,
+                    "block_micros": server.block_micros, "hold_ms": server.service_time.0, "faults": server.consecutive_failures,
                     "knows_kv": server.knows_kv, "weights": server.weights,
                 });
                 (name.0.clone(), value)
--- a/crates/router/src/discovery/endpoint_list.rs
+++ b/crates/router/src/discovery/endpoint_list.rs
@@ -157,12 +157,12 @@
 
 impl Entry {
     fn new(mut entry: ServerEntry, now: MonotonicInstant) -> Entry {
-        let cold_until = entry.cold_left.take().map(|left| now + left);
+        let cold_until = entry.warm_up_left.take().map(|left| now + left);
         Entry { entry, cold_until }
     }
     fn told(&self, now: MonotonicInstant) -> ServerEntry {
         ServerEntry {
-            cold_left: self.cold_until.map(|deadline| now.until(deadline)),
+            warm_up_left: self.cold_until.map(|deadline| now.until(deadline)),
             ..self.entry.clone()
         }
     }
--- a/crates/router/src/discovery/endpoint_list/tests.rs
+++ b/crates/router/src/discovery/endpoint_list/tests.rs
@@ -82,7 +82,7 @@
         let entry = |(name, (cold_until, is_draining)): (&String, &(u64, bool))| ServerEntry {
             server: name.as_str().into(),
             address: Some(format!("10.0.0.1:{name}")),
-            cold_left: Some(Milliseconds(cold_until.saturating_sub(self.now))),
+            warm_up_left: Some(Milliseconds(cold_until.saturating_sub(self.now))),
             is_draining: *is_draining,
             ..ServerEntry::default()
         };
@@ -295,7 +295,7 @@
             .servers()
             .iter()
             .find(|one| one.server.as_str() == "t")
-            .and_then(|one| one.cold_left)
+            .and_then(|one| one.warm_up_left)
     });
     for _ in 0..10 {
         zone.run(1000);
@@ -448,7 +448,7 @@
     zone.run_to_reading();
     zone.unreached.clear();
     let is_cold = |entry: &ServerEntry| {
-        entry.server.as_str() == "s0007" && entry.cold_left > Some(Milliseconds(50_000))
+        entry.server.as_str() == "s0007" && entry.warm_up_left > Some(Milliseconds(50_000))
     };
     zone.run(10);
     assert_eq!(zone.knowing(is_cold), 4);
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -151,13 +151,13 @@
         let priority = credentials
             .and_then(|tenant| tenant.priority)
             .unwrap_or(route.priority);
-        let demand = RequestCost {
+        let request_cost = RequestCost {
             rank: priority as u8,
             target: Milliseconds(route.target_ms),
             deadline: left,
-            ..call.demand.clone()
+            ..call.request_cost.clone()
         };
-        let urgency = demand.urgency();
+        let urgency = request_cost.urgency();
         let does_stream = route.kind == RouteKind::Stream;
         let kind = if does_stream {
             ServiceKind::Stream
@@ -172,7 +172,7 @@
             route: Some(route.name.clone()),
             key,
             hashes,
-            demand,
+            request_cost,
         };
         let (trip, first) = Trip::new(place, wanted, Some(route.max_tries as u32));
         let way = Way {
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/forward/tests.rs
@@ -45,7 +45,7 @@
         for name in ["x-wait", "x-after", "connection", "content-length"] {
             headers.remove(name);
         }
-        let demand = RequestCost::default();
+        let request_cost = RequestCost::default();
         let api_key = request_key;
         Ok(Call {
             id,
@@ -58,7 +58,7 @@
             left,
             after,
             hashes: vec![],
-            demand,
+            request_cost,
         })
     }
     fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
@@ -366,14 +366,14 @@
                         round,
                         tried,
                         may_have_run,
-                        demand,
+                        request_cost,
                         ..
                     } = ask;
                     let _ = tell.send(Told::Asked {
                         round,
                         tried,
                         may_have_run,
-                        deadline: demand.deadline,
+                        deadline: request_cost.deadline,
                     });
                     let word = words
                         .next()
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -119,19 +119,19 @@
     /// What of them the scheduler goes by.
     pub fn scheduler_rules(&self) -> SchedulerRules {
         SchedulerRules {
-            does_merge: self.merge,
-            does_admit: self.admit,
-            does_order_copies: self.copy_orders,
-            warm_from: Milliseconds(self.warm_from_ms),
-            repeat_percent: self.repeat_percent as u32,
-            repeat_window: Milliseconds(self.repeat_window_ms),
-            repeats_in_window: self.repeats_in_window as u32,
-            zone_bias: Milliseconds(self.zone_bias_ms),
+            merges_peer_sketches: self.merge,
+            enforces_deadlines: self.admit,
+            orders_kv_copies: self.copy_orders,
+            warming_threshold: Milliseconds(self.warm_from_ms),
+            retry_percent: self.repeat_percent as u32,
+            retry_window: Milliseconds(self.repeat_window_ms),
+            retries_per_window: self.repeats_in_window as u32,
+            zone_penalty: Milliseconds(self.zone_bias_ms),
             block_micros: self.block_micros,
             prefill_percent: self.prefill_percent as u32,
             hysteresis: Milliseconds(self.hysteresis_ms),
-            members_least: self.members_least as u32,
-            report_life: Milliseconds(self.report_life_ms),
+            min_members: self.members_least as u32,
+            report_lifetime: Milliseconds(self.report_life_ms),
             lag_slack: Milliseconds(self.lag_slack_ms),
             ..SchedulerRules::default()
         }
--- a/crates/router/src/trip.rs
+++ b/crates/router/src/trip.rs
@@ -28,7 +28,7 @@
     pub route: Option<String>,
     pub key: Option<KeyDigest>,
     pub hashes: Vec<PrefixHash>,
-    pub demand: RequestCost,
+    pub request_cost: RequestCost,
 }
 
 impl Wanted {
@@ -45,7 +45,7 @@
             route: None,
             key,
             hashes,
-            demand: RequestCost::default(),
+            request_cost: RequestCost::default(),
         }
     }
 }
@@ -108,7 +108,7 @@
                         route: self.wanted.route.clone(),
                         key: self.wanted.key,
                         hashes: self.wanted.hashes.clone(),
-                        demand: self.wanted.demand.clone(),
+                        request_cost: self.wanted.request_cost.clone(),
                         round,
                         tried,
                         may_have_run,
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -81,7 +81,7 @@
             server: ServerName::from("model-0.life-3"),
             address: Some("127.0.0.1:8101".into()),
             slots: Some(16),
-            cold_left: None,
+            warm_up_left: None,
             zone: ZoneName::from("north"),
             pool: "model".into(),
             is_draining: false,
--- a/crates/testbed/src/answers/dialect.rs
+++ b/crates/testbed/src/answers/dialect.rs
@@ -51,7 +51,7 @@
             left,
             after,
             hashes: vec![],
-            demand: Default::default(),
+            request_cost: Default::default(),
         })
     }
     fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -322,7 +322,7 @@
             route: None,
             key: None,
             hashes,
-            demand: RequestCost::default(),
+            request_cost: RequestCost::default(),
             round: 0,
             tried: vec![],
             may_have_run: false,
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -52,7 +52,7 @@
                     "apart".into(),
                     serde_json::json!({}),
                     SchedulerRules {
-                        does_merge: false,
+                        merges_peer_sketches: false,
                         ..usual()
                     },
                 ),
@@ -63,7 +63,7 @@
                     "all taken".into(),
                     serde_json::json!({}),
                     SchedulerRules {
-                        does_admit: false,
+                        enforces_deadlines: false,
                         ..usual()
                     },
                 ),
--- a/crates/testbed/src/world/machines.rs
+++ b/crates/testbed/src/world/machines.rs
@@ -148,10 +148,10 @@
         let seeds = self.settings_seeds.clone();
         let mut scheduler_rules = self.rules.scheduler.clone();
         if self.rules.mutant == Some(Mutant::SkipRamp) {
-            scheduler_rules.ramp = Milliseconds(0);
+            scheduler_rules.slow_start_duration = Milliseconds(0);
         }
         if self.rules.mutant == Some(Mutant::FreeRepeats) {
-            scheduler_rules.repeat_percent = 300;
+            scheduler_rules.retry_percent = 300;
         }
         let m = &mut self.routers[machine];
         if m.node.is_some() || m.is_lost {
--- a/crates/testbed/src/world/traffic.rs
+++ b/crates/testbed/src/world/traffic.rs
@@ -213,7 +213,7 @@
         };
         let run = run_id((u128::from(self.draw()) << 64 | u128::from(self.draw())).to_be_bytes());
         let request = id.clone();
-        let (route, demand) = (None, RequestCost::default());
+        let (route, request_cost) = (None, RequestCost::default());
         let place = NodeInput::Place(PlacementRequest {
             number,
             request,
@@ -222,7 +222,7 @@
             route,
             key,
             hashes,
-            demand,
+            request_cost,
             round,
             tried,
             may_have_run,
