--- a/crates/controller/src/admin/control_client.rs
+++ b/crates/controller/src/admin/control_client.rs
@@ -2,7 +2,7 @@
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use transport::{Client, Response};
+use transport::{ClientConnection, Response};
 use types::{Clock, Milliseconds, MonotonicInstant, ResultCode};
 
 /// Bounds the operators' requests that wait in this process.
@@ -16,12 +16,12 @@
 /// One call of an operator: until when it is worth an answer, and to whom.
 pub struct Attempt {
     deadline: MonotonicInstant,
-    client: Option<Client>,
+    client: Option<ClientConnection>,
 }
 
 impl Attempt {
     /// One that has just come in on this connection, if it's on one, and lasts so long.
-    pub fn new(patience: Milliseconds, client: Option<Client>) -> Self {
+    pub fn new(patience: Milliseconds, client: Option<ClientConnection>) -> Self {
         Attempt {
             deadline: Clock::now() + patience,
             client,
@@ -29,7 +29,11 @@
     }
     /// Whether nobody waits for its answer any more.
     fn is_over(&self) -> bool {
-        Clock::now() >= self.deadline || self.client.as_ref().is_some_and(Client::is_gone)
+        Clock::now() >= self.deadline
+            || self
+                .client
+                .as_ref()
+                .is_some_and(ClientConnection::is_disconnected)
     }
 }
 
--- a/crates/controller/src/admin/http.rs
+++ b/crates/controller/src/admin/http.rs
@@ -57,7 +57,7 @@
         let body = || self.request.body.to_vec();
         match (
             self.request.method.as_str(),
-            self.request.parts().as_slice(),
+            self.request.path_segments().as_slice(),
         ) {
             ("GET", ["ready"]) => self.readiness(),
             ("GET", ["metrics"]) => metrics(self.metrics),
@@ -112,8 +112,8 @@
 
     fn readiness(&self) -> Response {
         match self.is_ready.load(Ordering::Relaxed) {
-            true => Response::whole(200, "text/plain", "ready\n"),
-            false => Response::whole(503, "text/plain", "not in the chain\n"),
+            true => Response::complete(200, "text/plain", "ready\n"),
+            false => Response::complete(503, "text/plain", "not in the chain\n"),
         }
     }
 
@@ -142,7 +142,10 @@
 
     /// The id that an operator gives to a change.
     fn change_id(&self) -> String {
-        self.request.query_word("id").unwrap_or_default().to_owned()
+        self.request
+            .query_parameter("id")
+            .unwrap_or_default()
+            .to_owned()
     }
 
     /// A document that has faults now may have been taken when it was first sent.
@@ -161,7 +164,7 @@
     fn change(&self, bytes: Vec<u8>) -> Result<Command, Box<Response>> {
         let builds_on = self
             .request
-            .query_word("builds_on")
+            .query_parameter("builds_on")
             .and_then(|epoch| epoch.parse().ok());
         let reading = Query::Base {
             at_least: ConfigEpoch(builds_on.unwrap_or(0)),
@@ -184,7 +187,7 @@
             let why = "the query must have an id of 1 to 64 letters, digits or any of -_.:";
             return Response::result(ResultCode::BadPlan, why);
         }
-        let builds_on = match self.request.query_word("builds_on").map(str::parse) {
+        let builds_on = match self.request.query_parameter("builds_on").map(str::parse) {
             Some(Ok(epoch)) => Some(ConfigEpoch(epoch)),
             Some(Err(_)) => {
                 return Response::result(ResultCode::BadPlan, "builds_on is not a number");
@@ -227,9 +230,9 @@
     let code = ResultCode::ALL
         .iter()
         .find(|code| code.http_status() == status && code.comes_back().is_some());
-    let response = Response::whole(status, "application/json", body);
+    let response = Response::complete(status, "application/json", body);
     code.into_iter().fold(response, |response, code| {
-        response.to_come_back(*code, Milliseconds(0))
+        response.with_retry_delay_of(*code, Milliseconds(0))
     })
 }
 
@@ -260,5 +263,5 @@
             value.load(Ordering::Relaxed)
         )
     });
-    Response::whole(200, "text/plain; version=0.0.4", lines.collect::<String>())
+    Response::complete(200, "text/plain; version=0.0.4", lines.collect::<String>())
 }
--- a/crates/controller/src/discovery/diskless_daemon.rs
+++ b/crates/controller/src/discovery/diskless_daemon.rs
@@ -9,7 +9,7 @@
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError, RwLock};
-use transport::{MessageTransport, PostClass};
+use transport::{MessageClass, MessageTransport};
 use types::{Address, Clock, Milliseconds, MonotonicInstant};
 
 /// Letters that may wait for the control thread.
@@ -114,7 +114,8 @@
 impl RelayDaemon {
     fn take(&mut self, now: MonotonicInstant, input: RelayInput) {
         for (to, message) in self.relay.step(now, input) {
-            self.post.send(to, PostClass::of(&message, false), message);
+            self.post
+                .send(to, MessageClass::of(&message, false), message);
         }
         *self.served.write().unwrap_or_else(PoisonError::into_inner) =
             self.relay.admin_addresses(now);
--- a/crates/controller/src/discovery/redirect.rs
+++ b/crates/controller/src/discovery/redirect.rs
@@ -70,7 +70,7 @@
             format!("?{}", request.query)
         };
         let location = format!("http://{other}{}{query}", request.path);
-        Response::whole(307, "text/plain", "ask there\n").with_header("location", location)
+        Response::complete(307, "text/plain", "ask there\n").with_header("location", location)
     }
 }
 
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -58,7 +58,7 @@
     let bounds = HttpServerBounds {
         connections: 128,
         body_bytes: 48 << 20,
-        read_span: Milliseconds::seconds(20),
+        read_timeout: Milliseconds::seconds(20),
         ..HttpServerBounds::default()
     };
     HttpServer::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -16,7 +16,7 @@
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use transport::{MessageTransport, PostClass, Request, Response};
+use transport::{MessageClass, MessageTransport, Request, Response};
 use types::{
     Address, Clock, DiskId, Milliseconds, MonotonicInstant, ResultCode, TokenKey, ZoneName,
     random_bytes,
@@ -301,7 +301,7 @@
                     is_bulk,
                     message,
                 } => {
-                    let class = PostClass::of(&message, is_bulk);
+                    let class = MessageClass::of(&message, is_bulk);
                     self.post.send(to, class, message);
                 }
                 ControllerOutput::Write {
--- a/crates/loadgen/src/asker.rs
+++ b/crates/loadgen/src/asker.rs
@@ -2,7 +2,7 @@
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::time::Instant;
-use transport::{Heard, HttpClientError, http_get, http_post, read_all};
+use transport::{HttpClientError, HttpResponse, http_get, http_post, read_all};
 use types::{Address, Milliseconds};
 
 /// What became of a request, as its client saw it.
@@ -117,7 +117,10 @@
 }
 
 /// The answer's head: a stream to read, or the last word.
-fn opened(outcome: Result<Heard, HttpClientError>, asked: &mut Asked) -> Option<Heard> {
+fn opened(
+    outcome: Result<HttpResponse, HttpClientError>,
+    asked: &mut Asked,
+) -> Option<HttpResponse> {
     match outcome {
         Ok(response) if response.status() == 200 => Some(response),
         Ok(response) => {
@@ -147,11 +150,11 @@
             (asked.fate, asked.why) = (Fate::Refused(0), "withheld".into());
             None
         }
-        Err(HttpClientError::Unsent(why)) => {
+        Err(HttpClientError::NotSent(why)) => {
             (asked.fate, asked.why) = (Fate::Refused(0), why);
             None
         }
-        Err(HttpClientError::Unknown(why)) => {
+        Err(HttpClientError::OutcomeUnknown(why)) => {
             (asked.fate, asked.why) = (Fate::Unknown(0), why);
             None
         }
@@ -191,7 +194,7 @@
 
 impl StreamReader {
     /// Whether the final record and the HTTP end came.
-    fn read(&mut self, response: Heard, asked: &mut Asked, began: Instant) -> bool {
+    fn read(&mut self, response: HttpResponse, asked: &mut Asked, began: Instant) -> bool {
         let mut is_ended = false;
         let mut lines = BufReader::new(response);
         loop {
--- a/crates/router/src/call_limits.rs
+++ b/crates/router/src/call_limits.rs
@@ -83,8 +83,8 @@
                 header_bytes: bounds.max_header_bytes as usize,
                 body_bytes: bounds.max_body_bytes as usize,
             },
-            head_span: Milliseconds(bounds.header_read_ms),
-            idle_span: Milliseconds(bounds.idle_timeout_ms),
+            head_timeout: Milliseconds(bounds.header_read_ms),
+            idle_timeout: Milliseconds(bounds.idle_timeout_ms),
         });
         let accepted = |(name, service): (&String, &ServicePlan)| {
             (name.as_str().into(), service.connections as usize)
@@ -105,7 +105,7 @@
     pub fn hold(&self, address: SocketAddr, service: &ServiceName) {
         let mut held = self.held();
         self.lines
-            .set_per_address(address, self.share(&held, service));
+            .set_max_per_address(address, self.share(&held, service));
         if held.services.get(&address) != Some(service) {
             held.services.insert(address, service.clone());
         }
@@ -127,7 +127,7 @@
         for (address, service) in services {
             let open = self.lines.open_count(address);
             if open == 0 {
-                self.lines.drop_idle(address);
+                self.lines.close_idle(address);
                 continue;
             }
             let share = self.share(held, &service);
@@ -137,9 +137,9 @@
                 _ => open,
             };
             if open > share {
-                self.lines.drop_idle(address);
+                self.lines.close_idle(address);
             }
-            self.lines.set_per_address(address, share);
+            self.lines.set_max_per_address(address, share);
             held.services.insert(address, service);
         }
     }
--- a/crates/router/src/call_limits/tests.rs
+++ b/crates/router/src/call_limits/tests.rs
@@ -2,8 +2,8 @@
 use bytes::Bytes;
 use config::{Plan, parse_plan};
 use transport::{
-    ConnectionError, ConnectionPool, ConnectionPoolBounds, HttpServer, HttpServerBounds, Line,
-    Response, Waits,
+    ConnectionError, ConnectionPool, ConnectionPoolBounds, HttpServer, HttpServerBounds,
+    PooledResponse, Response, SendOptions,
 };
 use types::{Address, Clock, Milliseconds};
 use yare::parameterized;
@@ -66,26 +66,26 @@
                 let (release, released) = flume::bounded::<()>(1);
                 let _ = work.send(release);
                 let _ = released.recv_timeout(GUARD.duration());
-                Response::passed(200, http::HeaderMap::new(), "")
+                Response::forwarded(200, http::HeaderMap::new(), "")
             })
         });
         Server { address, at_work }
     }
 }
 
-fn ask(lines: &ConnectionPool, address: SocketAddr) -> Result<Line, ConnectionError> {
+fn ask(lines: &ConnectionPool, address: SocketAddr) -> Result<PooledResponse, ConnectionError> {
     let request = http::Request::builder()
         .uri("/")
         .header("host", "a")
         .body(Bytes::new())
         .expect("a request");
-    let waits = Waits {
-        connect: GUARD,
+    let waits = SendOptions {
+        connect_timeout: GUARD,
         head_deadline: Clock::now() + GUARD,
-        may_leave: &|| true,
+        may_send: &|| true,
         client: None,
     };
-    lines.ask(address, request, &waits)
+    lines.send_request(address, request, &waits)
 }
 
 fn plan(accepted: usize) -> Plan {
@@ -100,9 +100,9 @@
     )
     .expect("a port");
     let lines = ConnectionPool::new(ConnectionPoolBounds {
-        per_address: 64,
-        idle_per_address: 32,
-        idle_span: GUARD,
+        max_per_address: 64,
+        max_idle_per_address: 32,
+        idle_timeout: GUARD,
     });
     (
         CallLimits {
@@ -118,7 +118,7 @@
     lines: &ConnectionPool,
     server: &Server,
     count: usize,
-) -> Vec<Result<Line, ConnectionError>> {
+) -> Vec<Result<PooledResponse, ConnectionError>> {
     let asking: Vec<_> = (0..count)
         .map(|_| {
             let (lines, address) = (lines.clone(), server.address);
@@ -151,8 +151,9 @@
     limits.hold(server.address, &"s".into());
     // 15 over 4 members and one that may be joining.
     let outcomes = ask_at_once(&lines, &server, 8);
-    let is_full =
-        |outcome: &&Result<Line, ConnectionError>| matches!(outcome, Err(ConnectionError::Full));
+    let is_full = |outcome: &&Result<PooledResponse, ConnectionError>| {
+        matches!(outcome, Err(ConnectionError::PoolExhausted))
+    };
     outcomes.iter().filter(is_full).count() == 5 && lines.open_count(server.address) == 3
 }
 
@@ -161,11 +162,11 @@
     let server = Server::start();
     limits.take_plan(&plan(15));
     limits.hold(server.address, &"s".into());
-    let opened: Vec<Line> = ask_at_once(&lines, &server, 6)
+    let opened: Vec<PooledResponse> = ask_at_once(&lines, &server, 6)
         .into_iter()
         .flatten()
         .collect();
-    opened.into_iter().for_each(Line::keep);
+    opened.into_iter().for_each(PooledResponse::release);
     assert_eq!(
         (
             lines.open_count(server.address),
@@ -196,13 +197,13 @@
     let server = Server::start();
     limits.take_plan(&plan(15));
     limits.hold(server.address, &"s".into());
-    let opened: Vec<Line> = ask_at_once(&lines, &server, 6)
+    let opened: Vec<PooledResponse> = ask_at_once(&lines, &server, 6)
         .into_iter()
         .flatten()
         .collect();
     limits.take_plan(&plan(4));
     assert_eq!(lines.open_count(server.address), 6, "in use");
-    opened.into_iter().for_each(Line::keep);
+    opened.into_iter().for_each(PooledResponse::release);
     assert_eq!(
         (
             lines.open_count(server.address),
--- a/crates/router/src/carrier.rs
+++ b/crates/router/src/carrier.rs
@@ -17,7 +17,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use transport::{
-    Ask, Heard, HttpClientError, PieceSource, Pull, Response, http_delete, read_all, read_page,
+    BodyChunk, BodySource, HttpClientError, HttpRequest, HttpResponse, Response, http_delete,
+    read_all, read_typed_body,
 };
 use types::{ApiKey, Milliseconds, RequestId, ResultCode, RunId, ServerName, ServiceName};
 
@@ -33,7 +34,10 @@
 }
 
 /// What became of asking one server: what it gave, or how that failed and why.
-fn opened(placing: &Placement, outcome: Result<Heard, HttpClientError>) -> Result<Heard, NotTaken> {
+fn opened(
+    placing: &Placement,
+    outcome: Result<HttpResponse, HttpClientError>,
+) -> Result<HttpResponse, NotTaken> {
     let why = |reason: String| format!("server {}: {reason}", placing.server);
     match outcome {
         Ok(response) if response.status() == 200 => Ok(response),
@@ -46,8 +50,10 @@
             })
         }
         Err(HttpClientError::Withheld) => Err(NotTaken::Withheld),
-        Err(HttpClientError::Unsent(reason)) => Err(NotTaken::Failed(Failure::Unsent, why(reason))),
-        Err(HttpClientError::Unknown(reason)) => {
+        Err(HttpClientError::NotSent(reason)) => {
+            Err(NotTaken::Failed(Failure::Unsent, why(reason)))
+        }
+        Err(HttpClientError::OutcomeUnknown(reason)) => {
             Err(NotTaken::Failed(Failure::Unknown, why(reason)))
         }
     }
@@ -85,7 +91,7 @@
     Unclear,
 }
 
-fn refusal_of(response: Heard) -> Refusal {
+fn refusal_of(response: HttpResponse) -> Refusal {
     let body = read_all(response, 64 << 10).unwrap_or_default();
     let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
     match (value["ran"].as_bool(), value["incarnation"].is_u64()) {
@@ -142,9 +148,9 @@
         let body = serde_json::to_vec(&run).expect("a run request is JSON");
         let patience = Milliseconds(stall.0.min(placing.first_token.0 * 2 + 1000));
         let (sharing, epoch) = (shared.clone(), placing.epoch);
-        let asked = Ask::post(body)
-            .connect(CONNECT)
-            .read(patience)
+        let asked = HttpRequest::post(body)
+            .connect_timeout(CONNECT)
+            .read_timeout(patience)
             .only_if(move || sharing.may_leave(epoch));
         opened(
             placing,
@@ -213,7 +219,16 @@
     // A server that has the run begins at once; only its pieces may be long in coming.
     let (heard, inbox) = flume::bounded(1);
     let stall = shared.stall;
-    let asking = move || drop(heard.send(Ask::get().connect(CONNECT).read(stall).send(&url)));
+    let asking = move || {
+        drop(
+            heard.send(
+                HttpRequest::get()
+                    .connect_timeout(CONNECT)
+                    .read_timeout(stall)
+                    .send(&url),
+            ),
+        )
+    };
     if let Err(fault) = std::thread::Builder::new()
         .name("resume".into())
         .spawn(asking)
@@ -302,9 +317,9 @@
     let ask = |placing: &Placement| {
         let patience = Milliseconds(shared.stall.0.min(placing.first_token.0 * 2 + 1000));
         let (sharing, epoch) = (shared.clone(), placing.epoch);
-        let asked = Ask::get()
-            .connect(CONNECT)
-            .read(patience)
+        let asked = HttpRequest::get()
+            .connect_timeout(CONNECT)
+            .read_timeout(patience)
             .only_if(move || sharing.may_leave(epoch));
         let asked = placing
             .incarnation
@@ -316,7 +331,7 @@
             placing,
             asked.send(&format!("http://{}/pages/{path}", placing.server)),
         )?;
-        read_page(response, 8 << 20)
+        read_typed_body(response, 8 << 20)
             .map_err(|fault| NotTaken::Failed(Failure::Unknown, fault.to_string()))
     };
     match ask_servers(&mut trip, first, ask) {
@@ -324,7 +339,7 @@
         Asked::RecoveredStorage(_, (content_type, body)) => {
             shared.tell_ended(&request, Outcome::Complete);
             Metrics::more(&shared.metrics.complete);
-            Response::whole(200, &content_type, body)
+            Response::complete(200, &content_type, body)
         }
     }
 }
@@ -359,27 +374,27 @@
     _place: Place,
 }
 
-impl PieceSource for Stream {
-    fn pull(&mut self, patience: Duration) -> Pull {
+impl BodySource for Stream {
+    fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
         if let Some(head) = self.head.take() {
-            return Pull::Piece(head.into_bytes().into());
+            return BodyChunk::Data(head.into_bytes().into());
         }
         if self.is_over {
-            return Pull::End;
+            return BodyChunk::End;
         }
-        match self.inbox.recv_timeout(patience) {
-            Ok(Carried::Line(line)) => Pull::Piece(line.into_bytes().into()),
+        match self.inbox.recv_timeout(timeout) {
+            Ok(Carried::Line(line)) => BodyChunk::Data(line.into_bytes().into()),
             Ok(Carried::End(line)) => {
                 self.is_over = true;
                 Metrics::more(&self.shared.metrics.complete);
-                Pull::Piece(line.into_bytes().into())
+                BodyChunk::Data(line.into_bytes().into())
             }
             Ok(Carried::Cut) | Err(flume::RecvTimeoutError::Disconnected) => {
                 self.is_cut = true;
                 Metrics::more(&self.shared.metrics.broken);
-                Pull::Cut
+                BodyChunk::Abort
             }
-            Err(flume::RecvTimeoutError::Timeout) => Pull::Nothing,
+            Err(flume::RecvTimeoutError::Timeout) => BodyChunk::Pending,
         }
     }
 }
@@ -407,7 +422,7 @@
     place: Place,
     reading: Query,
     head: serde_json::Value,
-    response: Heard,
+    response: HttpResponse,
 ) -> Response {
     let (outbox, inbox) = flume::bounded(16);
     let request = reading.request.clone();
@@ -432,14 +447,14 @@
         tracing::warn!("carrier: no thread for a stream: {fault}.");
         shared.tell_ended(&request, Outcome::Failed);
     }
-    Response::streamed("application/x-ndjson", Box::new(source))
+    Response::stream("application/x-ndjson", Box::new(source))
 }
 
 /// Reads the server's stream, piece by piece in order, until its explicit end.
 fn read(
     shared: &Shared,
     reading: &Query,
-    response: Heard,
+    response: HttpResponse,
     outbox: &flume::Sender<Carried>,
     has_gone: &AtomicBool,
 ) {
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -24,7 +24,7 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 use transport::{
-    HttpServer, HttpServerBounds, MessageTransport, PieceSource, PostClass, Pull, Request,
+    BodyChunk, BodySource, HttpServer, HttpServerBounds, MessageClass, MessageTransport, Request,
     Response, http_delete, http_post,
 };
 use types::{
@@ -93,7 +93,7 @@
     let bounds = HttpServerBounds {
         connections,
         body_bytes: 4 << 20,
-        read_span: Milliseconds::seconds(10),
+        read_timeout: Milliseconds::seconds(10),
         ..HttpServerBounds::default()
     };
     let http_server = HttpServer::open(listen.0, bounds)
@@ -383,7 +383,7 @@
                     is_bulk,
                     message,
                 } => {
-                    let class = PostClass::of(&message, is_bulk);
+                    let class = MessageClass::of(&message, is_bulk);
                     self.post.send(to, class, message);
                 }
                 NodeOutput::Place { number, outcome } => {
@@ -486,7 +486,7 @@
             .map(|(prefix, holders)| serde_json::json!({"prefix": prefix, "holders": holders}))
             .collect();
         serde_json::json!({
-            "inner": self.post.own(),
+            "inner": self.post.local_address(),
             "epoch": self.node.epoch(),
             "plan_epoch": self.node.plan_epoch(),
             "lease_state": lease_state.status(now).word(),
@@ -582,7 +582,7 @@
             .header("authorization")
             .and_then(ApiKey::from_bearer);
         let api_key = api_key.as_ref();
-        match (request.method.as_str(), request.parts().as_slice()) {
+        match (request.method.as_str(), request.path_segments().as_slice()) {
             ("POST", ["v1", "requests"]) => take_request(&self.shared, &request.body, api_key),
             ("POST", ["v1", "resume"]) => resume(&self.shared, &request.body, api_key),
             ("GET", ["v1", "pages", service, rest @ ..]) => fetch(
@@ -594,13 +594,13 @@
             ),
             ("GET", ["ready"]) => {
                 if self.is_ready.load(Ordering::SeqCst) {
-                    Response::whole(200, "text/plain", "ready\n")
+                    Response::complete(200, "text/plain", "ready\n")
                 } else {
-                    Response::whole(503, "text/plain", "not ready\n")
+                    Response::complete(503, "text/plain", "not ready\n")
                 }
             }
             ("GET", ["metrics"]) => {
-                Response::whole(200, "text/plain; version=0.0.4", self.shared.metrics.text())
+                Response::complete(200, "text/plain; version=0.0.4", self.shared.metrics.text())
             }
             ("GET", ["v1", "believes"]) => {
                 let (response, inbox) = flume::bounded(1);
@@ -623,14 +623,14 @@
     }
 
     fn tail(self: Arc<Self>, request: &Request, kind: JournalKind) -> Response {
-        let cursor = match request.query_word("after").map(str::parse) {
+        let cursor = match request.query_parameter("after").map(str::parse) {
             Some(Ok(cursor)) => cursor,
             Some(Err(_)) => {
                 return Response::result(ResultCode::BadRequest, "after is not a number");
             }
             None => 0,
         };
-        let does_follow = request.query_word("follow") == Some("true");
+        let does_follow = request.query_parameter("follow") == Some("true");
         let head = (cursor == 0 && kind == JournalKind::Events).then(|| format!("{}\n", self.head));
         let source = JournalSource {
             door: self,
@@ -639,7 +639,7 @@
             does_follow,
             head,
         };
-        Response::streamed("application/x-ndjson", Box::new(source))
+        Response::stream("application/x-ndjson", Box::new(source))
     }
 
     /// Takes events that operators push in. Those that would get round the accepted configuration, the
@@ -702,29 +702,29 @@
     head: Option<String>,
 }
 
-impl PieceSource for JournalSource {
-    fn pull(&mut self, patience: Duration) -> Pull {
+impl BodySource for JournalSource {
+    fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
         if let Some(head) = self.head.take() {
-            return Pull::Piece(head.into_bytes().into());
+            return BodyChunk::Data(head.into_bytes().into());
         }
         let journal = match self.kind {
             JournalKind::Decisions => &self.door.decisions,
             JournalKind::Events => &self.door.events,
         };
-        let patience = if self.does_follow {
-            patience
+        let timeout = if self.does_follow {
+            timeout
         } else {
             Duration::ZERO
         };
-        let (lines, cursor) = journal.after(self.cursor, 256, patience);
+        let (lines, cursor) = journal.after(self.cursor, 256, timeout);
         self.cursor = cursor;
         if !lines.is_empty() {
-            return Pull::Piece((lines.join("\n") + "\n").into_bytes().into());
+            return BodyChunk::Data((lines.join("\n") + "\n").into_bytes().into());
         }
         if self.does_follow {
-            Pull::Nothing
+            BodyChunk::Pending
         } else {
-            Pull::End
+            BodyChunk::End
         }
     }
 }
--- a/crates/router/src/discovery/list_reader.rs
+++ b/crates/router/src/discovery/list_reader.rs
@@ -6,7 +6,7 @@
 use placement::ServerEntry;
 use std::sync::Arc;
 use std::time::Duration;
-use transport::{ConnectionPool, ConnectionPoolBounds, Waits};
+use transport::{ConnectionPool, ConnectionPoolBounds, SendOptions};
 use types::{Address, Clock, Milliseconds, MonotonicInstant};
 
 /// A page comes within this.
@@ -27,9 +27,9 @@
     tell: impl Fn(ListReading) + Send + 'static,
 ) -> std::io::Result<flume::Sender<ReadEffort>> {
     let lines = ConnectionPool::new(ConnectionPoolBounds {
-        per_address: 2,
-        idle_per_address: 1,
-        idle_span: Milliseconds::seconds(20),
+        max_per_address: 2,
+        max_idle_per_address: 1,
+        idle_timeout: Milliseconds::seconds(20),
     });
     let (sender, asks) = flume::bounded(1);
     let read = move || {
@@ -103,21 +103,21 @@
 
     fn ask(&self, page: Option<&str>) -> Result<(u16, Bytes), String> {
         let deadline = Clock::now() + PATIENCE;
-        let waits = Waits {
-            connect: Milliseconds(300),
+        let waits = SendOptions {
+            connect_timeout: Milliseconds(300),
             head_deadline: deadline,
-            may_leave: &|| true,
+            may_send: &|| true,
             client: None,
         };
         let asked = self
             .lines
-            .ask(self.list.0, self.dialect.list_request(page), &waits);
+            .send_request(self.list.0, self.dialect.list_request(page), &waits);
         let mut line = asked.map_err(|fault| fault.to_string())?;
         let status = line.head().status.as_u16();
         let body = line
             .read_all(deadline, PAGE_MOST, None)
             .map_err(|fault| fault.to_string())?;
-        line.keep();
+        line.release();
         Ok((status, body))
     }
 }
--- a/crates/router/src/discovery/list_reader/tests.rs
+++ b/crates/router/src/discovery/list_reader/tests.rs
@@ -16,9 +16,9 @@
     let answer = move |request: Request| {
         let count = counted.fetch_add(1, Ordering::SeqCst);
         match request.path.as_str() {
-            "/list/first" => Response::whole(200, "text/plain", "one more"),
-            _ if count <= refusals => Response::whole(TOO_MANY, "text/plain", "later"),
-            _ => Response::whole(200, "text/plain", "two"),
+            "/list/first" => Response::complete(200, "text/plain", "one more"),
+            _ if count <= refusals => Response::complete(TOO_MANY, "text/plain", "later"),
+            _ => Response::complete(200, "text/plain", "two"),
         }
     };
     std::thread::spawn(move || http_server.serve(answer));
--- a/crates/router/src/discovery/report_poller.rs
+++ b/crates/router/src/discovery/report_poller.rs
@@ -84,12 +84,12 @@
 fn read_load(server: &ServerName) -> Option<Event> {
     let response = match http_get(&format!("http://{server}/load"), PATIENCE, PATIENCE) {
         Ok(response) => response,
-        Err(HttpClientError::Unsent(_)) => {
+        Err(HttpClientError::NotSent(_)) => {
             return Some(Event::Unreachable {
                 server: server.clone(),
             });
         }
-        Err(HttpClientError::Unknown(_) | HttpClientError::Withheld) => return None,
+        Err(HttpClientError::OutcomeUnknown(_) | HttpClientError::Withheld) => return None,
     };
     let body = read_all(response, 64 << 10).ok()?;
     let report: ServerReport = serde_json::from_slice(&body).ok()?;
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -21,8 +21,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use transport::{
-    Client, ConnectionError, ConnectionPool, Line, LinePull, PieceSource, Pull, Request, Response,
-    Waits,
+    BodyChunk, BodyRead, BodySource, ClientConnection, ConnectionError, ConnectionPool,
+    PooledResponse, Request, Response, SendOptions,
 };
 use types::{Clock, Milliseconds, MonotonicInstant, RequestId, ResultCode, ServiceName};
 
@@ -75,7 +75,7 @@
 
 /// The beginning of a server's answer.
 struct Opening {
-    line: Line,
+    line: PooledResponse,
     /// Events that came with it.
     splitter: EventSplitter,
     first: Option<StreamEvent>,
@@ -215,7 +215,7 @@
     target: Milliseconds,
     gap: Milliseconds,
     urgency: u8,
-    client: Client,
+    client: ClientConnection,
     deadline: MonotonicInstant,
     /// The last piece that the client has.
     last: Option<u64>,
@@ -237,7 +237,7 @@
                 {
                     Some(answer) => {
                         let (status, headers, body) = *answer;
-                        Response::passed(status, headers, body)
+                        Response::forwarded(status, headers, body)
                     }
                     None => self.forwarder.refuse(Some(&self.call.id), &rejection),
                 };
@@ -264,13 +264,13 @@
                 is_over: false,
                 last_bytes: Clock::now(),
             };
-            Response::passed_stream(status, headers, Box::new(source))
+            Response::forwarded_stream(status, headers, Box::new(source))
         } else {
             let body = opening.body.clone();
-            opening.line.keep();
+            opening.line.release();
             self.ended(Outcome::Complete);
             Metrics::more(&self.forwarder.shared.metrics.complete);
-            Response::passed(status, headers, body)
+            Response::forwarded(status, headers, body)
         }
     }
 
@@ -335,7 +335,7 @@
     does_stream: bool,
     target: Milliseconds,
     urgency: u8,
-    client: &'a Client,
+    client: &'a ClientConnection,
     deadline: MonotonicInstant,
     last: Option<u64>,
 }
@@ -390,28 +390,28 @@
                 shared.may_leave(placing.epoch)
             }
         };
-        let waits = Waits {
-            connect: CONNECT,
+        let waits = SendOptions {
+            connect_timeout: CONNECT,
             head_deadline: opened_by,
-            may_leave: &may_leave,
+            may_send: &may_leave,
             client: Some(self.client),
         };
         let mut line = self
             .forwarder
             .lines
-            .ask(address, request, &waits)
+            .send_request(address, request, &waits)
             .map_err(|fault| not_taken(fault, placing))?;
         self.note_load(placing, line.head());
         match self.judge(&line) {
             ResponseValidation::Taken => {}
             ResponseValidation::NotRun => {
                 self.drain(&mut line)
-                    .map(|_| line.keep())
+                    .map(|_| line.release())
                     .unwrap_or_default();
                 return Err(fail(Failure::Refused, "it did not run it".into()));
             }
             ResponseValidation::Elsewhere => {
-                self.forwarder.lines.drop_idle(address);
+                self.forwarder.lines.close_idle(address);
                 return Err(Err(NotTaken::Elsewhere(format!(
                     "server {} has left its address",
                     placing.server
@@ -424,7 +424,7 @@
                 );
                 let mut failed = fail(Failure::Unknown, format!("it answered {status}"));
                 if let (Some(body), Ok(failed)) = (self.drain(&mut line), &mut failed) {
-                    line.keep();
+                    line.release();
                     failed.answer = Some(Box::new((status, headers, body)));
                 }
                 return Err(failed);
@@ -452,10 +452,10 @@
             if patience.0 == 0 {
                 return Err(fail(Failure::Unknown, "no piece came in time".into()));
             }
-            match line.pull(patience.duration(), Some(self.client)) {
-                LinePull::Data(bytes) => splitter.push(&bytes),
-                LinePull::Nothing => {}
-                LinePull::End => {
+            match line.read_chunk(patience.duration(), Some(self.client)) {
+                BodyRead::Data(bytes) => splitter.push(&bytes),
+                BodyRead::TimedOut => {}
+                BodyRead::End => {
                     return Ok(Opening {
                         line,
                         splitter,
@@ -464,8 +464,8 @@
                         has_ended: true,
                     });
                 }
-                LinePull::Torn(why) => return Err(fail(Failure::Unknown, why)),
-                LinePull::ClientGone => return Err(Err(NotTaken::ClientGone)),
+                BodyRead::Truncated(why) => return Err(fail(Failure::Unknown, why)),
+                BodyRead::ClientDisconnected => return Err(Err(NotTaken::ClientGone)),
             }
             if let Some(event) = splitter.next_event() {
                 return Ok(Opening {
@@ -479,9 +479,9 @@
         }
     }
 
-    fn judge(&self, line: &Line) -> ResponseValidation {
+    fn judge(&self, line: &PooledResponse) -> ResponseValidation {
         let (dialect, head) = (&self.forwarder.dialect, line.head());
-        let is_sole = line.is_sole_answer() || self.forwarder.is_mutant(Mutant::BelieveUnnamed);
+        let is_sole = line.is_sole_response() || self.forwarder.is_mutant(Mutant::BelieveUnnamed);
         let place = if is_sole {
             AnswerPlace::Sole
         } else {
@@ -497,7 +497,7 @@
         ResponseValidation::of(identity, claim, place)
     }
 
-    fn drain(&self, line: &mut Line) -> Option<Bytes> {
+    fn drain(&self, line: &mut PooledResponse) -> Option<Bytes> {
         line.read_all(
             self.deadline.min(Clock::now() + Milliseconds(500)),
             64 << 10,
@@ -530,11 +530,15 @@
         })
     };
     match fault {
-        ConnectionError::Unsent(why) => fail(Failure::Unsent, why),
-        ConnectionError::Full => fail(Failure::Unsent, "all connections to it are taken".into()),
+        ConnectionError::NotSent(why) => fail(Failure::Unsent, why),
+        ConnectionError::PoolExhausted => {
+            fail(Failure::Unsent, "all connections to it are taken".into())
+        }
         ConnectionError::Withheld => Err(NotTaken::Withheld),
-        ConnectionError::ClientGone => Err(NotTaken::ClientGone),
-        ConnectionError::Late(why) | ConnectionError::Unknown(why) => fail(Failure::Unknown, why),
+        ConnectionError::ClientDisconnected => Err(NotTaken::ClientGone),
+        ConnectionError::TimedOut(why) | ConnectionError::OutcomeUnknown(why) => {
+            fail(Failure::Unknown, why)
+        }
     }
 }
 
@@ -575,7 +579,7 @@
     }
 
     /// The server broke off, or fell silent: what follows is taken up elsewhere, if it may be.
-    fn tear(&mut self, why: String) -> Pull {
+    fn tear(&mut self, why: String) -> BodyChunk {
         self.opening = None;
         self.way.ended(Outcome::Failed);
         let output = self.way.trip.attempts.step(AttemptInput::Tear(why));
@@ -590,14 +594,14 @@
                 self.opening = Some(opening);
                 self.has_first = false;
                 self.last_bytes = Clock::now();
-                Pull::Nothing
+                BodyChunk::Pending
             }
             Gone::Told(rejection) => self.cut(&rejection.why),
             Gone::Cut(why) => self.cut(&why),
         }
     }
 
-    fn cut(&mut self, why: &str) -> Pull {
+    fn cut(&mut self, why: &str) -> BodyChunk {
         tracing::debug!(
             "forward: {} {}: {why}.",
             ResultCode::Broken,
@@ -606,25 +610,25 @@
         self.is_over = true;
         Metrics::more(&self.way.forwarder.shared.metrics.broken);
         if self.way.forwarder.is_mutant(Mutant::EndTorn) {
-            Pull::End
+            BodyChunk::End
         } else {
-            Pull::Cut
+            BodyChunk::Abort
         }
     }
 }
 
-impl PieceSource for CarriedStream {
+impl BodySource for CarriedStream {
     /// The client is watched together with the server.
-    fn patience(&self) -> Duration {
+    fn chunk_timeout(&self) -> Duration {
         Duration::from_secs(5)
     }
 
-    fn pull(&mut self, patience: Duration) -> Pull {
+    fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
         if let Some(bytes) = self.ready.pop_front() {
-            return Pull::Piece(bytes);
+            return BodyChunk::Data(bytes);
         }
         if self.is_over {
-            return Pull::End;
+            return BodyChunk::End;
         }
         let Some(opening) = &mut self.opening else {
             return self.cut("nothing to read on");
@@ -635,21 +639,24 @@
             .or_else(|| opening.splitter.next_event())
         {
             self.take(event);
-            return self.ready.pop_front().map_or(Pull::Nothing, Pull::Piece);
+            return self
+                .ready
+                .pop_front()
+                .map_or(BodyChunk::Pending, BodyChunk::Data);
         }
         if opening.has_ended {
             let rest = opening.splitter.rest();
             if let Some(opening) = self.opening.take() {
-                opening.line.keep();
+                opening.line.release();
             }
             self.is_over = true;
             self.way.trip.attempts.carried(RequestInput::Finish);
             self.way.ended(Outcome::Complete);
             Metrics::more(&self.way.forwarder.shared.metrics.complete);
             return if rest.is_empty() {
-                Pull::End
+                BodyChunk::End
             } else {
-                Pull::Piece(rest)
+                BodyChunk::Data(rest)
             };
         }
         let now = Clock::now();
@@ -664,33 +671,35 @@
             return self.tear("it fell silent in mid-stream".into());
         }
         let Some(opening) = &mut self.opening else {
-            return Pull::Nothing;
+            return BodyChunk::Pending;
         };
         let deadline = if may_go_on {
             silent_from.min(self.way.deadline)
         } else {
             self.way.deadline
         };
-        let patience = patience.min(now.until(deadline).duration());
-        match opening.line.pull(patience, Some(&self.way.client)) {
-            LinePull::Data(bytes) => {
+        let timeout = timeout.min(now.until(deadline).duration());
+        match opening.line.read_chunk(timeout, Some(&self.way.client)) {
+            BodyRead::Data(bytes) => {
                 opening.splitter.push(&bytes);
                 self.last_bytes = Clock::now();
                 match opening.splitter.next_event() {
                     Some(event) => {
                         self.take(event);
-                        self.ready.pop_front().map_or(Pull::Nothing, Pull::Piece)
+                        self.ready
+                            .pop_front()
+                            .map_or(BodyChunk::Pending, BodyChunk::Data)
                     }
-                    None => Pull::Nothing,
+                    None => BodyChunk::Pending,
                 }
             }
-            LinePull::Nothing => Pull::Nothing,
-            LinePull::End => {
+            BodyRead::TimedOut => BodyChunk::Pending,
+            BodyRead::End => {
                 opening.has_ended = true;
-                Pull::Nothing
+                BodyChunk::Pending
             }
-            LinePull::Torn(why) => self.tear(why),
-            LinePull::ClientGone => {
+            BodyRead::Truncated(why) => self.tear(why),
+            BodyRead::ClientDisconnected => {
                 self.way.ended(Outcome::Cancelled);
                 self.cut("the client has gone")
             }
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/forward/tests.rs
@@ -62,14 +62,14 @@
         })
     }
     fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
-        let response = Response::passed(
+        let response = Response::forwarded(
             rejection.code.http_status(),
             http::HeaderMap::new(),
             rejection.code.word(),
         )
         .with_header("x-call", id.map_or("", RequestId::as_str));
         if rejection.code.comes_back().is_some() {
-            response.retry_after(rejection.retry_after.max(Milliseconds(50)))
+            response.with_retry_after(rejection.retry_after.max(Milliseconds(50)))
         } else {
             response
         }
@@ -454,9 +454,9 @@
         shared.take_detached_plan(&Arc::new(plan));
         let told = control(&shared, inbox, words);
         let lines = ConnectionPool::new(ConnectionPoolBounds {
-            per_address: 8,
-            idle_per_address: 4,
-            idle_span: Milliseconds::seconds(20),
+            max_per_address: 8,
+            max_idle_per_address: 4,
+            idle_timeout: Milliseconds::seconds(20),
         });
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
--- a/crates/router/src/ingress.rs
+++ b/crates/router/src/ingress.rs
@@ -43,9 +43,9 @@
         let bounds = HttpServerBounds {
             connections: settings.requests as usize * 2 + 64,
             body_bytes: 8 << 20,
-            read_span: Milliseconds::seconds(10),
+            read_timeout: Milliseconds::seconds(10),
             keep_alive: true,
-            idle_span: Milliseconds::seconds(30),
+            idle_timeout: Milliseconds::seconds(30),
             header_bytes: 64 << 10,
             ..HttpServerBounds::default()
         };
@@ -59,9 +59,9 @@
         let probe_gate = HttpServer::open(probed.0, bounds)
             .map_err(|fault| format!("readiness = {probed}: {fault}"))?;
         let lines = ConnectionPool::new(ConnectionPoolBounds {
-            per_address: MOST_TO_ONE_SERVER,
-            idle_per_address: MOST_TO_ONE_SERVER / 2,
-            idle_span: Milliseconds::seconds(20),
+            max_per_address: MOST_TO_ONE_SERVER,
+            max_idle_per_address: MOST_TO_ONE_SERVER / 2,
+            idle_timeout: Milliseconds::seconds(20),
         });
         let limits = CallLimits::new(http_server.limiter(), lines.clone());
         if shared.limits.set(Arc::new(limits)).is_err() {
@@ -92,8 +92,8 @@
             dialect.is_probe(&request),
             shared.is_ready.load(Ordering::SeqCst),
         ) {
-            (true, true) => Response::whole(200, "text/plain", "ready\n"),
-            (true, false) => Response::whole(503, "text/plain", "not ready\n"),
+            (true, true) => Response::complete(200, "text/plain", "ready\n"),
+            (true, false) => Response::complete(503, "text/plain", "not ready\n"),
             (false, _) => Response::result(ResultCode::NotFound, "only readiness is told here"),
         };
         let serve = move || probe_gate.serve(tell_ready);
@@ -115,7 +115,7 @@
     }
     /// Clients are to go elsewhere: each answer says so.
     pub fn leave(&self) {
-        self.closers[0].leave();
+        self.closers[0].drain();
     }
     /// No more connections are taken.
     pub fn close(&self) {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use transport::{Heard, HttpClientError, http_get, http_post, read_all};
+use transport::{HttpClientError, HttpResponse, http_get, http_post, read_all};
 use types::{Address, Milliseconds, ResultCode};
 
 /// The data plane of cobaltfall: takes clients' requests and carries their streams.
@@ -150,7 +150,7 @@
     ))
 }
 
-fn show(outcome: Result<Heard, HttpClientError>) -> Result<(), String> {
+fn show(outcome: Result<HttpResponse, HttpClientError>) -> Result<(), String> {
     let response = outcome.map_err(|fault| fault.to_string())?;
     let is_good = response.status() == 200;
     let body = read_all(response, 16 << 20).map_err(|fault| fault.to_string())?;
--- a/crates/testbed/src/answers/dialect.rs
+++ b/crates/testbed/src/answers/dialect.rs
@@ -55,7 +55,7 @@
         })
     }
     fn refuse(&self, id: Option<&RequestId>, rejection: &Rejection) -> Response {
-        let response = Response::passed(
+        let response = Response::forwarded(
             rejection.code.http_status(),
             http::HeaderMap::new(),
             rejection.code.word(),
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -121,9 +121,9 @@
     let plan = parse_plan(plan.to_string().as_bytes()).map_err(|faults| format!("{faults:?}"))?;
     let plan = Arc::new(plan);
     let bounds = ConnectionPoolBounds {
-        per_address: 8,
-        idle_per_address: 4,
-        idle_span: Milliseconds::seconds(20),
+        max_per_address: 8,
+        max_idle_per_address: 4,
+        idle_timeout: Milliseconds::seconds(20),
     };
     let dialect = Arc::new(Dialect {
         believes_unnamed: rules.mutant == Some(AnswersMutant::BelieveUnnamed),
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -242,7 +242,7 @@
             let url = format!("http://{}/v1/believes", daemon.listen);
             let body = http_get(&url, BELIEFS_PATIENCE, BELIEFS_PATIENCE).and_then(|response| {
                 read_all(response, 64 << 20)
-                    .map_err(|error| HttpClientError::Unknown(error.to_string()))
+                    .map_err(|error| HttpClientError::OutcomeUnknown(error.to_string()))
             });
             if let Ok(body) = body {
                 let _ = std::fs::write(folder.join(format!("{}.believes.json", daemon.name)), body);
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -10,7 +10,7 @@
 use std::collections::BinaryHeap;
 use std::io::{BufRead, Write};
 use std::net::TcpListener;
-use transport::{MessageTransport, PostClass};
+use transport::{MessageClass, MessageTransport};
 use types::{
     Address, Clock, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ServerName,
     ServiceName, ZoneName,
@@ -222,7 +222,7 @@
         let mut rows = vec![];
         for one in &self.nodes {
             let (mut messages, mut bytes, mut far) = (0, 0, 0);
-            for (to, tally) in one.post.metrics() {
+            for (to, tally) in one.post.traffic() {
                 let sent = tally.bytes.load(std::sync::atomic::Ordering::Relaxed);
                 messages += tally.messages.load(std::sync::atomic::Ordering::Relaxed);
                 bytes += sent;
@@ -363,7 +363,7 @@
                         is_bulk,
                         message,
                     } => {
-                        let class = PostClass::of(&message, is_bulk);
+                        let class = MessageClass::of(&message, is_bulk);
                         one.post.send(to, class, message);
                     }
                     NodeOutput::Place { outcome, .. } => is_placed = outcome.is_ok(),
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use transport::{
-    HttpServer, HttpServerBounds, HttpServerCloser, PieceSource, Pull, Request, Response,
+    BodyChunk, BodySource, HttpServer, HttpServerBounds, HttpServerCloser, Request, Response,
 };
 use types::{Address, Clock, Milliseconds, MonotonicInstant, RunId, ServerName};
 
@@ -150,7 +150,7 @@
     }
 
     fn note_ask(&self, request: &Request) {
-        let ask = match (request.method.as_str(), request.parts().as_slice()) {
+        let ask = match (request.method.as_str(), request.path_segments().as_slice()) {
             ("POST", ["runs"]) => serde_json::from_slice::<RunRequest>(&request.body)
                 .ok()
                 .map(|run| (run.service.0, print_of(&run.prompt))),
@@ -174,13 +174,13 @@
             {
                 std::thread::sleep(Duration::from_millis(50));
             }
-            return Response::streamed("text/plain", Box::new(Nothing));
+            return Response::stream("text/plain", Box::new(Nothing));
         }
-        match (request.method.as_str(), request.parts().as_slice()) {
+        match (request.method.as_str(), request.path_segments().as_slice()) {
             ("POST", ["runs"]) => self.take(&request.body),
             ("GET", ["runs", run]) => {
                 let from = request
-                    .query_word("from")
+                    .query_parameter("from")
                     .and_then(|word| word.parse().ok())
                     .unwrap_or(0);
                 self.read(RunId::from(*run), from)
@@ -212,7 +212,7 @@
                     .expect("no thread panics with it")
                     .push(Clock::now());
                 std::thread::sleep(Duration::from_millis(3));
-                Response::whole(200, "text/plain", format!("page {}\n", rest.join("/")))
+                Response::complete(200, "text/plain", format!("page {}\n", rest.join("/")))
             }
             _ => Response::json(404, &serde_json::json!({})),
         }
@@ -270,7 +270,7 @@
             }
             Some(_) => {}
         }
-        Response::streamed(
+        Response::stream(
             "application/x-ndjson",
             Box::new(RunSource {
                 inside: self,
@@ -322,9 +322,9 @@
 
 struct Nothing;
 
-impl PieceSource for Nothing {
-    fn pull(&mut self, _: Duration) -> Pull {
-        Pull::Cut
+impl BodySource for Nothing {
+    fn next_chunk(&mut self, _: Duration) -> BodyChunk {
+        BodyChunk::Abort
     }
 }
 
@@ -335,18 +335,18 @@
     is_over: bool,
 }
 
-impl PieceSource for RunSource {
-    fn pull(&mut self, patience: Duration) -> Pull {
+impl BodySource for RunSource {
+    fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
         if self.is_over {
-            return Pull::End;
+            return BodyChunk::End;
         }
         if self.inside.is_crashed.load(Ordering::SeqCst) {
-            return Pull::Cut;
+            return BodyChunk::Abort;
         }
         let now = Clock::now();
         let schedule = self.inside.schedule();
         let Some(progress) = schedule.progress(&self.run, now) else {
-            return Pull::Cut;
+            return BodyChunk::Abort;
         };
         let (Progress::Pieces(there, _) | Progress::All(there) | Progress::Broke(there)) = progress;
         if self.next < there {
@@ -362,7 +362,7 @@
                 lines.push('\n');
                 self.next += 1;
             }
-            return Pull::Piece(lines.into_bytes().into());
+            return BodyChunk::Data(lines.into_bytes().into());
         }
         drop(schedule);
         match progress {
@@ -374,12 +374,12 @@
                     pieces,
                 };
                 let line = serde_json::to_string(&end).expect("an end is JSON") + "\n";
-                Pull::Piece(line.into_bytes().into())
+                BodyChunk::Data(line.into_bytes().into())
             }
-            Progress::Broke(_) => Pull::Cut,
+            Progress::Broke(_) => BodyChunk::Abort,
             Progress::Pieces(_, next) => {
-                std::thread::sleep(patience.min(now.until(next).duration()));
-                Pull::Nothing
+                std::thread::sleep(timeout.min(now.until(next).duration()));
+                BodyChunk::Pending
             }
         }
     }
--- a/crates/testbed/tests/lives.rs
+++ b/crates/testbed/tests/lives.rs
@@ -2,7 +2,7 @@
 
 use router::{LIFE_HEADER, RunRequest};
 use testbed::{ScheduleRules, StandIn};
-use transport::{Ask, read_all};
+use transport::{HttpRequest, read_all};
 use types::{Address, Milliseconds, RunId, ServiceName};
 use yare::parameterized;
 
@@ -28,7 +28,7 @@
         incarnation,
     };
     let body = serde_json::to_vec(&request).expect("a run request is JSON");
-    let told = Ask::post(body)
+    let told = HttpRequest::post(body)
         .send(&format!("http://{}/runs", server.address))
         .expect("an answer");
     assert_eq!(told.status(), expected);
@@ -40,7 +40,7 @@
     assert_eq!(server.has_run(&run), expected == 200);
     let page = incarnation
         .into_iter()
-        .fold(Ask::get(), |ask, incarnation| {
+        .fold(HttpRequest::get(), |ask, incarnation| {
             ask.header(LIFE_HEADER, incarnation.to_string())
         });
     let told = page
--- a/crates/transport/src/connection_pool/tests.rs
+++ b/crates/transport/src/connection_pool/tests.rs
@@ -1,23 +1,67 @@
-//! Mutants of the connections to servers: each breaks what a test holds, and is seen.
+//! Deliberate faults in the reuse of connections: each breaks a property, and the property's test detects it.
 
 use super::*;
+use crate::SEND_CHECK_VALIDITY;
 use std::cell::Cell;
 use std::io::{Read, Write};
-use std::net::{Shutdown, TcpListener};
+use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::mpsc;
 use types::{Clock, Milliseconds};
 
 const PATIENCE: Milliseconds = Milliseconds::seconds(5);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-fn lines(mutant: Option<Mutant>) -> ConnectionPool {
-    let lines = ConnectionPool::new(ConnectionPoolBounds {
-        per_address: 0,
-        idle_per_address: 4,
-        idle_span: Milliseconds::seconds(30),
-    });
-    lock(&lines.pool).mutant = mutant;
-    lines
+/// A deliberate fault, by which the tests show that they detect it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Mutant {
+    /// A connection is reused while a part of its request waits to be written.
+    KeepUnwritten,
+    /// A body whose end only a close marks is taken for complete.
+    TrustClose,
+    /// A connection is not checked before it's reused.
+    SkipCleanCheck,
+    /// A check is valid however old it has become.
+    TrustExpiredCheck,
+    /// Each failure of a reused connection counts as though nothing was sent.
+    ForgetSent,
+}
+
+impl ReuseSafety for Mutant {
+    fn is_clean(&self, peeked: Peeked) -> bool {
+        *self == Mutant::SkipCleanCheck || SafeReuse.is_clean(peeked)
+    }
+
+    fn write_deadline(&self, checked_at: MonotonicInstant) -> Option<MonotonicInstant> {
+        match self {
+            Mutant::TrustExpiredCheck => None,
+            _ => SafeReuse.write_deadline(checked_at),
+        }
+    }
+
+    fn counts_as_sent(&self, has_sent_bytes: bool, is_reused: bool) -> bool {
+        let is_forgotten = *self == Mutant::ForgetSent && is_reused;
+        !is_forgotten && SafeReuse.counts_as_sent(has_sent_bytes, is_reused)
+    }
+
+    fn is_complete_end(&self, is_delimited: bool) -> bool {
+        *self == Mutant::TrustClose || SafeReuse.is_complete_end(is_delimited)
+    }
+
+    fn is_completely_written(&self, has_pending_bytes: bool) -> bool {
+        *self == Mutant::KeepUnwritten || SafeReuse.is_completely_written(has_pending_bytes)
+    }
+}
+
+fn open_pool(mutant: Option<Mutant>) -> ConnectionPool {
+    let bounds = ConnectionPoolBounds {
+        max_per_address: 0,
+        max_idle_per_address: 4,
+        idle_timeout: Milliseconds::seconds(30),
+    };
+    match mutant {
+        Some(mutant) => ConnectionPool::with_safety(bounds, Arc::new(mutant)),
+        None => ConnectionPool::new(bounds),
+    }
 }
 
 /// A server that plays this on each connection, and the number of the connection.
@@ -32,42 +76,42 @@
     address
 }
 
-fn hear(stream: &mut TcpStream) -> usize {
+fn receive(stream: &mut TcpStream) -> usize {
     stream.read(&mut [0; 4096]).unwrap_or(0)
 }
 
-fn ask(
-    lines: &ConnectionPool,
+fn send(
+    pool: &ConnectionPool,
     to: SocketAddr,
     body: Bytes,
-    may_leave: &dyn Fn() -> bool,
-) -> Result<(Line, Bytes), ConnectionError> {
+    may_send: &dyn Fn() -> bool,
+) -> Result<(PooledResponse, Bytes), ConnectionError> {
     let request = http::Request::post("/")
         .header("host", "a")
         .body(body)
         .unwrap();
     let head_deadline = Clock::now() + PATIENCE;
-    let mut line = lines.ask(
+    let mut response = pool.send_request(
         to,
         request,
-        &Waits {
-            connect: PATIENCE,
+        &SendOptions {
+            connect_timeout: PATIENCE,
             head_deadline,
-            may_leave,
+            may_send,
             client: None,
         },
     )?;
-    let body = line.read_all(head_deadline, 1 << 20, None)?;
-    Ok((line, body))
+    let body = response.read_all(head_deadline, 1 << 20, None)?;
+    Ok((response, body))
 }
 
-fn ask_and_keep(
-    lines: &ConnectionPool,
+fn send_and_release(
+    pool: &ConnectionPool,
     to: SocketAddr,
-    may_leave: &dyn Fn() -> bool,
+    may_send: &dyn Fn() -> bool,
 ) -> Result<Bytes, ConnectionError> {
-    let (line, body) = ask(lines, to, Bytes::from_static(b"{}"), may_leave)?;
-    line.keep();
+    let (response, body) = send(pool, to, Bytes::from_static(b"{}"), may_send)?;
+    response.release();
     Ok(body)
 }
 
@@ -77,88 +121,88 @@
 
 /// A connection whose request was not written whole is not given back.
 fn keeps_only_what_was_written(mutant: Option<Mutant>) -> bool {
-    let (lines, (end, wait)) = (lines(mutant), mpsc::channel::<()>());
+    let (pool, (end, wait)) = (open_pool(mutant), mpsc::channel::<()>());
     let to = server(move |_, mut stream| {
         let _ = stream.read(&mut [0; 16]);
         let _ = stream.write_all(OK);
         let _ = wait.recv();
     });
-    let (line, _) = ask(&lines, to, Bytes::from(vec![b'x'; 64 << 20]), &always).unwrap();
-    line.keep();
+    let (response, _) = send(&pool, to, Bytes::from(vec![b'x'; 64 << 20]), &always).unwrap();
+    response.release();
     drop(end);
-    lines.idle_count(to) == 0
+    pool.idle_count(to) == 0
 }
 
 /// A body whose end only a close tells is not whole.
 fn trusts_no_close(mutant: Option<Mutant>) -> bool {
     let to = server(|_, mut stream| {
-        hear(&mut stream);
+        receive(&mut stream);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf");
     });
-    ask_and_keep(&lines(mutant), to, &always).is_err()
+    send_and_release(&open_pool(mutant), to, &always).is_err()
 }
 
 /// What came on a connection while it rested, also at the very last moment, is never the next answer.
 fn looks_before_use(mutant: Option<Mutant>) -> bool {
-    let (lines, (go, wait), (said, is_said)) =
-        (lines(mutant), mpsc::channel::<()>(), mpsc::channel());
+    let (pool, (go, wait), (said, is_said)) =
+        (open_pool(mutant), mpsc::channel::<()>(), mpsc::channel());
     let to = server(move |number, mut stream| {
-        hear(&mut stream);
+        receive(&mut stream);
         let _ = stream.write_all(OK);
         if number == 0 {
             let _ = wait.recv();
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad");
             let _ = said.send(());
-            hear(&mut stream);
+            receive(&mut stream);
         }
     });
-    ask_and_keep(&lines, to, &always).unwrap();
+    send_and_release(&pool, to, &always).unwrap();
     // Right before the check itself.
-    let asked = Cell::new(0);
-    let may_leave = || {
-        asked.set(asked.get() + 1);
-        if asked.get() == 2 {
+    let checks = Cell::new(0);
+    let may_send = || {
+        checks.set(checks.get() + 1);
+        if checks.get() == 2 {
             go.send(()).unwrap();
             is_said.recv().unwrap();
         }
         true
     };
-    ask_and_keep(&lines, to, &may_leave) == Ok("ok".into())
+    send_and_release(&pool, to, &may_send) == Ok("ok".into())
 }
 
 /// A node that stands still between the check and the write asks again before it writes.
 fn checks_anew(mutant: Option<Mutant>) -> bool {
     let to = server(|_, mut stream| {
-        hear(&mut stream);
+        receive(&mut stream);
         let _ = stream.write_all(OK);
     });
-    let asked = Cell::new(0);
-    let may_leave = || {
-        asked.set(asked.get() + 1);
-        let deadline = Clock::now() + CHECK_LIFE;
-        while asked.get() == 2 && Clock::now() <= deadline {
+    let checks = Cell::new(0);
+    let may_send = || {
+        checks.set(checks.get() + 1);
+        let deadline = Clock::now() + SEND_CHECK_VALIDITY;
+        while checks.get() == 2 && Clock::now() <= deadline {
             std::thread::yield_now();
         }
-        asked.get() < 3
+        checks.get() < 3
     };
-    ask_and_keep(&lines(mutant), to, &may_leave) == Err(ConnectionError::Withheld)
+    send_and_release(&open_pool(mutant), to, &may_send) == Err(ConnectionError::Withheld)
 }
 
 /// A used connection that ends after a byte of the request was written doesn't pass as unsent.
 fn tells_what_was_sent(mutant: Option<Mutant>) -> bool {
     let to = server(|number, mut stream| {
-        hear(&mut stream);
+        receive(&mut stream);
         let _ = stream.write_all(OK);
         if number == 0 {
-            hear(&mut stream);
+            receive(&mut stream);
             let _ = stream.shutdown(Shutdown::Both);
         }
     });
-    let lines = lines(mutant);
-    ask_and_keep(&lines, to, &always).unwrap();
+    let pool = open_pool(mutant);
+    send_and_release(&pool, to, &always).unwrap();
     matches!(
-        ask_and_keep(&lines, to, &always),
-        Err(ConnectionError::Unknown(_))
+        send_and_release(&pool, to, &always),
+        Err(ConnectionError::OutcomeUnknown(_))
     )
 }
 
@@ -166,12 +210,12 @@
 type Property = fn(Option<Mutant>) -> bool;
 
 #[test]
-fn each_mutant_is_seen() {
+fn each_mutant_is_detected() {
     let all: [(Mutant, Property); 5] = [
         (Mutant::KeepUnwritten, keeps_only_what_was_written),
         (Mutant::TrustClose, trusts_no_close),
-        (Mutant::SkipLook, looks_before_use),
-        (Mutant::TrustOldCheck, checks_anew),
+        (Mutant::SkipCleanCheck, looks_before_use),
+        (Mutant::TrustExpiredCheck, checks_anew),
         (Mutant::ForgetSent, tells_what_was_sent),
     ];
     for (mutant, holds) in all {
@@ -179,6 +223,6 @@
             holds(None),
             "{mutant:?}: it doesn't hold without the mutant"
         );
-        assert!(!holds(Some(mutant)), "{mutant:?} was not seen");
+        assert!(!holds(Some(mutant)), "{mutant:?} was not detected");
     }
 }
--- a/crates/transport/src/http_client.rs
+++ b/crates/transport/src/http_client.rs
@@ -1,254 +1,336 @@
+//! Single HTTP requests to a server, each on a connection of its own, with a JSON body or none.
+//!
+//! Redirects and the environment's proxies are not followed, and each wait is bounded.
+
 use attohttpc::body::{Body, BodyKind};
 use attohttpc::{ProxySettings, RequestBuilder, Response};
 use std::io::{self, Read, Write};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicU8, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use types::Milliseconds;
 
-/// Why an asked server gave no head.
+/// How long a connection or a part of a response is waited for by default.
+const DEFAULT_TIMEOUT: Milliseconds = Milliseconds(1000);
+/// The content type of a response that names none.
+const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
+
+/// Why a request got no head of a response.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpClientError {
-    /// The connection was never made, so no byte of the request left.
+    /// The connection was never made, so no byte of the request was sent; it may be retried elsewhere.
     #[error("no connection: {0}")]
-    Unsent(String),
-    /// It may not leave any more; nothing that a server could run was sent.
+    NotSent(String),
+    /// [`HttpRequest::only_if`] no longer allowed the request; nothing that a server could run was sent.
     #[error("withheld at the last moment")]
     Withheld,
-    /// Something may have reached the server.
+    /// Something may have reached the server, and the request may have run.
     #[error("no answer: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
+}
+
+impl HttpClientError {
+    fn not_sent(error: &dyn std::fmt::Display) -> Self {
+        HttpClientError::NotSent(error.to_string())
+    }
 }
 
-/// How we ask: no redirects, no proxies from the environment, bounded waits.
+/// The settings that all requests share.
 pub trait HttpRequestExt: Sized {
-    /// Sets those.
-    fn plainly(self, connect: Milliseconds, read: Milliseconds) -> Self;
+    /// Sets the time-outs, and turns redirects and the environment's proxies off.
+    fn with_plain_settings(self, connect_timeout: Milliseconds, read_timeout: Milliseconds)
+    -> Self;
 }
 
 impl<B> HttpRequestExt for RequestBuilder<B> {
-    fn plainly(self, connect: Milliseconds, read: Milliseconds) -> Self {
+    fn with_plain_settings(
+        self,
+        connect_timeout: Milliseconds,
+        read_timeout: Milliseconds,
+    ) -> Self {
         self.follow_redirects(false)
             .proxy_settings(ProxySettings::builder().build())
-            .connect_timeout(connect.duration())
-            .read_timeout(read.duration())
+            .connect_timeout(connect_timeout.duration())
+            .read_timeout(read_timeout.duration())
     }
 }
 
-/// A body that notes when it's first asked for, which is after the connection was made and before
-/// any byte is sent: head and body leave in one buffer.
-///
-/// Invariant: a body that must not leave any more never does. The library then sends the head alone
-/// (its buffer is flushed as it's dropped), which announces a body that doesn't come: no server can run
-/// that. A head that announces no body is not so protected; a fetch has only the question before the
-/// connection.
-struct Marked {
-    bytes: Vec<u8>,
-    may_leave: Box<dyn Fn() -> bool + Send>,
-    state: Arc<AtomicU8>,
+/// How far a request has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum SendState {
+    /// The library has not asked for the body, so nothing was sent.
+    NotStarted,
+    Withheld,
+    Sent,
 }
 
-impl Marked {
-    const UNASKED: u8 = 0;
-    const WITHHELD: u8 = 1;
-    const SENT: u8 = 2;
+/// Where a [`CheckedBody`] records the state, shared with the request that waits for the outcome.
+#[derive(Clone)]
+struct SharedSendState(Arc<Mutex<SendState>>);
+
+impl SharedSendState {
+    fn new() -> Self {
+        SharedSendState(Arc::new(Mutex::new(SendState::NotStarted)))
+    }
+
+    fn lock(&self) -> MutexGuard<'_, SendState> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn set(&self, state: SendState) {
+        *self.lock() = state;
+    }
+
+    fn get(&self) -> SendState {
+        *self.lock()
+    }
 }
 
-impl Body for Marked {
+/// A body that records when the library asks for it, which is after the connection was made and before any
+/// byte is sent: head and body are sent from one buffer.
+///
+/// Invariant: a body that may no longer be sent never is. The library then sends the head alone (its buffer
+/// is flushed as it's dropped), which announces a body that doesn't come: no server can run that. A head that
+/// announces no body is not so protected; a GET has only the check before the connection.
+struct CheckedBody {
+    bytes: Vec<u8>,
+    may_send: Box<dyn Fn() -> bool + Send>,
+    state: SharedSendState,
+}
+
+impl Body for CheckedBody {
     fn kind(&mut self) -> io::Result<BodyKind> {
         Ok(BodyKind::KnownLength(self.bytes.len() as u64))
     }
+
     fn write<W: Write>(&mut self, mut writer: W) -> io::Result<()> {
-        if !self.bytes.is_empty() && !(self.may_leave)() {
-            self.state.store(Self::WITHHELD, Ordering::SeqCst);
+        if !self.bytes.is_empty() && !(self.may_send)() {
+            self.state.set(SendState::Withheld);
             return Err(io::Error::other("withheld"));
         }
-        self.state.store(Self::SENT, Ordering::SeqCst);
+        self.state.set(SendState::Sent);
         writer.write_all(&self.bytes)
     }
+
     fn content_type(&mut self) -> io::Result<Option<String>> {
         Ok(Some("application/json".into()))
     }
 }
 
-/// What a server said: its head, and its body to be read on.
+/// A server's response: its head, and its body to be read.
 ///
-/// Invariant: reading ends well only if all of the announced body came. The library flags a cut
-/// chunked body, but not one that is shorter than its `content-length`; this does.
+/// Invariant: reading ends without an error only if all of the announced body came. The library reports a
+/// truncated chunked body, but not one that is shorter than its `content-length`; this does, by
+/// [`io::ErrorKind::UnexpectedEof`].
 #[derive(Debug)]
-pub struct Heard {
+pub struct HttpResponse {
     response: Response,
-    missing: Option<u64>,
+    /// Bytes of an announced body that are still to come.
+    remaining: Option<u64>,
 }
 
-impl Heard {
+impl HttpResponse {
     fn new(response: Response) -> Self {
-        let length = response
+        let remaining = response
             .headers()
             .get("content-length")
             .and_then(|value| value.to_str().ok()?.parse().ok());
-        Heard {
+        HttpResponse {
             response,
-            missing: length,
+            remaining,
         }
     }
-    /// The HTTP status.
+
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         self.response.status().as_u16()
     }
-    /// A header as text.
+
+    /// Returns a header's first value; `None` if there is none or it's not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.response.headers().get(name)?.to_str().ok()
     }
 }
 
-impl Read for Heard {
+impl Read for HttpResponse {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let count = self.response.read(buffer)?;
-        if let Some(missing) = &mut self.missing {
-            if count == 0 && *missing > 0 && !buffer.is_empty() {
+        if let Some(remaining) = &mut self.remaining {
+            if count == 0 && *remaining > 0 && !buffer.is_empty() {
                 return Err(io::Error::new(
                     io::ErrorKind::UnexpectedEof,
-                    format!("{missing} bytes of the body are missing"),
+                    format!("{remaining} bytes of the body are missing"),
                 ));
             }
-            *missing = missing.saturating_sub(count as u64);
+            *remaining = remaining.saturating_sub(count as u64);
         }
         Ok(count)
     }
 }
 
-/// One request to a server: what, how long to wait, and whether it may still leave.
-pub struct Ask {
+/// One request: what to send, how long to wait, and whether it may still be sent.
+pub struct HttpRequest {
     method: http::Method,
     json: Vec<u8>,
     headers: Vec<(&'static str, String)>,
-    connect: Milliseconds,
-    read: Milliseconds,
-    may_leave: Box<dyn Fn() -> bool + Send>,
+    connect_timeout: Milliseconds,
+    read_timeout: Milliseconds,
+    may_send: Box<dyn Fn() -> bool + Send>,
 }
 
-impl Ask {
+impl HttpRequest {
     fn new(method: http::Method, json: Vec<u8>) -> Self {
-        Ask {
+        HttpRequest {
             method,
             json,
             headers: vec![],
-            connect: Milliseconds(1000),
-            read: Milliseconds(1000),
-            may_leave: Box::new(|| true),
+            connect_timeout: DEFAULT_TIMEOUT,
+            read_timeout: DEFAULT_TIMEOUT,
+            may_send: Box::new(|| true),
         }
     }
-    /// Gets something.
+
+    /// Returns a GET request.
     pub fn get() -> Self {
         Self::new(http::Method::GET, vec![])
     }
-    /// Posts JSON.
+
+    /// Returns a POST request with a JSON body.
     pub fn post(json: Vec<u8>) -> Self {
         Self::new(http::Method::POST, json)
     }
-    /// Sends this header, too.
+
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: String) -> Self {
         self.headers.push((name, value));
         self
     }
-    /// Waits for the connection this long.
-    pub fn connect(mut self, span: Milliseconds) -> Self {
-        self.connect = span;
+
+    /// Sets how long connecting may take; 1 s by default.
+    pub fn connect_timeout(mut self, timeout: Milliseconds) -> Self {
+        self.connect_timeout = timeout;
         self
     }
-    /// Waits for the head, and for each part of the body, this long.
-    pub fn read(mut self, span: Milliseconds) -> Self {
-        self.read = span;
+
+    /// Sets how long the head, and then each part of the body, may take; 1 s by default.
+    pub fn read_timeout(mut self, timeout: Milliseconds) -> Self {
+        self.read_timeout = timeout;
         self
     }
-    /// Asked before the connection is made and once more when it is, right before the body leaves.
-    pub fn only_if(mut self, may_leave: impl Fn() -> bool + Send + 'static) -> Self {
-        self.may_leave = Box::new(may_leave);
+
+    /// Sets a check that is made before connecting and, for a request with a body, again once connected,
+    /// right before the body is sent.
+    pub fn only_if(mut self, may_send: impl Fn() -> bool + Send + 'static) -> Self {
+        self.may_send = Box::new(may_send);
         self
     }
-    /// Sends it; gives the head as soon as it comes, the body to be read on.
-    pub fn send(self, url: &str) -> Result<Heard, HttpClientError> {
-        if !(self.may_leave)() {
+
+    /// Sends the request to a URL and returns as soon as the response's head has come.
+    ///
+    /// # Errors
+    ///
+    /// See [`HttpClientError`]. A response with any status is no error.
+    pub fn send(self, url: &str) -> Result<HttpResponse, HttpClientError> {
+        if !(self.may_send)() {
             return Err(HttpClientError::Withheld);
         }
-        let state = Arc::new(AtomicU8::new(Marked::UNASKED));
-        let unsent = |fault: attohttpc::Error| HttpClientError::Unsent(fault.to_string());
-        let mut builder = attohttpc::RequestBuilder::try_new(self.method, url).map_err(unsent)?;
+        let state = SharedSendState::new();
+        let not_sent = |error: attohttpc::Error| HttpClientError::not_sent(&error);
+        let mut builder = RequestBuilder::try_new(self.method, url).map_err(not_sent)?;
         for (name, value) in self.headers {
-            builder = builder.try_header(name, value).map_err(unsent)?;
+            builder = builder.try_header(name, value).map_err(not_sent)?;
         }
-        let marked = Marked {
+        let body = CheckedBody {
             bytes: self.json,
-            may_leave: self.may_leave,
+            may_send: self.may_send,
             state: state.clone(),
         };
-        let outcome = builder.body(marked).plainly(self.connect, self.read).send();
+        let outcome = builder
+            .body(body)
+            .with_plain_settings(self.connect_timeout, self.read_timeout)
+            .send();
         outcome
-            .map(Heard::new)
-            .map_err(|fault| match state.load(Ordering::SeqCst) {
-                Marked::UNASKED => HttpClientError::Unsent(fault.to_string()),
-                Marked::WITHHELD => HttpClientError::Withheld,
-                _ => HttpClientError::Unknown(fault.to_string()),
+            .map(HttpResponse::new)
+            .map_err(|error| match state.get() {
+                SendState::NotStarted => HttpClientError::not_sent(&error),
+                SendState::Withheld => HttpClientError::Withheld,
+                SendState::Sent => HttpClientError::OutcomeUnknown(error.to_string()),
             })
     }
 }
 
-/// Posts JSON.
+/// Sends a POST request with a JSON body; errors as of [`HttpRequest::send`].
 pub fn http_post(
     url: &str,
     json: Vec<u8>,
-    connect: Milliseconds,
-    read: Milliseconds,
-) -> Result<Heard, HttpClientError> {
-    Ask::post(json).connect(connect).read(read).send(url)
+    connect_timeout: Milliseconds,
+    read_timeout: Milliseconds,
+) -> Result<HttpResponse, HttpClientError> {
+    HttpRequest::post(json)
+        .connect_timeout(connect_timeout)
+        .read_timeout(read_timeout)
+        .send(url)
 }
 
-/// Asks with any method and a JSON body.
+/// Sends a request with any method and a JSON body; errors as of [`HttpRequest::send`], and
+/// [`HttpClientError::NotSent`] for an invalid method.
 pub fn http_request(
     method: &str,
     url: &str,
     json: Vec<u8>,
-    connect: Milliseconds,
-    read: Milliseconds,
-) -> Result<Heard, HttpClientError> {
+    connect_timeout: Milliseconds,
+    read_timeout: Milliseconds,
+) -> Result<HttpResponse, HttpClientError> {
     let method = http::Method::from_bytes(method.as_bytes())
-        .map_err(|fault| HttpClientError::Unsent(fault.to_string()))?;
-    Ask::new(method, json).connect(connect).read(read).send(url)
+        .map_err(|error| HttpClientError::not_sent(&error))?;
+    HttpRequest::new(method, json)
+        .connect_timeout(connect_timeout)
+        .read_timeout(read_timeout)
+        .send(url)
 }
 
-/// Gets a page.
+/// Sends a GET request; errors as of [`HttpRequest::send`].
 pub fn http_get(
     url: &str,
-    connect: Milliseconds,
-    read: Milliseconds,
-) -> Result<Heard, HttpClientError> {
-    Ask::get().connect(connect).read(read).send(url)
+    connect_timeout: Milliseconds,
+    read_timeout: Milliseconds,
+) -> Result<HttpResponse, HttpClientError> {
+    HttpRequest::get()
+        .connect_timeout(connect_timeout)
+        .read_timeout(read_timeout)
+        .send(url)
 }
 
-/// Asks to delete something, such as a run.
+/// Sends a DELETE request; errors as of [`HttpRequest::send`].
 pub fn http_delete(
     url: &str,
-    connect: Milliseconds,
-    read: Milliseconds,
-) -> Result<Heard, HttpClientError> {
-    http_request("DELETE", url, vec![], connect, read)
+    connect_timeout: Milliseconds,
+    read_timeout: Milliseconds,
+) -> Result<HttpResponse, HttpClientError> {
+    http_request("DELETE", url, vec![], connect_timeout, read_timeout)
 }
 
-/// Reads a whole body up to a bound; a body that ends early is a fault.
-pub fn read_all(heard: Heard, bound: usize) -> io::Result<Vec<u8>> {
+/// Reads a complete body.
+///
+/// # Errors
+///
+/// If the body is longer than `max_bytes`, ends early, or a part of it does not come in time.
+pub fn read_all(response: HttpResponse, max_bytes: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    heard.take(bound as u64 + 1).read_to_end(&mut bytes)?;
-    if bytes.len() > bound {
-        return Err(io::Error::other(format!("the body is over {bound} bytes")));
+    response
+        .take(max_bytes as u64 + 1)
+        .read_to_end(&mut bytes)?;
+    if bytes.len() > max_bytes {
+        let reason = format!("the body is over {max_bytes} bytes");
+        return Err(io::Error::other(reason));
     }
     Ok(bytes)
 }
 
-/// Reads a whole page with its type, up to a bound; a page that ends early is a fault.
-pub fn read_page(heard: Heard, bound: usize) -> io::Result<(String, Vec<u8>)> {
-    let content_type = heard
+/// Reads a complete body with its content type, `application/octet-stream` if none is named; errors as of
+/// [`read_all`].
+pub fn read_typed_body(response: HttpResponse, max_bytes: usize) -> io::Result<(String, Vec<u8>)> {
+    let content_type = response
         .header("content-type")
-        .unwrap_or("application/octet-stream")
+        .unwrap_or(DEFAULT_CONTENT_TYPE)
         .to_owned();
-    read_all(heard, bound).map(|body| (content_type, body))
+    read_all(response, max_bytes).map(|body| (content_type, body))
 }
--- a/crates/transport/src/http_server.rs
+++ b/crates/transport/src/http_server.rs
@@ -1,168 +1,69 @@
-//! The HTTP door of a process: what it takes, and a thread for each connection.
+//! An HTTP/1.1 server with a blocking thread for each connection.
+//!
+//! `framing` decides where each request on a connection begins and ends, `connection` drives one connection
+//! from its first byte to its end, and `state` holds the limits in force, which may change meanwhile.
 
+mod closing;
 mod connection;
 mod framing;
+mod limits;
+mod request;
 mod request_reader;
 mod response;
+mod safety;
 mod state;
 
 pub use self::framing::RequestLimits;
-pub use self::response::{PieceSource, Pull, Response};
-pub use self::state::HttpServerLimits;
+pub use self::limits::{HttpServerBounds, HttpServerLimits};
+pub use self::request::Request;
+pub use self::response::{BodyChunk, BodySource, Response};
 
 use self::connection::serve_connection;
-use self::state::GateState;
-use crate::socket::Client;
-use bytes::Bytes;
+use self::state::ServerState;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use types::{Address, Milliseconds};
+use std::time::Duration;
+use types::Address;
 
-/// One request over HTTP, read whole.
-pub struct Request {
-    /// `GET`, `POST` and so on.
-    pub method: String,
-    /// The path without the query.
-    pub path: String,
-    /// The query, if any.
-    pub query: String,
-    /// Path and query exactly as sent.
-    pub target: String,
-    /// The body, within the bound.
-    pub body: Bytes,
-    /// Who sent it.
-    pub client: Client,
-    verb: http::Method,
-    headers: http::HeaderMap,
-}
-
-impl Request {
-    fn new(head: http::request::Parts, body: Bytes, client: Client) -> Self {
-        Request {
-            method: head.method.as_str().to_owned(),
-            path: head.uri.path().to_owned(),
-            query: head.uri.query().unwrap_or_default().to_owned(),
-            target: head
-                .uri
-                .path_and_query()
-                .map_or_else(|| head.uri.to_string(), |both| both.as_str().to_owned()),
-            body,
-            client,
-            verb: head.method,
-            headers: head.headers,
-        }
-    }
-    /// All headers.
-    pub fn headers(&self) -> &http::HeaderMap {
-        &self.headers
-    }
-    /// Method, target, headers and body, to be passed on.
-    pub fn into_parts(self) -> (http::Method, String, http::HeaderMap, Bytes) {
-        (self.verb, self.target, self.headers, self.body)
-    }
-    /// A header as text.
-    pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.get(name)?.to_str().ok()
-    }
-    /// A word of the query, such as `from` in `?from=3`. Plain values only, nothing is unescaped.
-    pub fn query_word(&self, name: &str) -> Option<&str> {
-        let words = self
-            .query
-            .split('&')
-            .filter_map(|word| word.split_once('='));
-        words
-            .into_iter()
-            .find(|(key, _)| *key == name)
-            .map(|(_, value)| value)
-    }
-    /// The parts of the path.
-    pub fn parts(&self) -> Vec<&str> {
-        self.path
-            .split('/')
-            .filter(|part| !part.is_empty())
-            .collect()
-    }
-}
-
-/// What a gate takes at most. Those of [`GateLimits`] may be changed while it serves.
-#[derive(Debug, Clone, Copy)]
-pub struct HttpServerBounds {
-    /// Connections at once; each has a thread. More are closed unread.
-    pub connections: usize,
-    /// Bytes of a body.
-    pub body_bytes: usize,
-    /// For a head, from its first byte (without `keep_alive` from the connection's beginning), and once
-    /// more for the body behind it.
-    pub read_span: Milliseconds,
-    /// Whether a connection takes one request after the other.
-    pub keep_alive: bool,
-    /// With `keep_alive`, how long a connection may stay without a request.
-    pub idle_span: Milliseconds,
-    /// Bytes of a head.
-    pub header_bytes: usize,
-    /// Stack of each connection's thread, handlers included.
-    pub stack_bytes: usize,
-}
-
-impl Default for HttpServerBounds {
-    fn default() -> Self {
-        HttpServerBounds {
-            connections: 512,
-            body_bytes: 4 << 20,
-            read_span: Milliseconds::seconds(10),
-            keep_alive: false,
-            idle_span: Milliseconds::seconds(15),
-            header_bytes: 64 << 10,
-            stack_bytes: 512 << 10,
-        }
-    }
-}
-
-impl HttpServerBounds {
-    /// The limits that hold until others are set.
-    pub fn limits(&self) -> HttpServerLimits {
-        HttpServerLimits {
-            request: RequestLimits {
-                header_bytes: self.header_bytes,
-                body_bytes: self.body_bytes,
-            },
-            head_span: self.read_span,
-            idle_span: self.idle_span,
-        }
-    }
-}
+/// The pause after a failed accept, as when the process has no descriptor left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long [`HttpServerCloser::close`] waits for its connection that wakes the listener.
+const CLOSE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A listening HTTP door.
+/// A listening HTTP server.
 pub struct HttpServer {
     listener: TcpListener,
     bounds: HttpServerBounds,
     is_closed: Arc<AtomicBool>,
-    state: Arc<GateState>,
+    state: Arc<ServerState>,
     open_count: Arc<AtomicUsize>,
 }
 
 impl HttpServer {
-    /// Listens there.
+    /// Binds to an address; port 0 for a free one.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound, or no descriptors are left for the notification of changed limits.
     pub fn open(address: SocketAddr, bounds: HttpServerBounds) -> io::Result<Self> {
         Ok(HttpServer {
             listener: TcpListener::bind(address)?,
-            state: Arc::new(GateState::new(bounds.limits())?),
+            state: Arc::new(ServerState::new(bounds.limits())?),
             bounds,
             is_closed: Arc::default(),
             open_count: Arc::default(),
         })
     }
-    /// Where it listens.
+
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> Address {
-        Address(
-            self.listener
-                .local_addr()
-                .expect("a bound listener has an address"),
-        )
+        let address = self.listener.local_addr();
+        Address(address.expect("a bound listener has an address"))
     }
-    /// What closes it again.
+
+    /// Returns a handle that drains and closes the server.
     pub fn closer(&self) -> HttpServerCloser {
         HttpServerCloser {
             is_closed: self.is_closed.clone(),
@@ -170,15 +71,21 @@
             address: self.address(),
         }
     }
-    /// What changes its limits.
+
+    /// Returns a handle that changes the server's limits.
     pub fn limiter(&self) -> HttpServerLimiter {
         HttpServerLimiter(self.state.clone())
     }
-    /// How many connections are open.
+
+    /// Returns the number of open connections, kept up to date.
     pub fn open_count(&self) -> Arc<AtomicUsize> {
         self.open_count.clone()
     }
-    /// Takes requests for ever, each connection on a thread of its own.
+
+    /// Serves requests, each connection on a thread of its own, until [`HttpServerCloser::close`].
+    ///
+    /// `handler` is called on the connection's thread and may block; one that panics ends its connection.
+    /// Connections beyond [`HttpServerBounds::connections`] are closed unread.
     pub fn serve<H>(self, handler: H)
     where
         H: Fn(Request) -> Response + Send + Sync + Clone + 'static,
@@ -186,11 +93,11 @@
         loop {
             let stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
-                // Closing: all that had come is taken.
-                Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => return,
-                Err(fault) => {
-                    tracing::warn!("gate: accept failed: {fault}.");
-                    std::thread::sleep(std::time::Duration::from_millis(20));
+                // Closing: all connections that had come were accepted.
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) => {
+                    tracing::warn!(%error, "accept failed");
+                    std::thread::sleep(ACCEPT_RETRY_DELAY);
                     continue;
                 }
             };
@@ -198,68 +105,86 @@
             {
                 return;
             }
-            if self.open_count.fetch_add(1, Ordering::Relaxed) >= self.bounds.connections {
-                self.open_count.fetch_sub(1, Ordering::Relaxed);
-                continue;
-            }
-            let (bounds, handler, state) = (self.bounds, handler.clone(), self.state.clone());
-            let position = ChainPosition(self.open_count.clone());
-            let builder = std::thread::Builder::new()
-                .name("gate".into())
-                .stack_size(bounds.stack_bytes);
-            let spawned = builder.spawn(move || {
-                let _seat = position;
-                serve_connection(stream, bounds, &state, handler);
-            });
-            if let Err(fault) = spawned {
-                tracing::warn!("gate: no thread for a connection: {fault}.");
-            }
+            self.spawn_connection(stream, handler.clone());
+        }
+    }
+
+    fn spawn_connection<H>(&self, stream: TcpStream, handler: H)
+    where
+        H: Fn(Request) -> Response + Send + Clone + 'static,
+    {
+        let Some(permit) = ConnectionPermit::acquire(&self.open_count, self.bounds.connections)
+        else {
+            return;
+        };
+        let (bounds, state) = (self.bounds, self.state.clone());
+        let builder = std::thread::Builder::new()
+            .name("http-connection".into())
+            .stack_size(bounds.stack_bytes);
+        let spawned = builder.spawn(move || {
+            let _permit = permit;
+            serve_connection(stream, bounds, &state, handler);
+        });
+        if let Err(error) = spawned {
+            tracing::warn!(%error, "no thread for a connection");
         }
     }
 }
 
-/// Closes a gate: it stops listening; connections that are open go on.
+/// Drains and closes a server.
 #[derive(Debug, Clone)]
 pub struct HttpServerCloser {
     is_closed: Arc<AtomicBool>,
-    state: Arc<GateState>,
+    state: Arc<ServerState>,
     address: Address,
 }
 
 impl HttpServerCloser {
-    /// From now on every answer says `Connection: close`, and kept connections without a request are
-    /// closed shortly after: what was on the wire is still taken. New connections are served too.
-    pub fn leave(&self) {
-        self.state.leave();
+    /// Begins to drain the server: from now on every response says `Connection: close`, and idle
+    /// connections are closed shortly after, so that requests in flight are still served. New connections
+    /// are served too.
+    pub fn drain(&self) {
+        self.state.drain();
     }
-    /// Stops listening.
+
+    /// Stops listening; connections that are open go on.
     pub fn close(&self) {
         self.is_closed.store(true, Ordering::SeqCst);
         // Wakes the thread that waits for the next connection.
-        let _ = TcpStream::connect_timeout(&self.address.0, std::time::Duration::from_millis(500));
+        let _ = TcpStream::connect_timeout(&self.address.0, CLOSE_CONNECT_TIMEOUT);
     }
 }
 
-/// Changes a gate's limits while it serves.
+/// Changes a server's limits while it serves.
 #[derive(Debug, Clone)]
-pub struct HttpServerLimiter(Arc<GateState>);
+pub struct HttpServerLimiter(Arc<ServerState>);
 
 impl HttpServerLimiter {
-    /// From now on these hold, for the connections that are open too: for the request that is being read
-    /// on one, and, counted from now, for the time that it may stay without one.
+    /// Puts limits into force, for open connections too: for the request that is being read on one, and,
+    /// counted from now, for the time that it may stay idle.
     pub fn set(&self, limits: HttpServerLimits) {
         self.0.set_limits(limits);
     }
-    /// Those in force.
+
+    /// Returns the limits in force.
     pub fn limits(&self) -> HttpServerLimits {
-        self.0.rules().limits
+        self.0.settings().limits
     }
 }
 
-/// Gives its place back when the thread ends, however it ends.
-struct ChainPosition(Arc<AtomicUsize>);
+/// The right to keep one connection open. Dropping it gives the right back, so that a connection no longer
+/// counts however its thread ends, be it by a panic of the handler.
+struct ConnectionPermit(Arc<AtomicUsize>);
+
+impl ConnectionPermit {
+    fn acquire(open_count: &Arc<AtomicUsize>, max_open: usize) -> Option<Self> {
+        let open_before = open_count.fetch_add(1, Ordering::Relaxed);
+        let permit = ConnectionPermit(open_count.clone());
+        (open_before < max_open).then_some(permit)
+    }
+}
 
-impl Drop for ChainPosition {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/transport/src/http_server/connection.rs
+++ b/crates/transport/src/http_server/connection.rs
@@ -1,200 +1,293 @@
-//! One connection of a gate, from its first byte to its end.
+//! One connection of a server, from its first byte to its end.
+//!
+//! The event loop polls the HTTP library, lets [`ConnectionDriver`] decide on the next [`Step`], and waits
+//! for the socket in between.
 
-use super::framing::{RequestFault, RequestProgress};
-use super::request_reader::{Exchange, Intake};
+use super::closing::Ending;
+use super::framing::RequestProgress;
+use super::request_reader::{Exchange, RequestReader};
 use super::response::{Response, ResponseBody};
-use super::state::{GateRules, GateState};
+use super::state::{ServerSettings, ServerState};
 use super::{HttpServerBounds, Request};
-use crate::socket::{Alarm, Client, Duct, Peeked, Wire, Woken, await_wire};
+use crate::socket::{
+    ClientConnection, Readiness, Socket, SocketStream, WakeFlag, wait_for_readiness,
+};
 use http::HeaderValue;
 use http::header::CONNECTION;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
+use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use std::convert::Infallible;
 use std::future::Future;
-use std::io::{Read, Write};
-use std::net::{Shutdown, TcpStream};
-use std::pin::pin;
+use std::net::TcpStream;
+use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::task::{Context, Poll, Waker};
-use std::time::Duration;
 use types::{Clock, Milliseconds, MonotonicInstant, ResultCode};
 
-/// After leaving, requests that were on the wire have this long to come in.
-const LEAVE_LINGER: Milliseconds = Milliseconds(500);
-/// The library's own bound on a head; limits beyond it act as this.
-const HEAD_MOST: usize = 384 << 10;
-/// A refusal is written within this.
-const REFUSAL_WRITE: Duration = Duration::from_secs(1);
-/// For so long, and so many bytes, what a client still sends is read and dropped once this side has ended.
-const CLOSE_LINGER: Milliseconds = Milliseconds::seconds(1);
-const CLOSE_DRAIN: usize = 16 << 20;
+/// Once the server drains, requests that were on the wire have this long to come in.
+const DRAIN_LINGER: Milliseconds = Milliseconds(500);
+/// The HTTP library's own bound on a head; limits beyond it act as this.
+pub(super) const MAX_HEADER_BYTES: usize = 384 << 10;
 
-/// Since when the connection has been waiting for what it waits for now.
-struct Wait {
+/// What the event loop does next.
+enum Step {
+    /// Polls the library again at once.
+    Poll,
+    /// Waits for the socket, for changed settings or for a time-out.
+    Wait,
+    /// Ends the connection.
+    Close(Ending),
+}
+
+/// What the connection waits for, and since when.
+#[derive(Clone, Copy)]
+struct Awaited {
     progress: RequestProgress,
     since: MonotonicInstant,
 }
 
-/// What a wait came to.
-enum Waited {
-    /// There is something to do.
-    Go,
-    /// The connection has been without a request for too long.
-    Idle,
-    /// The rest of a request didn't come in time.
-    Late,
+impl Awaited {
+    fn from_now(progress: RequestProgress) -> Self {
+        Awaited {
+            progress,
+            since: Clock::now(),
+        }
+    }
+}
+
+/// When a wait ends, and how the connection ends then.
+#[derive(Debug, PartialEq, Eq)]
+struct WaitDeadline {
+    at: MonotonicInstant,
+    /// Whether no byte of a request has come: then the connection is closed without a response.
+    is_idle: bool,
+}
+
+/// Decides what happens on one connection.
+struct ConnectionDriver<'a> {
+    socket: &'a Socket,
+    exchange: &'a Exchange,
+    bounds: &'a HttpServerBounds,
+    state: &'a ServerState,
+    settings: ServerSettings,
+    awaited: Awaited,
+    /// Bytes written when the library was last polled.
+    sent_before: u64,
 }
 
 /// Serves a connection until either side ends it.
 pub(super) fn serve_connection<H: Fn(Request) -> Response + Clone>(
     stream: TcpStream,
     bounds: HttpServerBounds,
-    state: &GateState,
+    state: &ServerState,
     handler: H,
 ) {
-    let socket = Arc::new(Wire::new(stream));
-    let exchange = Rc::new(Exchange::new(state.rules().limits.request));
+    let socket = Arc::new(Socket::new(stream));
+    let exchange = Rc::new(Exchange::new(state.settings().limits.request));
     let service = service_fn(|request: hyper::Request<Incoming>| {
-        answer(
-            request,
-            handler.clone(),
-            Client::new(&socket),
-            exchange.clone(),
-            state,
-        )
+        let client = ClientConnection::new(&socket);
+        respond(request, handler.clone(), client, exchange.clone(), state)
     });
-    let duct = Duct {
-        socket: socket.clone(),
-        write_patience: Some(Duct::WRITE_PATIENCE),
+    let reader = RequestReader {
+        stream: SocketStream {
+            socket: socket.clone(),
+            write_timeout: Some(SocketStream::CLIENT_WRITE_TIMEOUT),
+        },
+        exchange: exchange.clone(),
     };
-    let mut connection = pin!(
-        hyper::server::conn::http1::Builder::new()
+    let mut library = pin!(
+        http1::Builder::new()
             .keep_alive(bounds.keep_alive)
             .auto_date_header(false)
-            .max_header_size(HEAD_MOST)
-            .serve_connection(
-                Intake {
-                    duct,
-                    exchange: exchange.clone()
-                },
-                service
-            )
+            .max_header_size(MAX_HEADER_BYTES)
+            .serve_connection(reader, service)
     );
-    let alarm = Arc::new(Alarm::default());
-    let waker = Waker::from(alarm.clone());
-    let mut context = Context::from_waker(&waker);
-    let mut wait = Wait {
-        progress: exchange.progress(),
-        since: Clock::now(),
-    };
-    let mut sent_before = 0;
-    let mut rules = heed(state, &exchange);
-    loop {
-        if state.has_changed(&rules) {
-            rules = heed(state, &exchange);
+    let driver = ConnectionDriver::new(&socket, &exchange, &bounds, state);
+    let ending = driver.run(library.as_mut());
+    ending.close(&socket, &exchange);
+}
+
+impl<'a> ConnectionDriver<'a> {
+    fn new(
+        socket: &'a Socket,
+        exchange: &'a Exchange,
+        bounds: &'a HttpServerBounds,
+        state: &'a ServerState,
+    ) -> Self {
+        let awaited = Awaited::from_now(exchange.progress());
+        ConnectionDriver {
+            socket,
+            exchange,
+            bounds,
+            state,
+            settings: adopt_settings(state, exchange),
+            awaited,
+            sent_before: 0,
         }
-        match connection.as_mut().poll(&mut context) {
-            Poll::Ready(outcome) => return end(&socket, &exchange, outcome),
-            Poll::Pending if alarm.take() => {
-                // A round that sent nothing: the source has nothing yet, so its client is looked after.
-                let sent = socket.sent_count.load(Ordering::Relaxed);
-                let is_still = std::mem::replace(&mut sent_before, sent) == sent;
-                if exchange.is_responding.get() && is_still && socket.is_gone() {
-                    return;
-                }
-                continue;
+    }
+
+    /// Runs the event loop until the connection is to be ended.
+    fn run(
+        mut self,
+        mut library: Pin<&mut impl Future<Output = Result<(), hyper::Error>>>,
+    ) -> Ending {
+        let wake_flag = Arc::new(WakeFlag::default());
+        let waker = Waker::from(wake_flag.clone());
+        let mut context = Context::from_waker(&waker);
+        loop {
+            if self.state.has_changed(&self.settings) {
+                self.settings = adopt_settings(self.state, self.exchange);
+            }
+            let step = match library.as_mut().poll(&mut context) {
+                Poll::Ready(outcome) => Step::Close(Ending::Finished(outcome)),
+                Poll::Pending if wake_flag.take() => self.on_wake(),
+                Poll::Pending => self.on_pending(),
+            };
+            let step = match step {
+                Step::Wait => self.wait(),
+                other => other,
+            };
+            if let Step::Close(ending) = step {
+                return ending;
             }
-            Poll::Pending => {}
         }
-        // Handlers and sources wait by themselves, so nothing pending means that the response has been given.
-        if exchange.is_responding.replace(false) {
-            if exchange.progress() != RequestProgress::Whole {
-                // It was answered before it was read whole: what follows belongs to nothing.
-                return close_gracefully(&socket);
+    }
+
+    /// The library wants to be polled again. If the round wrote nothing, the body's source has nothing
+    /// yet: then the client is looked after.
+    fn on_wake(&mut self) -> Step {
+        let sent_count = self.socket.sent_count.load(Ordering::Relaxed);
+        let has_sent_nothing = std::mem::replace(&mut self.sent_before, sent_count) == sent_count;
+        let is_abandoned =
+            self.exchange.is_responding.get() && has_sent_nothing && self.socket.is_disconnected();
+        if is_abandoned {
+            Step::Close(Ending::ClientDisconnected)
+        } else {
+            Step::Poll
+        }
+    }
+
+    /// The library waits for bytes. Handlers and body sources wait by themselves, so a response that had
+    /// begun is complete.
+    fn on_pending(&mut self) -> Step {
+        if self.exchange.is_responding.replace(false) {
+            if self.exchange.progress() != RequestProgress::Complete {
+                // The response came before all of the request: what follows belongs to no request.
+                return Step::Close(Ending::Graceful);
             }
-            exchange.next_request();
-            wait = Wait {
-                progress: exchange.progress(),
-                since: Clock::now(),
-            };
-            if exchange.framer.borrow().has_ready() {
-                continue;
+            self.exchange.next_request();
+            self.awaited = Awaited::from_now(self.exchange.progress());
+            if self.exchange.framer.borrow().has_releasable() {
+                return Step::Poll;
             }
         }
-        let progress = exchange.progress();
+        let progress = self.exchange.progress();
         match progress {
-            RequestProgress::Refused(fault) => {
-                #[cfg(test)]
-                if state.is_mutant(super::state::GateMutant::KeepDoubtful) {
-                    exchange
-                        .framer
-                        .borrow_mut()
-                        .forget_fault(&exchange.limits.get());
-                    continue;
+            RequestProgress::Rejected(error) => {
+                let mut framer = self.exchange.framer.borrow_mut();
+                let limits = self.exchange.limits.get();
+                if self
+                    .state
+                    .safety
+                    .resume_after_rejection(&mut framer, &limits)
+                {
+                    return Step::Poll;
                 }
-                return refuse(&socket, fault);
+                return Step::Close(Ending::Rejected(error));
             }
-            // hyper has had all of it and has handed nothing on: it reads another end.
-            RequestProgress::Whole => return close_gracefully(&socket),
-            _ => {}
+            // The library has read all of it and has handed nothing on: it sees another end.
+            RequestProgress::Complete => return Step::Close(Ending::Graceful),
+            RequestProgress::Idle | RequestProgress::Head | RequestProgress::Body => {}
         }
-        if progress != wait.progress {
-            wait = Wait {
-                progress,
-                since: Clock::now(),
-            };
+        if progress != self.awaited.progress {
+            self.awaited = Awaited::from_now(progress);
         }
-        match wait_on(&socket, &bounds, &rules, &wait) {
-            Waited::Go => {}
-            Waited::Idle => return close_gracefully(&socket),
-            Waited::Late => return refuse_late(&socket, progress),
+        Step::Wait
+    }
+
+    /// Waits until there is something to do or the time for what is awaited is over.
+    fn wait(&self) -> Step {
+        let deadline = wait_deadline(self.bounds, &self.settings, self.awaited);
+        let notifier = Some(&*self.settings.change_notifier);
+        match wait_for_readiness(self.socket, None, notifier, deadline.at) {
+            Readiness::Ready | Readiness::Notified => Step::Poll,
+            Readiness::TimedOut | Readiness::ClientDisconnected if deadline.is_idle => {
+                Step::Close(Ending::Graceful)
+            }
+            Readiness::TimedOut | Readiness::ClientDisconnected => {
+                Step::Close(Ending::RequestTimedOut(self.awaited.progress))
+            }
         }
     }
 }
 
-/// Takes up the limits in force.
-fn heed(state: &GateState, exchange: &Exchange) -> GateRules {
-    #[cfg_attr(not(test), expect(unused_mut, reason = "only mutants change it"))]
-    let mut rules = state.rules();
-    #[cfg(test)]
-    {
-        use super::state::GateMutant;
-        if state.is_mutant(GateMutant::IgnoreLimits) {
-            rules.limits.request.header_bytes = HEAD_MOST;
-            rules.limits.request.body_bytes = usize::MAX;
-            rules.limits.head_span = Milliseconds::seconds(3600);
-            rules.limits.idle_span = Milliseconds::seconds(3600);
+/// Makes the connection obey the settings in force.
+fn adopt_settings(state: &ServerState, exchange: &Exchange) -> ServerSettings {
+    let mut settings = state.settings();
+    settings.limits = state
+        .safety
+        .effective_limits(settings.limits, exchange.limits.get());
+    exchange.limits.set(settings.limits.request);
+    settings
+}
+
+/// Until when what is awaited may come.
+fn wait_deadline(
+    bounds: &HttpServerBounds,
+    settings: &ServerSettings,
+    awaited: Awaited,
+) -> WaitDeadline {
+    let limits = &settings.limits;
+    match awaited.progress {
+        RequestProgress::Idle if bounds.keep_alive => {
+            // A limit binds a connection that was idle when it came into force from then on.
+            let idle_since = awaited.since.max(settings.limits_since);
+            let idle_until = idle_since + limits.idle_timeout;
+            let drained_at = settings.draining_since.map(|since| since + DRAIN_LINGER);
+            WaitDeadline {
+                at: drained_at.map_or(idle_until, |drained_at| idle_until.min(drained_at)),
+                is_idle: true,
+            }
         }
-        if state.is_mutant(GateMutant::IgnoreChanges) {
-            rules.limits.request = exchange.limits.get();
+        RequestProgress::Idle => WaitDeadline {
+            at: awaited.since + limits.head_timeout,
+            is_idle: true,
+        },
+        RequestProgress::Head => WaitDeadline {
+            at: awaited.since + limits.head_timeout,
+            is_idle: false,
+        },
+        RequestProgress::Body | RequestProgress::Complete | RequestProgress::Rejected(_) => {
+            WaitDeadline {
+                at: awaited.since + bounds.read_timeout,
+                is_idle: false,
+            }
         }
     }
-    exchange.limits.set(rules.limits.request);
-    rules
 }
 
-/// Reads a request whole and has it answered.
-async fn answer<H: Fn(Request) -> Response>(
+/// Reads a request completely and has its handler respond.
+async fn respond<H: Fn(Request) -> Response>(
     request: hyper::Request<Incoming>,
     handler: H,
-    client: Client,
+    client: ClientConnection,
     exchange: Rc<Exchange>,
-    state: &GateState,
+    state: &ServerState,
 ) -> Result<hyper::Response<ResponseBody>, Infallible> {
     exchange
         .is_close_delimited
         .set(request.version() < hyper::Version::HTTP_11);
     let (head, body) = request.into_parts();
-    let is_head = head.method == http::Method::HEAD;
-    let is_second = exchange.is_taken.replace(true);
+    let is_head_request = head.method == http::Method::HEAD;
+    let is_second = exchange.is_dispatched.replace(true);
     let body = body.collect().await;
-    let is_whole = exchange.progress() == RequestProgress::Whole && !is_second;
+    let is_complete = exchange.progress() == RequestProgress::Complete && !is_second;
     let response = match body {
-        Ok(body) if is_whole => {
+        Ok(body) if is_complete => {
             exchange.is_responding.set(true);
             handler(Request::new(head, body.to_bytes(), client))
         }
@@ -203,126 +296,13 @@
         Err(_) => Response::result(ResultCode::SlowBody, "the body was torn"),
     };
     exchange.is_responding.set(true);
-    let mut response = response.into_hyper(is_head);
-    if state.is_draining() || !is_whole {
-        response
-            .headers_mut()
-            .insert(CONNECTION, HeaderValue::from_static("close"));
+    let mut response = response.into_hyper(is_head_request);
+    if state.is_draining() || !is_complete {
+        let headers = response.headers_mut();
+        headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// Until when what is awaited may come, and whether that is a request's first byte.
-fn wait_deadline(
-    bounds: &HttpServerBounds,
-    rules: &GateRules,
-    wait: &Wait,
-) -> (MonotonicInstant, bool) {
-    match wait.progress {
-        RequestProgress::Nothing if bounds.keep_alive => {
-            // A limit binds a connection that rested when it came into force from then on.
-            let resting = wait.since.max(rules.limits_since) + rules.limits.idle_span;
-            (
-                rules
-                    .left
-                    .map_or(resting, |left| resting.min(left + LEAVE_LINGER)),
-                true,
-            )
-        }
-        RequestProgress::Nothing => (wait.since + rules.limits.head_span, true),
-        RequestProgress::Head => (wait.since + rules.limits.head_span, false),
-        _ => (wait.since + bounds.read_span, false),
-    }
-}
-
-/// Waits until there is something to do, as long as may be.
-fn wait_on(socket: &Wire, bounds: &HttpServerBounds, rules: &GateRules, wait: &Wait) -> Waited {
-    let (deadline, is_idle) = wait_deadline(bounds, rules, wait);
-    match await_wire(socket, None, Some(&rules.bell), deadline) {
-        Woken::Ready | Woken::Bell => Waited::Go,
-        Woken::Late | Woken::ClientGone if is_idle => Waited::Idle,
-        Woken::Late | Woken::ClientGone => Waited::Late,
-    }
-}
-
-/// hyper is done with the connection.
-fn end(socket: &Wire, exchange: &Exchange, outcome: Result<(), hyper::Error>) {
-    let Err(fault) = outcome else {
-        // A client that has ended its side sends nothing more: the connection can close at once.
-        if socket.peek() != Peeked::Gone {
-            close_gracefully(socket);
-        }
-        return;
-    };
-    tracing::debug!("gate: a connection ended early: {fault}.");
-    // Where only the close tells the end of a body, it must not look like one.
-    if exchange.is_responding.get() && exchange.is_close_delimited.get() {
-        let _ = rustix::net::sockopt::set_socket_linger(&socket.stream, Some(Duration::ZERO));
-    }
-}
-
-/// Tells a client that its request can't be taken. Nothing of an answer is on the wire: the request was
-/// not handed on, and the answer before it had ended.
-fn refuse(socket: &Wire, fault: RequestFault) {
-    let response = match fault {
-        RequestFault::Malformed(why) => Response::result(ResultCode::BadRequest, why),
-        RequestFault::LargeHead => {
-            Response::result(ResultCode::TooLarge, "the head is over the bound").with_status(431)
-        }
-        RequestFault::LargeBody => {
-            Response::result(ResultCode::TooLarge, "the body is over the bound")
-        }
-    };
-    tell_and_close(socket, response);
-}
-
-/// Tells a client that the rest of its request didn't come in time.
-fn refuse_late(socket: &Wire, progress: RequestProgress) {
-    let what = if progress == RequestProgress::Head {
-        "the head"
-    } else {
-        "the body"
-    };
-    tell_and_close(
-        socket,
-        Response::result(ResultCode::SlowBody, format!("{what} did not come in time")),
-    );
-}
-
-fn tell_and_close(socket: &Wire, response: Response) {
-    let _ = socket.stream.set_write_timeout(Some(REFUSAL_WRITE));
-    if (&socket.stream)
-        .write_all(&response.into_last_bytes())
-        .is_ok()
-    {
-        close_gracefully(socket);
-    }
-}
-
-/// Ends the connection such that the client can read all that was written, whatever it still sends meanwhile: a
-/// close with unread bytes, or bytes that come after a close, reset the connection.
-fn close_gracefully(socket: &Wire) {
-    let deadline = Clock::now() + CLOSE_LINGER;
-    if socket.stream.shutdown(Shutdown::Write).is_err() {
-        return;
-    }
-    let (mut buffer, mut drained) = (vec![0; 4 << 10], 0);
-    while drained < CLOSE_DRAIN {
-        let left = Clock::now().until(deadline);
-        if left.0 == 0
-            || socket
-                .stream
-                .set_read_timeout(Some(left.duration()))
-                .is_err()
-        {
-            return;
-        }
-        match (&socket.stream).read(&mut buffer) {
-            Ok(0) | Err(_) => return,
-            Ok(count) => drained += count,
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/transport/src/http_server/framing/tests.rs
+++ b/crates/transport/src/http_server/framing/tests.rs
@@ -1,4 +1,20 @@
 use super::*;
+
+impl RequestFramer {
+    /// A deliberate fault: reads on behind the next line end as if a request began there.
+    pub(in crate::http_server) fn resume_behind_rejected(&mut self, limits: &RequestLimits) {
+        let rest = &self.buffer[self.checked..];
+        let line_length = find(rest, b"\n").map_or(rest.len(), |offset| offset + 1);
+        self.buffer.drain(..self.checked + line_length);
+        self.released = 0;
+        self.checked = 0;
+        self.scanned = 0;
+        self.body_bytes = 0;
+        self.state = FramingState::Head;
+        self.advance(limits);
+    }
+}
+
 use yare::parameterized;
 
 const LIMITS: RequestLimits = RequestLimits {
@@ -6,16 +22,16 @@
     body_bytes: 40,
 };
 
-/// All that a framer gives out of these bytes, pushed in pieces of this size, and where it stands then.
+/// The requests that a framer releases of these bytes, pushed in chunks of this size, and its progress then.
 fn framed(text: &str, size: usize) -> (Vec<String>, RequestProgress) {
     let (mut framer, mut requests, mut request) = (RequestFramer::new(), vec![], vec![]);
-    for piece in text.as_bytes().chunks(size) {
-        framer.push(piece, &LIMITS);
+    for chunk in text.as_bytes().chunks(size) {
+        framer.push(chunk, &LIMITS);
         loop {
-            while framer.has_ready() {
+            while framer.has_releasable() {
                 request.extend_from_slice(framer.release(7));
             }
-            if framer.progress() != RequestProgress::Whole {
+            if framer.progress() != RequestProgress::Complete {
                 break;
             }
             requests.push(String::from_utf8(std::mem::take(&mut request)).expect("text"));
@@ -33,13 +49,13 @@
 const OPTIONS: &str = "OPTIONS * HTTP/1.1\r\nhost: a\r\n\r\n";
 
 #[test]
-fn requests_are_told_apart_however_their_bytes_come() {
+fn requests_are_separated_however_their_bytes_come() {
     let sent = [GET, POST, CHUNKED, OLD, ABSOLUTE, OPTIONS, GET];
     for size in [1, 2, 3, 5, 16, 64, 10_000] {
         let (requests, progress) = framed(&sent.concat(), size);
         assert_eq!(
             (requests, progress),
-            (sent.map(str::to_owned).to_vec(), RequestProgress::Nothing),
+            (sent.map(str::to_owned).to_vec(), RequestProgress::Idle),
             "by {size}"
         );
     }
@@ -53,20 +69,20 @@
     );
     assert!(matches!(
         framed("\r\n\r\n\r\nGET", 3).1,
-        RequestProgress::Refused(RequestFault::Malformed(_))
+        RequestProgress::Rejected(RequestError::Malformed(_))
     ));
 }
 
 #[test]
-fn progress_tells_what_is_awaited() {
+fn progress_says_how_much_has_come() {
     for (text, expected) in [
-        ("", RequestProgress::Nothing),
-        ("\r\n", RequestProgress::Nothing),
+        ("", RequestProgress::Idle),
+        ("\r\n", RequestProgress::Idle),
         ("G", RequestProgress::Head),
         (&GET[..GET.len() - 1], RequestProgress::Head),
         (&POST[..POST.len() - 1], RequestProgress::Body),
         (&CHUNKED[..CHUNKED.len() - 1], RequestProgress::Body),
-        (GET, RequestProgress::Nothing),
+        (GET, RequestProgress::Idle),
     ] {
         assert_eq!(framed(text, 4).1, expected, "{text}");
     }
@@ -118,14 +134,14 @@
     odd_method = { "G(T / HTTP/1.1\r\nhost: a\r\n\r\n" },
     tab_in_line = { "GET\t/ HTTP/1.1\r\nhost: a\r\n\r\n" },
 )]
-fn a_head_that_could_be_read_in_two_ways_is_refused(text: &str) {
+fn an_ambiguous_head_is_rejected(text: &str) {
     for size in [1, 1000] {
         let (requests, progress) = framed(&format!("{GET}{text}{GET}"), size);
         assert_eq!(requests, [GET]);
         assert!(
             matches!(
                 progress,
-                RequestProgress::Refused(RequestFault::Malformed(_))
+                RequestProgress::Rejected(RequestError::Malformed(_))
             ),
             "{progress:?}"
         );
@@ -146,7 +162,7 @@
     torn_trailer = { "3\r\nabc\r\n0\r\nGET / HTTP/1.1\r\n\r\n" },
     long_extension = { &format!("3;{}\r\nabc\r\n0\r\n\r\n", "x".repeat(300)) },
 )]
-fn a_body_whose_chunks_are_odd_is_never_whole(chunks: &str) {
+fn a_body_with_malformed_chunks_is_never_complete(chunks: &str) {
     let text = head("transfer-encoding: chunked\r\n") + chunks + GET;
     for size in [1, 1000] {
         let (requests, progress) = framed(&text, size);
@@ -154,7 +170,7 @@
         assert!(
             matches!(
                 progress,
-                RequestProgress::Refused(RequestFault::Malformed(_))
+                RequestProgress::Rejected(RequestError::Malformed(_))
             ),
             "{progress:?}"
         );
@@ -167,23 +183,23 @@
         let bare = head("x: \r\n").len();
         head(&format!("x: {}\r\n", "y".repeat(length - bare)))
     };
-    assert_eq!(framed(&padded(200), 9).1, RequestProgress::Nothing);
+    assert_eq!(framed(&padded(200), 9).1, RequestProgress::Idle);
     for size in [1, 9, 1000] {
         assert_eq!(
             framed(&padded(201), size).1,
-            RequestProgress::Refused(RequestFault::LargeHead)
+            RequestProgress::Rejected(RequestError::HeadTooLarge)
         );
     }
-    // One that doesn't end is not waited for.
+    // A head that doesn't end is not waited for.
     assert_eq!(
         framed(&"x".repeat(201), 50).1,
-        RequestProgress::Refused(RequestFault::LargeHead)
+        RequestProgress::Rejected(RequestError::HeadTooLarge)
     );
     let body = |length: usize| head(&format!("content-length: {length}\r\n"));
     assert_eq!(framed(&body(40), 9).1, RequestProgress::Body);
     assert_eq!(
         framed(&body(41), 9).1,
-        RequestProgress::Refused(RequestFault::LargeBody)
+        RequestProgress::Rejected(RequestError::BodyTooLarge)
     );
     let chunks = |last: &str| {
         head("transfer-encoding: chunked\r\n") + "14\r\n01234567890123456789\r\n" + last
@@ -191,12 +207,12 @@
     assert_eq!(framed(&chunks("14\r\n"), 9).1, RequestProgress::Body);
     assert_eq!(
         framed(&chunks("15\r\n"), 9).1,
-        RequestProgress::Refused(RequestFault::LargeBody)
+        RequestProgress::Rejected(RequestError::BodyTooLarge)
     );
 }
 
 #[test]
-fn a_limit_that_changes_binds_the_head_that_is_being_read() {
+fn a_changed_limit_binds_the_head_that_is_being_read() {
     let mut framer = RequestFramer::new();
     framer.push(&[b'x'; 150], &LIMITS);
     assert_eq!(framer.progress(), RequestProgress::Head);
@@ -209,6 +225,6 @@
     );
     assert_eq!(
         framer.progress(),
-        RequestProgress::Refused(RequestFault::LargeHead)
+        RequestProgress::Rejected(RequestError::HeadTooLarge)
     );
 }
--- a/crates/transport/src/http_server/request_reader.rs
+++ b/crates/transport/src/http_server/request_reader.rs
@@ -1,7 +1,7 @@
-//! A connection as hyper reads it: one request at a time, each followed to its end first.
+//! A connection as the HTTP library reads it: one request at a time, each checked to its end first.
 
 use super::framing::{RequestFramer, RequestLimits, RequestProgress};
-use crate::socket::Duct;
+use crate::socket::SocketStream;
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -10,16 +10,16 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// What a connection's intake and its loop share.
-pub(crate) struct Exchange {
+/// What a connection's reader, its service and its event loop share about the current request.
+pub(super) struct Exchange {
     pub framer: RefCell<RequestFramer>,
-    /// The limits in force.
+    /// The limits that the connection obeys.
     pub limits: Cell<RequestLimits>,
-    /// Whether the current request was handed on.
-    pub is_taken: Cell<bool>,
-    /// Whether an answer to it has begun.
+    /// Whether the library has handed the current request on.
+    pub is_dispatched: Cell<bool>,
+    /// Whether a response to it has begun.
     pub is_responding: Cell<bool>,
-    /// Whether only the close tells the end of the answer's body.
+    /// Whether only the close marks the end of the response's body.
     pub is_close_delimited: Cell<bool>,
 }
 
@@ -28,52 +28,55 @@
         Exchange {
             framer: RefCell::new(RequestFramer::new()),
             limits: Cell::new(limits),
-            is_taken: Cell::new(false),
+            is_dispatched: Cell::new(false),
             is_responding: Cell::new(false),
             is_close_delimited: Cell::new(false),
         }
     }
+
     pub fn progress(&self) -> RequestProgress {
         self.framer.borrow().progress()
     }
-    /// The answer was given: the next request may be read.
+
+    /// Lets the next request be read, once the response to the current one was written.
     pub fn next_request(&self) {
         self.framer.borrow_mut().next_request(&self.limits.get());
-        self.is_taken.set(false);
+        self.is_dispatched.set(false);
     }
 }
 
-/// Reads from the wire into the framer, and gives hyper what the framer lets out.
-pub(crate) struct Intake {
-    pub duct: Duct,
+/// Reads from the socket into the framer, and gives the library what the framer releases.
+pub(super) struct RequestReader {
+    pub stream: SocketStream,
     pub exchange: Rc<Exchange>,
 }
 
-const READ_BYTES: usize = 8 << 10;
+/// Bytes read from the socket at once.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-impl Read for Intake {
+impl Read for RequestReader {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let Intake { duct, exchange } = self.get_mut();
+        let RequestReader { stream, exchange } = self.get_mut();
         loop {
             let mut framer = exchange.framer.borrow_mut();
-            if framer.has_ready() {
+            if framer.has_releasable() {
                 cursor.put_slice(framer.release(cursor.remaining()));
                 return Poll::Ready(Ok(()));
             }
-            // What follows waits for the answer; behind a fault nothing is read at all.
+            // What follows waits for the response; behind a rejected request nothing is read at all.
             if matches!(
                 framer.progress(),
-                RequestProgress::Whole | RequestProgress::Refused(_)
+                RequestProgress::Complete | RequestProgress::Rejected(_)
             ) {
                 return Poll::Pending;
             }
-            let mut bytes = [MaybeUninit::<u8>::uninit(); READ_BYTES];
+            let mut bytes = [MaybeUninit::<u8>::uninit(); READ_BUFFER_BYTES];
             let mut buffer = ReadBuf::uninit(&mut bytes);
-            ready!(Pin::new(&mut *duct).poll_read(context, buffer.unfilled()))?;
+            ready!(Pin::new(&mut *stream).poll_read(context, buffer.unfilled()))?;
             if buffer.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
@@ -82,18 +85,20 @@
     }
 }
 
-impl Write for Intake {
+impl Write for RequestReader {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.get_mut().duct).poll_write(context, bytes)
+        Pin::new(&mut self.get_mut().stream).poll_write(context, bytes)
     }
+
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.get_mut().duct).poll_flush(context)
+        Pin::new(&mut self.get_mut().stream).poll_flush(context)
     }
+
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.get_mut().duct).poll_shutdown(context)
+        Pin::new(&mut self.get_mut().stream).poll_shutdown(context)
     }
 }
--- a/crates/transport/src/http_server/state.rs
+++ b/crates/transport/src/http_server/state.rs
@@ -1,145 +1,124 @@
-//! What all connections of a gate heed: its limits in force, and whether it leaves.
+//! What all connections of a server obey: the limits in force, and whether the server drains.
 
-use super::framing::RequestLimits;
+use super::limits::HttpServerLimits;
+use super::safety::{RequestSafety, SafeRequests};
 use std::fs::File;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use types::{Clock, Milliseconds, MonotonicInstant};
+use types::{Clock, MonotonicInstant};
 
-/// Limits of a gate that may change while it serves.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HttpServerLimits {
-    /// On each request.
-    pub request: RequestLimits,
-    /// For a head to come, from its first byte.
-    pub head_span: Milliseconds,
-    /// How long a connection may stay without a request.
-    pub idle_span: Milliseconds,
-}
-
-/// A deliberate fault, by which the tests show that they see it.
-#[cfg(test)]
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum GateMutant {
-    /// After a request that can't be read to its end, what follows is read as the next.
-    KeepDoubtful,
-    /// Limits are not heeded.
-    IgnoreLimits,
-    /// Limits bind only the connections that are opened after they came into force.
-    IgnoreChanges,
-}
-
-/// What holds for a gate's connections at one moment.
+/// What a server's connections obey at one moment.
 #[derive(Debug, Clone)]
-pub(crate) struct GateRules {
-    /// How often they have changed.
+pub(super) struct ServerSettings {
+    /// How often the settings have changed.
     pub generation: u64,
     pub limits: HttpServerLimits,
-    /// Since when those are in force.
+    /// Since when the limits are in force.
     pub limits_since: MonotonicInstant,
-    /// Since when it leaves.
-    pub left: Option<MonotonicInstant>,
-    /// Its other end is closed once anything here changes.
-    pub bell: Arc<File>,
+    /// Since when the server drains.
+    pub draining_since: Option<MonotonicInstant>,
+    /// A pipe whose other end is closed once the settings change: connections poll it.
+    pub change_notifier: Arc<File>,
 }
 
-/// The rules of one gate, shared by its connections.
+/// The settings of one server, shared by its connections.
 #[derive(Debug)]
-pub(crate) struct GateState {
-    held: Mutex<Held>,
-    /// That of the rules held, to be looked at without their lock.
+pub(super) struct ServerState {
+    current: Mutex<CurrentSettings>,
+    /// The current settings' generation, to be read without their lock.
     generation: AtomicU64,
-    #[cfg(test)]
-    pub mutant: Option<GateMutant>,
+    pub safety: Box<dyn RequestSafety>,
 }
 
 #[derive(Debug)]
-struct Held {
-    rules: GateRules,
-    rope: Option<OwnedFd>,
+struct CurrentSettings {
+    settings: ServerSettings,
+    /// Closed to wake those that poll the notifier.
+    notifier_end: Option<OwnedFd>,
 }
 
-impl GateState {
+impl ServerState {
     pub fn new(limits: HttpServerLimits) -> io::Result<Self> {
-        let (bell, rope) = new_bell()?;
-        let rules = GateRules {
+        let (change_notifier, notifier_end) = new_notifier()?;
+        let settings = ServerSettings {
             generation: 0,
             limits,
             limits_since: Clock::now(),
-            left: None,
-            bell,
+            draining_since: None,
+            change_notifier,
         };
-        Ok(GateState {
-            held: Mutex::new(Held {
-                rules,
-                rope: Some(rope),
+        Ok(ServerState {
+            current: Mutex::new(CurrentSettings {
+                settings,
+                notifier_end: Some(notifier_end),
             }),
             generation: AtomicU64::new(0),
-            #[cfg(test)]
-            mutant: None,
+            safety: Box::new(SafeRequests),
         })
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    /// The current settings, also after a thread has panicked with the lock: each change is complete.
+    fn current(&self) -> MutexGuard<'_, CurrentSettings> {
+        self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn rules(&self) -> GateRules {
-        self.held().rules.clone()
+    pub fn settings(&self) -> ServerSettings {
+        self.current().settings.clone()
     }
 
-    /// Whether these are no longer those in force.
-    pub fn has_changed(&self, rules: &GateRules) -> bool {
-        self.generation.load(Ordering::SeqCst) != rules.generation
+    /// Whether these are no longer the current settings.
+    pub fn has_changed(&self, settings: &ServerSettings) -> bool {
+        self.generation.load(Ordering::SeqCst) != settings.generation
     }
 
     pub fn is_draining(&self) -> bool {
-        self.held().rules.left.is_some()
+        self.current().settings.draining_since.is_some()
     }
 
-    pub fn leave(&self) {
-        let mut held = self.held();
-        held.rules.left.get_or_insert_with(Clock::now);
-        self.tell_change(&mut held);
+    pub fn drain(&self) {
+        let mut current = self.current();
+        current
+            .settings
+            .draining_since
+            .get_or_insert_with(Clock::now);
+        self.publish(&mut current);
     }
 
     pub fn set_limits(&self, limits: HttpServerLimits) {
-        let mut held = self.held();
-        if held.rules.limits != limits {
-            held.rules.limits = limits;
-            held.rules.limits_since = Clock::now();
-            self.tell_change(&mut held);
+        let mut current = self.current();
+        if current.settings.limits != limits {
+            current.settings.limits = limits;
+            current.settings.limits_since = Clock::now();
+            self.publish(&mut current);
         }
     }
 
-    fn tell_change(&self, held: &mut Held) {
-        held.rules.generation += 1;
+    fn publish(&self, current: &mut CurrentSettings) {
+        current.settings.generation += 1;
         self.generation
-            .store(held.rules.generation, Ordering::SeqCst);
-        held.ring();
-    }
-
-    #[cfg(test)]
-    pub fn is_mutant(&self, mutant: GateMutant) -> bool {
-        self.mutant == Some(mutant)
+            .store(current.settings.generation, Ordering::SeqCst);
+        current.notify();
     }
 }
 
-impl Held {
-    /// Wakes whoever waits with the bell, and hangs up a new one. Without a descriptor for that, the rung
-    /// one stays: then connections look again and again, until the next change.
-    fn ring(&mut self) {
-        drop(self.rope.take());
-        match new_bell() {
-            Ok((bell, rope)) => (self.rules.bell, self.rope) = (bell, Some(rope)),
-            Err(fault) => tracing::warn!("gate: no descriptor to tell changes by: {fault}."),
+impl CurrentSettings {
+    /// Wakes the connections that poll the notifier, and replaces it. Without a descriptor for that, the
+    /// closed one stays: then connections poll without waiting, until the next change.
+    fn notify(&mut self) {
+        drop(self.notifier_end.take());
+        match new_notifier() {
+            Ok((notifier, end)) => {
+                self.settings.change_notifier = notifier;
+                self.notifier_end = Some(end);
+            }
+            Err(error) => tracing::warn!(%error, "no descriptor for notifying of changed limits"),
         }
     }
 }
 
-fn new_bell() -> io::Result<(Arc<File>, OwnedFd)> {
-    let (bell, rope) = rustix::pipe::pipe_with(rustix::pipe::PipeFlags::CLOEXEC)?;
-    Ok((Arc::new(File::from(bell)), rope))
+fn new_notifier() -> io::Result<(Arc<File>, OwnedFd)> {
+    let (notifier, end) = rustix::pipe::pipe_with(rustix::pipe::PipeFlags::CLOEXEC)?;
+    Ok((Arc::new(File::from(notifier)), end))
 }
--- a/crates/transport/src/http_server/tests.rs
+++ b/crates/transport/src/http_server/tests.rs
@@ -1,6 +1,8 @@
 //! Random mixes of good and bad requests on one connection, and limits that change under open connections.
 
-use super::state::GateMutant;
+use super::connection::MAX_HEADER_BYTES;
+use super::framing::RequestFramer;
+use super::safety::RequestSafety;
 use super::*;
 use http::HeaderMap;
 use proptest::collection::vec;
@@ -12,9 +14,9 @@
 use std::time::Duration;
 use types::{Address, Milliseconds};
 
-/// Nothing is judged by it but that something came at all.
+/// The bound on waits that only a failure reaches.
 const GUARD: Duration = Duration::from_secs(20);
-/// A mutant that hangs is seen after this.
+/// A mutant that hangs is detected after this.
 const MUTANT_GUARD: Duration = Duration::from_secs(2);
 /// The seed of the mixes.
 const SEED: [u8; 32] = [18; 32];
@@ -26,7 +28,50 @@
     }
 }
 
-fn guard(mutant: Option<GateMutant>) -> Duration {
+/// A deliberate fault, by which the tests show that they detect it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Mutant {
+    /// After a request that can't be read to its end, what follows is read as the next.
+    ResumeAfterRejection,
+    /// Limits are not obeyed.
+    IgnoreLimits,
+    /// Limits bind only the connections that are opened after they came into force.
+    IgnoreChanges,
+}
+
+impl RequestSafety for Mutant {
+    fn effective_limits(
+        &self,
+        in_force: HttpServerLimits,
+        before: RequestLimits,
+    ) -> HttpServerLimits {
+        match self {
+            Mutant::IgnoreLimits => HttpServerLimits {
+                request: RequestLimits {
+                    header_bytes: MAX_HEADER_BYTES,
+                    body_bytes: usize::MAX,
+                },
+                head_timeout: Milliseconds::seconds(3600),
+                idle_timeout: Milliseconds::seconds(3600),
+            },
+            Mutant::IgnoreChanges => HttpServerLimits {
+                request: before,
+                ..in_force
+            },
+            Mutant::ResumeAfterRejection => in_force,
+        }
+    }
+
+    fn resume_after_rejection(&self, framer: &mut RequestFramer, limits: &RequestLimits) -> bool {
+        let is_faulty = *self == Mutant::ResumeAfterRejection;
+        if is_faulty {
+            framer.resume_behind_rejected(limits);
+        }
+        is_faulty
+    }
+}
+
+fn guard(mutant: Option<Mutant>) -> Duration {
     if mutant.is_some() {
         MUTANT_GUARD
     } else {
@@ -34,18 +79,19 @@
     }
 }
 
-/// A gate with a deliberate fault or none.
+/// A server with a deliberate fault or none.
 fn serve(
     bounds: HttpServerBounds,
-    mutant: Option<GateMutant>,
+    mutant: Option<Mutant>,
     handler: impl Fn(Request) -> Response + Send + Sync + Clone + 'static,
 ) -> (Address, HttpServerLimiter) {
-    let mut http_server = HttpServer::open(Address::loopback(0).0, bounds).expect("a port");
-    Arc::get_mut(&mut http_server.state)
-        .expect("nobody else has it")
-        .mutant = mutant;
-    let (address, limiter) = (http_server.address(), http_server.limiter());
-    std::thread::spawn(move || http_server.serve(handler));
+    let mut server = HttpServer::open(Address::loopback(0).0, bounds).expect("a port");
+    if let Some(mutant) = mutant {
+        let state = Arc::get_mut(&mut server.state).expect("nobody else has it");
+        state.safety = Box::new(mutant);
+    }
+    let (address, limiter) = (server.address(), server.limiter());
+    std::thread::spawn(move || server.serve(handler));
     (address, limiter)
 }
 
@@ -131,13 +177,13 @@
             _ => "",
         }
     }
-    fn bytes(&self, place: usize) -> String {
+    fn bytes(&self, index: usize) -> String {
         let body = self.body();
         match self {
-            Sent::Good(_, Encoding::NoBody) => format!("GET /{place} HTTP/1.1\r\nhost: a\r\n\r\n"),
+            Sent::Good(_, Encoding::NoBody) => format!("GET /{index} HTTP/1.1\r\nhost: a\r\n\r\n"),
             Sent::Good(_, Encoding::Length) => {
                 format!(
-                    "POST /{place} HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{body}",
+                    "POST /{index} HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{body}",
                     body.len()
                 )
             }
@@ -151,7 +197,7 @@
                 };
                 let chunks: String = body.as_bytes().chunks(*size).map(chunk).collect();
                 format!(
-                    "POST /{place} HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"
+                    "POST /{index} HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"
                 )
             }
             Sent::Bad(head, rest) => format!("{head}{rest}"),
@@ -159,17 +205,17 @@
     }
 }
 
-/// Path and body of each request that a gate handed on.
-type HandedOn = Arc<Mutex<Vec<(String, String)>>>;
+/// Path and body of each request that the handler got.
+type HandledRequests = Arc<Mutex<Vec<(String, String)>>>;
 
-/// Sends a mix on one connection; checks what was handed on and what came back.
+/// Sends a mix on one connection; checks what was handled and what came back.
 fn play(
     address: Address,
-    handed_on: &HandedOn,
+    handled: &HandledRequests,
     (sent, most, splits): &(Vec<Sent>, Option<usize>, Vec<usize>),
     guard: Duration,
 ) -> Result<(), TestCaseError> {
-    handed_on
+    handled
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clear();
@@ -177,21 +223,21 @@
     let mut expected = vec![];
     let mut is_bad = false;
     let most = most.unwrap_or(usize::MAX);
-    for (place, one) in sent.iter().enumerate() {
-        bytes += &one.bytes(place);
+    for (index, one) in sent.iter().enumerate() {
+        bytes += &one.bytes(index);
         is_bad |= matches!(one, Sent::Bad(..));
         if !is_bad && bytes.len() <= most {
-            expected.push((format!("/{place}"), one.body().to_owned()));
+            expected.push((format!("/{index}"), one.body().to_owned()));
         }
     }
     bytes.truncate(most);
-    let heard = exchange(address, bytes.as_bytes(), splits, guard)?;
-    let (answers, end) = read_answers(&heard);
-    let handed_on = handed_on
+    let received = exchange(address, bytes.as_bytes(), splits, guard)?;
+    let (answers, end) = read_answers(&received);
+    let handled = handled
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
-    prop_assert_eq!(&handed_on, &expected, "handed on");
+    prop_assert_eq!(&handled, &expected, "handled");
     let echoes = expected
         .iter()
         .map(|(path, body)| (200, format!("{path} {body}")));
@@ -200,19 +246,19 @@
         &echoes.collect::<Vec<_>>(),
         "answers"
     );
-    let refusals = &answers[expected.len()..];
+    let rejections = &answers[expected.len()..];
     prop_assert!(
-        refusals.len() <= 1
-            && refusals
+        rejections.len() <= 1
+            && rejections
                 .iter()
                 .all(|(status, _)| matches!(status, 400 | 408)),
         "{:?}",
-        refusals
+        rejections
     );
     prop_assert!(
-        most < usize::MAX || refusals.len() == usize::from(is_bad),
+        most < usize::MAX || rejections.len() == usize::from(is_bad),
         "{:?}",
-        refusals
+        rejections
     );
     prop_assert_eq!(end, "", "behind the answers");
     Ok(())
@@ -230,23 +276,23 @@
     stream.set_read_timeout(Some(guard))?;
     let mut rest = bytes;
     for size in splits.iter().copied().chain([usize::MAX]) {
-        let (piece, others) = rest.split_at(size.min(rest.len()));
-        // A gate that has closed has said why.
-        if stream.write_all(piece).is_err() {
+        let (chunk, others) = rest.split_at(size.min(rest.len()));
+        // A server that has closed has said why.
+        if stream.write_all(chunk).is_err() {
             break;
         }
         rest = others;
     }
     let _ = stream.shutdown(Shutdown::Write);
-    let mut heard = String::new();
-    stream.read_to_string(&mut heard)?;
-    Ok(heard)
+    let mut received = String::new();
+    stream.read_to_string(&mut received)?;
+    Ok(received)
 }
 
 /// Statuses and bodies of whole answers, and what is behind them.
-fn read_answers(mut heard: &str) -> (Vec<(u16, String)>, &str) {
+fn read_answers(mut received: &str) -> (Vec<(u16, String)>, &str) {
     let mut answers = vec![];
-    while let Some((head, rest)) = heard.split_once("\r\n\r\n") {
+    while let Some((head, rest)) = received.split_once("\r\n\r\n") {
         let status = head
             .strip_prefix("HTTP/1.1 ")
             .and_then(|rest| rest.get(..3)?.parse().ok());
@@ -257,21 +303,22 @@
             break;
         };
         answers.push((status, body.to_owned()));
-        heard = &rest[body.len()..];
+        received = &rest[body.len()..];
     }
-    (answers, heard)
+    (answers, received)
 }
 
-/// Plays so many mixes at one gate.
-fn play_mixes(cases: u32, mutant: Option<GateMutant>) -> Result<(), String> {
-    let handed_on = HandedOn::default();
-    let note = handed_on.clone();
+/// Plays so many mixes at one server.
+fn run_mixes(cases: u32, mutant: Option<Mutant>) -> Result<(), String> {
+    let handled = HandledRequests::default();
+    let recorded = handled.clone();
     let (address, _) = serve(bounds(), mutant, move |request| {
         let body = String::from_utf8_lossy(&request.body).into_owned();
-        note.lock()
+        recorded
+            .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push((request.path.clone(), body.clone()));
-        Response::passed(200, HeaderMap::new(), format!("{} {body}", request.path))
+        Response::forwarded(200, HeaderMap::new(), format!("{} {body}", request.path))
     });
     let config = ProptestConfig {
         cases,
@@ -283,19 +330,19 @@
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &SEED));
     let guard = guard(mutant);
     runner
-        .run(&some_mix(), |mix| play(address, &handed_on, &mix, guard))
+        .run(&some_mix(), |mix| play(address, &handled, &mix, guard))
         .map_err(|fault| fault.to_string())
 }
 
 #[test]
-fn of_any_mix_just_the_requests_that_were_sent_are_handed_on_and_answered_in_request() {
-    play_mixes(1000, None).unwrap_or_else(|why| panic!("{why}"));
+fn of_any_mix_exactly_the_sent_requests_are_handled_and_answered_in_order() {
+    run_mixes(1000, None).unwrap_or_else(|why| panic!("{why}"));
 }
 
 #[test]
-fn going_on_behind_a_doubtful_end_is_seen() {
-    let outcome = play_mixes(200, Some(GateMutant::KeepDoubtful));
-    assert!(outcome.is_err_and(|why| why.contains("handed on")));
+fn reading_on_after_a_rejected_request_is_detected() {
+    let outcome = run_mixes(200, Some(Mutant::ResumeAfterRejection));
+    assert!(outcome.is_err_and(|why| why.contains("handled")));
 }
 
 // ---- Limits.
@@ -309,15 +356,15 @@
         stream.set_read_timeout(Some(guard)).expect("set");
         Client(stream)
     }
-    fn say(&mut self, text: &str) {
+    fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).expect("written");
     }
     fn post(&mut self, header_bytes: usize, body_bytes: usize) {
         let padding = "x".repeat(header_bytes);
-        self.say(&format!(
+        self.send(&format!(
             "POST / HTTP/1.1\r\nhost: a\r\nx: {padding}\r\ncontent-length: {body_bytes}\r\n\r\n"
         ));
-        self.say(&"y".repeat(body_bytes));
+        self.send(&"y".repeat(body_bytes));
     }
     /// The status of an answer without a body; `None`: none came.
     fn status(&mut self) -> Option<u16> {
@@ -329,7 +376,7 @@
         }
         String::from_utf8_lossy(&head).get(9..12)?.parse().ok()
     }
-    /// Whether the gate ends the connection.
+    /// Whether the server ends the connection.
     fn ends(&mut self) -> bool {
         self.0.read_to_end(&mut vec![]).is_ok()
     }
@@ -340,14 +387,14 @@
         header_bytes: 1000,
         body_bytes: 2000,
     },
-    head_span: Milliseconds(200),
-    idle_span: Milliseconds(200),
+    head_timeout: Milliseconds(200),
+    idle_timeout: Milliseconds(200),
 };
 
-/// What is seen of limits that are set while connections are open; the first thing that is wrong.
-fn try_limits(mutant: Option<GateMutant>) -> Result<(), &'static str> {
+/// Sets limits while connections are open; the error is the first of them that is not obeyed.
+fn try_limits(mutant: Option<Mutant>) -> Result<(), &'static str> {
     let (address, limiter) = serve(bounds(), mutant, |_| {
-        Response::passed(200, HeaderMap::new(), "")
+        Response::forwarded(200, HeaderMap::new(), "")
     });
     let open = || {
         let mut client = Client::connect(address, guard(mutant));
@@ -358,8 +405,8 @@
     };
     let (mut large_head, mut large_body, mut slow, mut idle) = (open()?, open()?, open()?, open()?);
     limiter.set(HttpServerLimits {
-        idle_span: Milliseconds::seconds(3600),
-        head_span: Milliseconds::seconds(3600),
+        idle_timeout: Milliseconds::seconds(3600),
+        head_timeout: Milliseconds::seconds(3600),
         ..NARROW
     });
     large_head.post(1500, 0);
@@ -370,13 +417,13 @@
     if large_body.status() != Some(413) || !large_body.ends() {
         return Err("a large body on an open connection");
     }
-    slow.say("GET / HT");
+    slow.send("GET / HT");
     limiter.set(NARROW);
     if slow.status() != Some(408) || !slow.ends() {
         return Err("a slow head on an open connection");
     }
     if !idle.ends() {
-        return Err("an open connection that rests");
+        return Err("an open connection that is idle");
     }
     let mut within = Client::connect(address, guard(mutant));
     within.post(500, 2000);
@@ -393,26 +440,26 @@
 }
 
 #[test]
-fn limits_that_are_not_heeded_are_seen() {
+fn limits_that_are_not_obeyed_are_detected() {
     assert_eq!(
-        try_limits(Some(GateMutant::IgnoreLimits)),
+        try_limits(Some(Mutant::IgnoreLimits)),
         Err("a large head on an open connection")
     );
     assert_eq!(
-        try_limits(Some(GateMutant::IgnoreChanges)),
+        try_limits(Some(Mutant::IgnoreChanges)),
         Err("a large head on an open connection")
     );
 }
 
 #[test]
-fn a_limit_that_is_taken_back_binds_no_more() {
+fn a_limit_that_is_withdrawn_binds_no_more() {
     let (address, limiter) = serve(bounds(), None, |_| {
-        Response::passed(200, HeaderMap::new(), "")
+        Response::forwarded(200, HeaderMap::new(), "")
     });
     let wide = limiter.limits();
     limiter.set(HttpServerLimits {
-        idle_span: Milliseconds::seconds(3600),
-        head_span: Milliseconds::seconds(3600),
+        idle_timeout: Milliseconds::seconds(3600),
+        head_timeout: Milliseconds::seconds(3600),
         ..NARROW
     });
     limiter.set(wide);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,10 @@
-//! The doors of a process: HTTP towards clients, servers and operators; snapshots between our own.
+//! The network interfaces of a process: an HTTP server and client for clients, servers and operators, a
+//! connection pool towards servers, and messages between the fleet's own processes.
 //!
-//! `rouille` and `astra` hold small pieces back (tests/library_traps.rs shows it), so answers go
-//! through `hyper`, their kin, on one blocking thread a connection.
+//! The HTTP server is built on `hyper` with one blocking thread for each connection: `rouille` and `astra`
+//! hold small chunks back (tests/library_traps.rs shows it).
+
+#![warn(missing_docs)]
 
 mod connection_pool;
 mod http_client;
@@ -10,15 +13,16 @@
 mod socket;
 
 pub use connection_pool::{
-    CHECK_LIFE, ConnectionError, ConnectionPool, ConnectionPoolBounds, Line, LinePull, Waits,
+    BodyRead, ConnectionError, ConnectionPool, ConnectionPoolBounds, PooledResponse,
+    SEND_CHECK_VALIDITY, SendOptions,
 };
 pub use http_client::{
-    Ask, Heard, HttpClientError, HttpRequestExt, http_delete, http_get, http_post, http_request,
-    read_all, read_page,
+    HttpClientError, HttpRequest, HttpRequestExt, HttpResponse, http_delete, http_get, http_post,
+    http_request, read_all, read_typed_body,
 };
 pub use http_server::{
-    HttpServer, HttpServerBounds, HttpServerCloser, HttpServerLimiter, HttpServerLimits,
-    PieceSource, Pull, Request, RequestLimits, Response,
+    BodyChunk, BodySource, HttpServer, HttpServerBounds, HttpServerCloser, HttpServerLimiter,
+    HttpServerLimits, Request, RequestLimits, Response,
 };
-pub use message_transport::{MessageTransport, PostClass, PostTally};
-pub use socket::Client;
+pub use message_transport::{MessageClass, MessageTransport, PeerTraffic};
+pub use socket::ClientConnection;
--- a/crates/transport/tests/connection_pool.rs
+++ b/crates/transport/tests/connection_pool.rs
@@ -7,16 +7,16 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use transport::{
-    CHECK_LIFE, Client, ConnectionError, ConnectionPool, ConnectionPoolBounds, HttpServer,
-    HttpServerBounds, Line, LinePull, Response, Waits,
+    BodyRead, ClientConnection, ConnectionError, ConnectionPool, ConnectionPoolBounds, HttpServer,
+    HttpServerBounds, PooledResponse, Response, SEND_CHECK_VALIDITY, SendOptions,
 };
 use types::{Address, Clock, Milliseconds};
 
 const PATIENCE: Milliseconds = Milliseconds::seconds(5);
 const BOUNDS: ConnectionPoolBounds = ConnectionPoolBounds {
-    per_address: 0,
-    idle_per_address: 4,
-    idle_span: Milliseconds::seconds(30),
+    max_per_address: 0,
+    max_idle_per_address: 4,
+    idle_timeout: Milliseconds::seconds(30),
 };
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
@@ -31,20 +31,20 @@
     true
 }
 
-fn waits() -> Waits<'static> {
-    Waits {
-        connect: PATIENCE,
+fn waits() -> SendOptions<'static> {
+    SendOptions {
+        connect_timeout: PATIENCE,
         head_deadline: Clock::now() + PATIENCE,
-        may_leave: &always,
+        may_send: &always,
         client: None,
     }
 }
 
-fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<Line, ConnectionError> {
-    lines.ask(to, request(), &waits())
+fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<PooledResponse, ConnectionError> {
+    lines.send_request(to, request(), &waits())
 }
 
-fn read_all(line: &mut Line) -> Result<Bytes, ConnectionError> {
+fn read_all(line: &mut PooledResponse) -> Result<Bytes, ConnectionError> {
     line.read_all(Clock::now() + PATIENCE, 1 << 20, None)
 }
 
@@ -52,8 +52,8 @@
 fn ask_and_keep(lines: &ConnectionPool, to: SocketAddr) -> bool {
     let mut line = ask(lines, to).unwrap();
     assert_eq!(read_all(&mut line).unwrap(), "ok");
-    let was_reused = line.was_reused();
-    line.keep();
+    let was_reused = line.is_reused();
+    line.release();
     was_reused
 }
 
@@ -112,7 +112,7 @@
     assert!(ask_and_keep(&lines, to));
     assert!(ask_and_keep(&lines, to));
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (1, 1));
-    lines.drop_idle(to);
+    lines.close_idle(to);
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (0, 0));
     assert!(!ask_and_keep(&lines, to));
 }
@@ -182,7 +182,7 @@
     assert!(!ask_and_keep(&lines, to));
     is_closed.recv().unwrap();
     assert!(!ask_and_keep(&lines, to));
-    lines.drop_stale();
+    lines.close_stale();
     assert_eq!(lines.idle_count(to), 1, "the clean one stays");
 }
 
@@ -198,7 +198,7 @@
     assert!(!ask_and_keep(&lines, to));
     let outcome = ask(&lines, to);
     assert!(
-        matches!(outcome, Err(ConnectionError::Unknown(_))),
+        matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
         "{:?}",
         outcome.err()
     );
@@ -214,7 +214,7 @@
     let lines = ConnectionPool::new(BOUNDS);
     let outcome = ask(&lines, closed);
     assert!(
-        matches!(outcome, Err(ConnectionError::Unsent(_))),
+        matches!(outcome, Err(ConnectionError::NotSent(_))),
         "{:?}",
         outcome.err()
     );
@@ -225,16 +225,16 @@
 fn a_silent_server_is_late() {
     let to = server(|_, mut served| while served.hear().is_some() {});
     let lines = ConnectionPool::new(BOUNDS);
-    let outcome = lines.ask(
+    let outcome = lines.send_request(
         to,
         request(),
-        &Waits {
+        &SendOptions {
             head_deadline: Clock::now() + Milliseconds(50),
             ..waits()
         },
     );
     assert!(
-        matches!(outcome, Err(ConnectionError::Late(_))),
+        matches!(outcome, Err(ConnectionError::TimedOut(_))),
         "{:?}",
         outcome.err()
     );
@@ -252,11 +252,11 @@
     for times in [0, 1] {
         let asked = Cell::new(0);
         let may_leave = || asked.replace(asked.get() + 1) < times;
-        let outcome = lines.ask(
+        let outcome = lines.send_request(
             to,
             request(),
-            &Waits {
-                may_leave: &may_leave,
+            &SendOptions {
+                may_send: &may_leave,
                 ..waits()
             },
         );
@@ -273,11 +273,11 @@
     ask_and_keep(&lines, to);
     let asked = Cell::new(0);
     let may_leave = || asked.replace(asked.get() + 1) < 1;
-    let outcome = lines.ask(
+    let outcome = lines.send_request(
         to,
         request(),
-        &Waits {
-            may_leave: &may_leave,
+        &SendOptions {
+            may_send: &may_leave,
             ..waits()
         },
     );
@@ -312,16 +312,16 @@
     let may_leave = || {
         asked.set(asked.get() + 1);
         if asked.get() == 2 {
-            pass(CHECK_LIFE);
+            pass(SEND_CHECK_VALIDITY);
         }
         asked.get() < 3 || may_still_leave
     };
     let lines = ConnectionPool::new(BOUNDS);
-    let outcome = lines.ask(
+    let outcome = lines.send_request(
         to,
         request(),
-        &Waits {
-            may_leave: &may_leave,
+        &SendOptions {
+            may_send: &may_leave,
             ..waits()
         },
     );
@@ -362,16 +362,16 @@
             }
             true
         };
-        let outcome = ConnectionPool::new(BOUNDS).ask(
+        let outcome = ConnectionPool::new(BOUNDS).send_request(
             to,
             request(),
-            &Waits {
-                may_leave: &may_leave,
+            &SendOptions {
+                may_send: &may_leave,
                 ..waits()
             },
         );
         assert!(
-            matches!(outcome, Err(ConnectionError::Unsent(_))),
+            matches!(outcome, Err(ConnectionError::NotSent(_))),
             "{said:?}: {:?}",
             outcome.err()
         );
@@ -407,13 +407,13 @@
             Ok(mut line) => {
                 let outcome = read_all(&mut line);
                 assert!(
-                    matches!(outcome, Err(ConnectionError::Unknown(_))),
+                    matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
                     "{said:?}: {outcome:?}"
                 );
-                line.keep();
+                line.release();
             }
             Err(fault) => assert!(
-                matches!(fault, ConnectionError::Unknown(_)),
+                matches!(fault, ConnectionError::OutcomeUnknown(_)),
                 "{said:?}: {fault:?}"
             ),
         }
@@ -432,7 +432,7 @@
         (line.head().status.as_u16(), read_all(&mut line).unwrap()),
         (200, "ok".into())
     );
-    line.keep();
+    line.release();
     assert!(ask_and_keep(&lines, to));
 }
 
@@ -451,18 +451,21 @@
         .header("host", "a")
         .body(Bytes::from(vec![b'x'; 64 << 20]))
         .unwrap();
-    let mut line = lines.ask(to, large, &waits()).unwrap();
-    assert!(!line.was_reused() && !line.is_sole_answer());
+    let mut line = lines.send_request(to, large, &waits()).unwrap();
+    assert!(!line.is_reused() && !line.is_sole_response());
     assert_eq!(read_all(&mut line).unwrap(), "ok");
-    line.keep();
+    line.release();
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (0, 0));
     drop(done);
     let (lines, to) = (ConnectionPool::new(BOUNDS), answering(OK));
     let mut line = ask(&lines, to).unwrap();
-    assert!(line.is_sole_answer(), "the first one");
+    assert!(line.is_sole_response(), "the first one");
     read_all(&mut line).unwrap();
-    line.keep();
-    assert!(!ask(&lines, to).unwrap().is_sole_answer(), "the second one");
+    line.release();
+    assert!(
+        !ask(&lines, to).unwrap().is_sole_response(),
+        "the second one"
+    );
 }
 
 #[test]
@@ -474,7 +477,7 @@
     });
     let outcome = ask(&ConnectionPool::new(BOUNDS), to);
     assert!(
-        matches!(outcome, Err(ConnectionError::Unknown(_))),
+        matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
         "{:?}",
         outcome.err()
     );
@@ -497,7 +500,7 @@
         }
         let outcome = ask(&lines, to);
         assert!(
-            matches!(outcome, Err(ConnectionError::Unknown(_))),
+            matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
             "reused {is_reused}: {:?}",
             outcome.err()
         );
@@ -506,7 +509,7 @@
 }
 
 /// A client of a gate, and the connection that it called on.
-fn client() -> (Client, TcpStream, mpsc::Sender<()>) {
+fn client() -> (ClientConnection, TcpStream, mpsc::Sender<()>) {
     let http_server = HttpServer::open(
         Address::loopback(0).0,
         HttpServerBounds {
@@ -522,7 +525,7 @@
             let (end, ended) = mpsc::channel();
             sender.send((request.client, end)).unwrap();
             let _ = ended.recv();
-            Response::whole(200, "text/plain", "")
+            Response::complete(200, "text/plain", "")
         });
     });
     let mut stream = TcpStream::connect(address.0).unwrap();
@@ -554,10 +557,10 @@
                 drop(stream);
             });
             let lines = ConnectionPool::new(BOUNDS);
-            let outcome = lines.ask(
+            let outcome = lines.send_request(
                 to,
                 request(),
-                &Waits {
+                &SendOptions {
                     client: Some(&client),
                     ..waits()
                 },
@@ -565,10 +568,14 @@
             match outcome {
                 Ok(mut line) => {
                     let outcome = line.read_all(Clock::now() + PATIENCE, 100, Some(&client));
-                    assert_eq!(outcome, Err(ConnectionError::ClientGone));
+                    assert_eq!(outcome, Err(ConnectionError::ClientDisconnected));
                 }
                 Err(fault) => {
-                    assert_eq!(fault, ConnectionError::ClientGone, "{pipelined:?} {said:?}")
+                    assert_eq!(
+                        fault,
+                        ConnectionError::ClientDisconnected,
+                        "{pipelined:?} {said:?}"
+                    )
                 }
             }
             drop(end);
@@ -592,18 +599,18 @@
         let mut line = ask(&lines, to).unwrap();
         let outcome = read_all(&mut line);
         assert!(
-            matches!(outcome, Err(ConnectionError::Unknown(_))),
+            matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
             "{said:?}: {outcome:?}"
         );
         drop(line);
         let mut line = ask(&lines, to).unwrap();
-        let torn = std::iter::repeat_with(|| line.pull(PATIENCE.duration(), None))
-            .find(|p| !matches!(p, LinePull::Data(_)));
+        let torn = std::iter::repeat_with(|| line.read_chunk(PATIENCE.duration(), None))
+            .find(|p| !matches!(p, BodyRead::Data(_)));
         assert!(
-            matches!(torn, Some(LinePull::Torn(_))),
+            matches!(torn, Some(BodyRead::Truncated(_))),
             "{said:?}: {torn:?}"
         );
-        line.keep();
+        line.release();
         assert_eq!(lines.open_count(to), 0);
     }
 }
@@ -613,7 +620,7 @@
     let to = answering("certainly not\r\n\r\n");
     let outcome = ask(&ConnectionPool::new(BOUNDS), to);
     assert!(
-        matches!(outcome, Err(ConnectionError::Unknown(_))),
+        matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
         "{:?}",
         outcome.err()
     );
@@ -647,7 +654,7 @@
     }
     // One second means half of one; a short time of ours ends as well.
     let short = ConnectionPoolBounds {
-        idle_span: Milliseconds(50),
+        idle_timeout: Milliseconds(50),
         ..BOUNDS
     };
     for (said, span, bounds) in [
@@ -664,7 +671,7 @@
         while Clock::now() <= deadline {
             std::thread::yield_now();
         }
-        lines.drop_stale();
+        lines.close_stale();
         assert_eq!(lines.idle_count(to), 0, "{said}");
         assert!(!ask_and_keep(&lines, to));
     }
@@ -678,14 +685,14 @@
     );
     let mut line = ask(&lines, to).unwrap();
     assert_eq!(
-        line.pull(PATIENCE.duration(), None),
-        LinePull::Data("half".into())
+        line.read_chunk(PATIENCE.duration(), None),
+        BodyRead::Data("half".into())
     );
     assert_eq!(
-        line.pull(Duration::from_millis(10), None),
-        LinePull::Nothing
+        line.read_chunk(Duration::from_millis(10), None),
+        BodyRead::TimedOut
     );
-    line.keep();
+    line.release();
     assert_eq!(lines.open_count(to), 0);
 }
 
@@ -693,16 +700,22 @@
 fn an_address_has_its_bound() {
     let (lines, to) = (
         ConnectionPool::new(ConnectionPoolBounds {
-            per_address: 2,
+            max_per_address: 2,
             ..BOUNDS
         }),
         answering(OK),
     );
     let (first, second) = (ask(&lines, to).unwrap(), ask(&lines, to).unwrap());
-    assert!(matches!(ask(&lines, to), Err(ConnectionError::Full)));
-    lines.set_per_address(to, 3);
+    assert!(matches!(
+        ask(&lines, to),
+        Err(ConnectionError::PoolExhausted)
+    ));
+    lines.set_max_per_address(to, 3);
     let third = ask(&lines, to).unwrap();
-    assert!(matches!(ask(&lines, to), Err(ConnectionError::Full)));
+    assert!(matches!(
+        ask(&lines, to),
+        Err(ConnectionError::PoolExhausted)
+    ));
     drop((first, second));
     assert_eq!(lines.open_count(to), 1);
     drop(third);
@@ -714,7 +727,7 @@
 fn the_newest_is_taken_and_the_oldest_given_up() {
     let (lines, to) = (
         ConnectionPool::new(ConnectionPoolBounds {
-            idle_per_address: 2,
+            max_idle_per_address: 2,
             ..BOUNDS
         }),
         server(|number, mut served| {
@@ -730,13 +743,13 @@
         .iter_mut()
         .map(|line| read_all(line).unwrap())
         .collect();
-    open.into_iter().for_each(Line::keep);
+    open.into_iter().for_each(PooledResponse::release);
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (2, 2));
     for number in numbers[1..].iter().rev() {
         let mut line = ask(&lines, to).unwrap();
         assert_eq!(read_all(&mut line).unwrap(), number);
     }
-    assert!(!ask(&lines, to).unwrap().was_reused());
+    assert!(!ask(&lines, to).unwrap().is_reused());
 }
 
 #[test]
@@ -754,16 +767,16 @@
     });
     let lines = ConnectionPool::new(BOUNDS);
     let mut line = ask(&lines, to).unwrap();
-    assert_eq!(line.pull(Duration::ZERO, None), LinePull::Nothing);
+    assert_eq!(line.read_chunk(Duration::ZERO, None), BodyRead::TimedOut);
     for wanted in [
-        LinePull::Data("one".into()),
-        LinePull::Data("two".into()),
-        LinePull::End,
+        BodyRead::Data("one".into()),
+        BodyRead::Data("two".into()),
+        BodyRead::End,
     ] {
         next.send(()).unwrap();
-        assert_eq!(line.pull(PATIENCE.duration(), None), wanted);
+        assert_eq!(line.read_chunk(PATIENCE.duration(), None), wanted);
     }
-    line.keep();
+    line.release();
     assert_eq!(lines.idle_count(to), 1);
 }
 
@@ -795,12 +808,12 @@
         .header("host", "a")
         .body(body.clone())
         .unwrap();
-    let mut line = lines.ask(to, request, &waits()).unwrap();
+    let mut line = lines.send_request(to, request, &waits()).unwrap();
     assert!(
         line.read_all(Clock::now() + PATIENCE, body.len(), None)
             .unwrap()
             == body
     );
-    line.keep();
+    line.release();
     assert_eq!(lines.idle_count(to), 1);
 }
--- a/crates/transport/tests/golden.rs
+++ b/crates/transport/tests/golden.rs
@@ -20,7 +20,7 @@
     let address = http_server.address().0;
     std::thread::spawn(move || {
         http_server.serve(|request| {
-            let parts = request.parts();
+            let parts = request.path_segments();
             let number: u16 = parts[0].parse().expect("a number");
             let code = ResultCode::ALL.iter().find(|code| code.number() == number);
             let code = *code.expect("a result code");
--- a/crates/transport/tests/http_server_keep_alive.rs
+++ b/crates/transport/tests/http_server_keep_alive.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use transport::{
-    HttpServer, HttpServerBounds, HttpServerCloser, PieceSource, Pull, Request, Response,
+    BodyChunk, BodySource, HttpServer, HttpServerBounds, HttpServerCloser, Request, Response,
 };
 use types::{Address, Clock, Milliseconds};
 
@@ -16,8 +16,8 @@
 fn bounds() -> HttpServerBounds {
     HttpServerBounds {
         keep_alive: true,
-        read_span: Milliseconds(300),
-        idle_span: Milliseconds::seconds(30),
+        read_timeout: Milliseconds(300),
+        idle_timeout: Milliseconds::seconds(30),
         ..HttpServerBounds::default()
     }
 }
@@ -34,7 +34,7 @@
 }
 
 fn echo(request: Request) -> Response {
-    Response::passed(200, HeaderMap::new(), request.body)
+    Response::forwarded(200, HeaderMap::new(), request.body)
 }
 
 /// The client's side of one connection.
@@ -127,10 +127,10 @@
 #[test]
 fn a_request_tells_its_target_headers_and_parts() {
     let (address, _closer) = http_server(bounds(), |request| {
-        assert!(!request.client.is_gone());
+        assert!(!request.client.is_disconnected());
         assert_eq!(request.headers().get_all("x").iter().count(), 2);
         let (method, target, headers, body) = request.into_parts();
-        Response::passed(
+        Response::forwarded(
             200,
             HeaderMap::new(),
             format!("{method} {target} {} {}", headers.len(), body.len()),
@@ -165,7 +165,7 @@
 fn idle_connections_are_closed_quietly() {
     let (address, _closer) = http_server(
         HttpServerBounds {
-            idle_span: Milliseconds(100),
+            idle_timeout: Milliseconds(100),
             ..bounds()
         },
         echo,
@@ -221,11 +221,11 @@
 }
 
 /// Gives what the test feeds it.
-struct Fed(mpsc::Receiver<Pull>);
+struct Fed(mpsc::Receiver<BodyChunk>);
 
-impl PieceSource for Fed {
-    fn pull(&mut self, patience: Duration) -> Pull {
-        self.0.recv_timeout(patience).unwrap_or(Pull::Nothing)
+impl BodySource for Fed {
+    fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
+        self.0.recv_timeout(timeout).unwrap_or(BodyChunk::Pending)
     }
 }
 
@@ -235,19 +235,19 @@
 ) -> (
     Address,
     HttpServerCloser,
-    mpsc::Receiver<mpsc::Sender<Pull>>,
+    mpsc::Receiver<mpsc::Sender<BodyChunk>>,
 ) {
     let (feeds, fed) = mpsc::channel();
     let (address, closer) = http_server(bounds(), move |_| {
         let (feed, source) = mpsc::channel();
         feeds.send(feed).unwrap();
-        Response::passed_stream(200, headers.clone(), Box::new(Fed(source)))
+        Response::forwarded_stream(200, headers.clone(), Box::new(Fed(source)))
     });
     (address, closer, fed)
 }
 
-fn piece(text: &'static str) -> Pull {
-    Pull::Piece(text.into())
+fn piece(text: &'static str) -> BodyChunk {
+    BodyChunk::Data(text.into())
 }
 
 #[test]
@@ -269,7 +269,7 @@
                 format!("3\r\n{text}\r\n")
             );
         }
-        feed.send(Pull::End).unwrap();
+        feed.send(BodyChunk::End).unwrap();
         let mut end = [0; 5];
         client.0.read_exact(&mut end).unwrap();
         assert_eq!(&end, b"0\r\n\r\n");
@@ -287,7 +287,7 @@
         client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
         let feed = fed.recv_timeout(PATIENCE).unwrap();
         feed.send(piece("one")).unwrap();
-        feed.send(Pull::Cut).unwrap();
+        feed.send(BodyChunk::Abort).unwrap();
         assert_eq!(
             client.head().contains("content-length: 10"),
             length.is_some()
@@ -311,7 +311,7 @@
     client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
     let feed = fed.recv_timeout(PATIENCE).unwrap();
     feed.send(piece("one")).unwrap();
-    feed.send(Pull::End).unwrap();
+    feed.send(BodyChunk::End).unwrap();
     client.head();
     assert_eq!(client.rest(), "one");
 }
@@ -326,7 +326,7 @@
     client.head();
     let mut text = [0; 3];
     client.0.read_exact(&mut text).unwrap();
-    feed.send(Pull::Cut).unwrap();
+    feed.send(BodyChunk::Abort).unwrap();
     let outcome = client.0.read(&mut text);
     assert!(outcome.is_err_and(|fault| fault.kind() == std::io::ErrorKind::ConnectionReset));
 }
@@ -354,7 +354,7 @@
     client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\nGET /next HTTP/1.1\r\nhost: a\r\n\r\n");
     let feed = fed.recv_timeout(PATIENCE).unwrap();
     feed.send(piece("one")).unwrap();
-    feed.send(Pull::Cut).unwrap();
+    feed.send(BodyChunk::Abort).unwrap();
     client.head();
     assert_eq!(client.rest(), "3\r\none\r\n");
     assert!(fed.try_recv().is_err(), "the next request was handed on");
@@ -363,7 +363,7 @@
 #[test]
 fn what_a_server_says_of_its_own_connection_is_not_passed_on() {
     let (address, _closer) = http_server(bounds(), |_| {
-        let response = Response::passed(103, HeaderMap::new(), "x");
+        let response = Response::forwarded(103, HeaderMap::new(), "x");
         let headers = [
             ("keep-alive", "timeout=60"),
             ("connection", "close"),
@@ -403,7 +403,7 @@
             waiting.send((request.client.clone(), release)).unwrap();
             let _ = released.recv_timeout(PATIENCE);
         }
-        Response::passed(200, HeaderMap::new(), request.path)
+        Response::forwarded(200, HeaderMap::new(), request.path)
     });
     for _ in 0..20 {
         let mut gone = Client::connect(address);
@@ -415,7 +415,7 @@
         next.say("GET /next HTTP/1.1\r\nhost: a\r\n\r\n");
         assert_eq!(next.answer().1, "/next");
         // It is that connection which is watched, not whatever has its number now.
-        assert!(client.is_gone());
+        assert!(client.is_disconnected());
         next.0
             .get_mut()
             .shutdown(std::net::Shutdown::Write)
@@ -427,7 +427,7 @@
 #[test]
 fn a_last_answer_comes_whole_whatever_was_sent_behind_its_request() {
     let (address, _closer) = http_server(bounds(), |_| {
-        Response::passed(200, HeaderMap::new(), "x".repeat(1 << 20))
+        Response::forwarded(200, HeaderMap::new(), "x".repeat(1 << 20))
     });
     let mut client = Client::connect(address);
     let mut writer = client.0.get_ref().try_clone().unwrap();
@@ -458,11 +458,12 @@
         let mut client = Client::connect(address);
         client.say("GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
         let feed = fed.recv_timeout(PATIENCE).unwrap();
-        feed.send(Pull::Piece("x".repeat(LENGTH).into())).unwrap();
-        feed.send(Pull::End).unwrap();
+        feed.send(BodyChunk::Data("x".repeat(LENGTH).into()))
+            .unwrap();
+        feed.send(BodyChunk::End).unwrap();
         // The gate is done with the answer: most of it still waits for its client to read it.
         let deadline = Clock::now() + Milliseconds::seconds(5);
-        while feed.send(Pull::Nothing).is_ok() {
+        while feed.send(BodyChunk::Pending).is_ok() {
             assert!(Clock::now() < deadline, "the answer was never ended");
             std::thread::yield_now();
         }
@@ -488,11 +489,11 @@
     for spins in (0..20).map(|round| round * 400) {
         let (address, _closer) = http_server(
             HttpServerBounds {
-                idle_span: Milliseconds(20),
+                idle_timeout: Milliseconds(20),
                 ..bounds()
             },
             |request| {
-                Response::passed(
+                Response::forwarded(
                     200,
                     HeaderMap::new(),
                     "y".repeat(if request.path == "/long" {
@@ -545,16 +546,16 @@
             let (gone, is_gone) = mpsc::channel::<()>();
             clients.send((request.client.clone(), gone)).unwrap();
             let _ = is_gone.recv_timeout(PATIENCE);
-            Response::passed(200, HeaderMap::new(), "late")
+            Response::forwarded(200, HeaderMap::new(), "late")
         });
         let mut client = Client::connect(address);
         client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
         let (peer, gone) = seen.recv_timeout(PATIENCE).unwrap();
         client.say(said);
-        assert!(!peer.is_gone());
+        assert!(!peer.is_disconnected());
         drop(client);
         let deadline = Clock::now() + Milliseconds::seconds(5);
-        while !peer.is_gone() {
+        while !peer.is_disconnected() {
             assert!(Clock::now() < deadline, "not seen behind {said:?}");
             std::thread::yield_now();
         }
@@ -578,7 +579,7 @@
                 at_work.send(release).unwrap();
                 let _ = released.recv_timeout(PATIENCE);
             }
-            Response::passed(200, HeaderMap::new(), "done")
+            Response::forwarded(200, HeaderMap::new(), "done")
         });
     });
     let (mut idle, mut busy, mut late) = (
@@ -592,7 +593,7 @@
     }
     busy.say("GET /wait HTTP/1.1\r\nhost: a\r\n\r\n");
     let release = working.recv_timeout(PATIENCE).unwrap();
-    closer.leave();
+    closer.drain();
     late.post("");
     drop(release);
     for client in [&mut late, &mut busy] {
@@ -619,8 +620,8 @@
         (0, "0"),
     ] {
         assert_eq!(
-            Response::passed(503, HeaderMap::new(), "")
-                .retry_after(Milliseconds(span))
+            Response::forwarded(503, HeaderMap::new(), "")
+                .with_retry_after(Milliseconds(span))
                 .header("retry-after"),
             Some(said)
         );
--- a/crates/transport/tests/library_traps.rs
+++ b/crates/transport/tests/library_traps.rs
@@ -5,8 +5,8 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use transport::{
-    Ask, HttpClientError, HttpServer, HttpServerBounds, PieceSource, Pull, Response, http_get,
-    http_post, read_all,
+    BodyChunk, BodySource, HttpClientError, HttpRequest, HttpServer, HttpServerBounds, Response,
+    http_get, http_post, read_all,
 };
 use types::{Address, Clock, Milliseconds};
 
@@ -15,14 +15,14 @@
 /// Gives what the test feeds it.
 struct Fed(mpsc::Receiver<Option<&'static str>>);
 
-impl PieceSource for Fed {
-    fn pull(&mut self, patience: Duration) -> Pull {
-        match self.0.recv_timeout(patience) {
-            Ok(Some("cut")) => Pull::Cut,
-            Ok(Some(piece)) => Pull::Piece(piece.as_bytes().to_vec().into()),
-            Ok(None) => Pull::End,
-            Err(mpsc::RecvTimeoutError::Timeout) => Pull::Nothing,
-            Err(mpsc::RecvTimeoutError::Disconnected) => Pull::Cut,
+impl BodySource for Fed {
+    fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
+        match self.0.recv_timeout(timeout) {
+            Ok(Some("cut")) => BodyChunk::Abort,
+            Ok(Some(piece)) => BodyChunk::Data(piece.as_bytes().to_vec().into()),
+            Ok(None) => BodyChunk::End,
+            Err(mpsc::RecvTimeoutError::Timeout) => BodyChunk::Pending,
+            Err(mpsc::RecvTimeoutError::Disconnected) => BodyChunk::Abort,
         }
     }
 }
@@ -34,9 +34,9 @@
     mpsc::Receiver<()>,
 ) {
     struct Watched(Fed, mpsc::Sender<()>);
-    impl PieceSource for Watched {
-        fn pull(&mut self, patience: Duration) -> Pull {
-            self.0.pull(patience)
+    impl BodySource for Watched {
+        fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
+            self.0.next_chunk(timeout)
         }
     }
     impl Drop for Watched {
@@ -53,7 +53,7 @@
     std::thread::spawn(move || {
         http_server.serve(move |_| {
             let source = fed.lock().unwrap().take().expect("one request a gate");
-            Response::streamed("text/plain", Box::new(Watched(source, drop_sender.clone())))
+            Response::stream("text/plain", Box::new(Watched(source, drop_sender.clone())))
         });
     });
     (address, feed, dropped)
@@ -196,13 +196,13 @@
         .unwrap();
     let nobody = http_post(&format!("http://{closed}/"), vec![1], PATIENCE, PATIENCE);
     assert!(
-        matches!(nobody, Err(HttpClientError::Unsent(_))),
+        matches!(nobody, Err(HttpClientError::NotSent(_))),
         "{nobody:?}"
     );
     let mute = raw_server("");
     let silence = http_post(&format!("http://{mute}/"), vec![1], PATIENCE, PATIENCE);
     assert!(
-        matches!(silence, Err(HttpClientError::Unknown(_))),
+        matches!(silence, Err(HttpClientError::OutcomeUnknown(_))),
         "{silence:?}"
     );
 }
@@ -212,13 +212,13 @@
     let bounds = HttpServerBounds {
         connections: 8,
         body_bytes: 100,
-        read_span: Milliseconds(300),
+        read_timeout: Milliseconds(300),
         ..HttpServerBounds::default()
     };
     let http_server = HttpServer::open(Address::loopback(0).0, bounds).unwrap();
     let (address, open_count) = (http_server.address(), http_server.open_count());
     std::thread::spawn(move || {
-        http_server.serve(|request| Response::whole(200, "text/plain", request.body))
+        http_server.serve(|request| Response::complete(200, "text/plain", request.body))
     });
     let say = |text: &str| {
         let mut stream = TcpStream::connect(address.0).unwrap();
@@ -266,7 +266,7 @@
     std::thread::spawn(move || {
         http_server.serve(move |_| {
             counter.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-            Response::whole(200, "text/plain", "ran")
+            Response::complete(200, "text/plain", "ran")
         });
     });
     // The lease runs out while the connection is made: a late accept, or a machine that slept.
@@ -276,9 +276,9 @@
         let asked = asked.clone();
         let may_leave =
             move || asked.fetch_add(1, std::sync::atomic::Ordering::SeqCst) < may_leave_times;
-        Ask::post(b"{}".to_vec())
-            .connect(PATIENCE)
-            .read(PATIENCE)
+        HttpRequest::post(b"{}".to_vec())
+            .connect_timeout(PATIENCE)
+            .read_timeout(PATIENCE)
             .only_if(may_leave)
             .send(&format!("http://{address}/"))
     };
@@ -305,9 +305,9 @@
     let url = format!("http://{}/", listener.local_addr().unwrap());
     let flips = std::sync::atomic::AtomicBool::new(true);
     let may_leave = move || flips.swap(false, std::sync::atomic::Ordering::SeqCst);
-    let outcome = Ask::post(b"{}".to_vec())
-        .connect(PATIENCE)
-        .read(PATIENCE)
+    let outcome = HttpRequest::post(b"{}".to_vec())
+        .connect_timeout(PATIENCE)
+        .read_timeout(PATIENCE)
         .only_if(may_leave)
         .send(&url);
     assert!(matches!(outcome, Err(HttpClientError::Withheld)));
--- a/crates/transport/tests/upstream_fuzz.rs
+++ b/crates/transport/tests/upstream_fuzz.rs
@@ -6,7 +6,9 @@
 use proptest::test_runner::{Config, TestCaseError, TestRunner};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
-use transport::{ConnectionError, ConnectionPool, ConnectionPoolBounds, Line, Waits};
+use transport::{
+    ConnectionError, ConnectionPool, ConnectionPoolBounds, PooledResponse, SendOptions,
+};
 use types::{Clock, Milliseconds};
 
 const CASES: u32 = 1500;
@@ -209,19 +211,19 @@
         })
 }
 
-fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<(Line, Bytes), ConnectionError> {
+fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<(PooledResponse, Bytes), ConnectionError> {
     let request = http::Request::post("/")
         .header("host", "a")
         .body(Bytes::from_static(b"{}"))
         .unwrap();
     let deadline = Clock::now() + PATIENCE;
-    let waits = Waits {
-        connect: PATIENCE,
+    let waits = SendOptions {
+        connect_timeout: PATIENCE,
         head_deadline: deadline,
-        may_leave: &always,
+        may_send: &always,
         client: None,
     };
-    let mut line = lines.ask(to, request, &waits)?;
+    let mut line = lines.send_request(to, request, &waits)?;
     let body = line.read_all(deadline, 1 << 20, None)?;
     Ok((line, body))
 }
@@ -241,25 +243,33 @@
     let whole_counter = std::cell::Cell::new(0);
     let outcome = runner.run(&answers(), |said| {
         let lines = ConnectionPool::new(ConnectionPoolBounds {
-            per_address: 0,
-            idle_per_address: 4,
-            idle_span: Milliseconds::seconds(30),
+            max_per_address: 0,
+            max_idle_per_address: 4,
+            idle_timeout: Milliseconds::seconds(30),
         });
         let to = server(said.clone());
         match ask(&lines, to) {
             Ok((line, body)) => {
                 whole_counter.set(whole_counter.get() + 1);
                 prop_assert_eq!(Some(body.to_vec()), strict_body(&said), "taken as whole");
-                line.keep();
+                line.release();
             }
-            Err(fault) => prop_assert!(matches!(fault, ConnectionError::Unknown(_)), "{:?}", fault),
+            Err(fault) => prop_assert!(
+                matches!(fault, ConnectionError::OutcomeUnknown(_)),
+                "{:?}",
+                fault
+            ),
         }
         match ask(&lines, to) {
             Ok((line, body)) => {
                 prop_assert_eq!(&body[..], b"second");
-                prop_assert!(!line.was_reused());
+                prop_assert!(!line.is_reused());
             }
-            Err(fault) => prop_assert!(matches!(fault, ConnectionError::Unknown(_)), "{:?}", fault),
+            Err(fault) => prop_assert!(
+                matches!(fault, ConnectionError::OutcomeUnknown(_)),
+                "{:?}",
+                fault
+            ),
         }
         Ok::<(), TestCaseError>(())
     });
