--- a/crates/router/src/control/event.rs
+++ b/crates/router/src/control/event.rs
@@ -1,7 +1,7 @@
 //! What reaches the control thread from all others.
 
 use crate::control::node::{NodeInput, Placement, Rejection};
-use crate::token::Token;
+use crate::request::resume_token::Token;
 
 /// One message to the control thread.
 pub(crate) enum ControlEvent {
--- a/crates/router/src/control/node/messages.rs
+++ b/crates/router/src/control/node/messages.rs
@@ -1,9 +1,9 @@
 //! What a node is told, and what it wants done.
 
 use super::*;
-use crate::call::Access;
+use crate::dialect::Access;
 use crate::discovery::endpoint_list::{ListReading, ReadEffort};
-use crate::token::Token;
+use crate::request::resume_token::Token;
 use config::{Fault, KeyDigest, Plan, ServiceKind};
 use placement::{Decision, Event, PrefixHash, RequestCost, Timestamped};
 use types::{
--- a/crates/router/src/control/node/request_placement.rs
+++ b/crates/router/src/control/node/request_placement.rs
@@ -1,7 +1,7 @@
 //! Where a request goes, and which ids are in hand.
 
 use crate::control::node::{Node, NodeOutput, Placement, PlacementRequest, Rejection};
-use crate::token::Token;
+use crate::request::resume_token::Token;
 use config::ServicePlan;
 use placement::{Decision, Event};
 use types::{Milliseconds, RequestId, ResultCode, ServerName};
--- a/crates/router/src/control/node/tests.rs
+++ b/crates/router/src/control/node/tests.rs
@@ -1,11 +1,11 @@
 use super::request_placement::ENDED_IDS;
 use super::*;
-use crate::call::Access;
 use crate::control::node::{
     Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, resume_id,
 };
+use crate::dialect::Access;
 use crate::discovery::endpoint_list::{ListReading, ListTiming};
-use crate::token::{Token, run_id};
+use crate::request::resume_token::{Token, run_id};
 use config::{ServiceKind, parse_plan};
 use placement::{Event, Outcome, RequestCost, SchedulerRules, ServerEntry};
 use quota::Amount;
--- a/crates/router/src/call.rs
+++ b/crates/router/src/dialect.rs
@@ -1,5 +1,5 @@
 use crate::control::node::Rejection;
-use crate::response_validation::{AnswerIdentity, ClaimedIdentity};
+use crate::upstream::response_validation::{AnswerIdentity, ClaimedIdentity};
 use bytes::Bytes;
 use placement::{PrefixHash, RequestCost, ServerEntry};
 use transport::{Request, Response};
--- a/crates/router/src/discovery/list_reader.rs
+++ b/crates/router/src/discovery/list_reader.rs
@@ -1,6 +1,6 @@
 //! Reads the platform's list of servers in a dialect, page by page, on a thread of its own.
 
-use crate::call::CallDialect;
+use crate::dialect::CallDialect;
 use crate::discovery::endpoint_list::{ListReading, ReadEffort};
 use bytes::Bytes;
 use placement::ServerEntry;
--- a/crates/router/src/discovery/list_reader/tests.rs
+++ b/crates/router/src/discovery/list_reader/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::discovery::endpoint_list::{ListReading, ReadEffort};
-use crate::forward::tests::Plain;
+use crate::upstream::forwarding::tests::Plain;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use transport::{HttpServer, HttpServerBounds, Request, Response};
 use types::Address;
--- /dev/null
+++ b/crates/router/src/downstream.rs
@@ -0,0 +1,5 @@
+//! The side of the clients: connections, authentication and the limits that bind them.
+
+pub(crate) mod authentication;
+pub(crate) mod ingress;
+pub(crate) mod limits;
--- a/crates/router/src/ingress.rs
+++ b/crates/router/src/downstream/ingress.rs
@@ -1,10 +1,10 @@
 //! The door for clients of another dialect than the product's own.
 
-use crate::call::CallDialect;
-use crate::call_limits::{CallLimits, MOST_TO_ONE_SERVER};
-use crate::forward::Forwarder;
+use crate::dialect::CallDialect;
+use crate::downstream::limits::{CallLimits, MOST_TO_ONE_SERVER};
 use crate::settings::Settings;
 use crate::shared::Shared;
+use crate::upstream::forwarding::Forwarder;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use transport::{
--- a/crates/router/src/ingress/tests.rs
+++ b/crates/router/src/downstream/ingress/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::forward::tests::{Plain, shared};
 use crate::settings::Settings;
+use crate::upstream::forwarding::tests::{Plain, shared};
 use config::{parse_plan, read_settings};
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/router/src/attempts.rs
+++ b/crates/router/src/request/attempts.rs
@@ -1,5 +1,5 @@
 use crate::control::node::{Placement, Rejection};
-use crate::request_state::{Failure, RequestInput, RequestOutput, RequestStateMachine};
+use crate::request::state_machine::{Failure, RequestInput, RequestOutput, RequestStateMachine};
 use types::{Milliseconds, ResultCode, ServerName};
 
 /// What an errand is told.
--- a/crates/router/src/token/tests.rs
+++ b/crates/router/src/request/resume_token/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::token::Token;
+use crate::request::resume_token::Token;
 use types::TokenKey;
 
 const KEY: TokenKey = TokenKey([7; 32]);
--- a/crates/router/src/request_state/tests.rs
+++ b/crates/router/src/request/state_machine/tests.rs
@@ -1,4 +1,4 @@
-use crate::request_state::{
+use crate::request::state_machine::{
     Failure, RequestInput, RequestOutput, RequestState, RequestStateMachine,
 };
 use RequestInput::{Admit, Break, Deny, Fail, Finish, Give, LoseLease, Open, Supersede, Tear};
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,8 +1,8 @@
 use crate::admin::metrics::Metrics;
-use crate::authorization::authorize;
-use crate::call_limits::SharedLimits;
 use crate::control::event::ControlEvent;
 use crate::control::node::{NodeInput, Placement, Rejection};
+use crate::downstream::authentication::authorize;
+use crate::downstream::limits::SharedLimits;
 use config::{KeyDigest, KeyHasher, Plan, RouteTable, TenantTable};
 use placement::{Event, Outcome};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/startup.rs
@@ -1,20 +1,20 @@
 use crate::admin::decision_log::Journal;
 use crate::admin::metrics::Metrics;
 use crate::admin::replay::ReplayHead;
-use crate::call::CallDialect;
-use crate::call_limits::SharedLimits;
-use crate::carrier::{fetch, resume, take_request};
 use crate::control::event::ControlEvent;
 use crate::control::node::{
     KvTask, Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, Rejection,
 };
+use crate::dialect::CallDialect;
 use crate::discovery::endpoint_list::ReadEffort;
 use crate::discovery::list_reader;
 use crate::discovery::report_poller;
-use crate::ingress::Ingress;
+use crate::downstream::ingress::Ingress;
+use crate::downstream::limits::SharedLimits;
+use crate::request::resume_token::Token;
 use crate::settings::Settings;
 use crate::shared::{NEVER, Shared};
-use crate::token::Token;
+use crate::upstream::stream_proxy::{fetch, resume, take_request};
 use config::{OwnPlans, PlanDialect, parse_addresses};
 use placement::{Decision, PlacementReason};
 use replication::LeaseStatus;
--- a/crates/router/src/piece_reader/tests.rs
+++ b/crates/router/src/upstream/chunk_reader/tests.rs
@@ -1,5 +1,5 @@
 use crate::interface::RunPiece;
-use crate::piece_reader::{ChunkReader, Passed};
+use crate::upstream::chunk_reader::{ChunkReader, Passed};
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/router/src/trip.rs
+++ b/crates/router/src/upstream/dispatch.rs
@@ -1,9 +1,9 @@
 use crate::admin::metrics::Metrics;
-use crate::attempts::{AttemptInput, AttemptOutput, AttemptSequence};
 use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
-use crate::request_state::{Failure, RequestStateMachine};
+use crate::request::attempts::{AttemptInput, AttemptOutput, AttemptSequence};
+use crate::request::resume_token::run_id;
+use crate::request::state_machine::{Failure, RequestStateMachine};
 use crate::shared::{Place, Shared};
-use crate::token::run_id;
 use config::{KeyDigest, ServiceKind};
 use placement::{Event, Outcome, PrefixHash, RequestCost};
 use std::sync::Arc;
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/upstream/forwarding.rs
@@ -4,15 +4,15 @@
 pub(crate) mod detached;
 
 use crate::admin::metrics::Metrics;
-use crate::attempts::{AttemptInput, AttemptOutput};
-use crate::authorization::authorize;
-use crate::call::{Call, CallDialect, Sending};
 use crate::control::node::{NodeInput, Placement, Rejection};
-use crate::event_splitter::{EventSplitter, StreamEvent};
-use crate::request_state::{Failure, RequestInput, RequestStateMachine};
-use crate::response_validation::{AnswerIdentity, AnswerPlace, ResponseValidation};
+use crate::dialect::{Call, CallDialect, Sending};
+use crate::downstream::authentication::authorize;
+use crate::request::attempts::{AttemptInput, AttemptOutput};
+use crate::request::state_machine::{Failure, RequestInput, RequestStateMachine};
 use crate::shared::Shared;
-use crate::trip::{Gone, NotTaken, Trip, Wanted};
+use crate::upstream::dispatch::{Gone, NotTaken, Trip, Wanted};
+use crate::upstream::event_splitter::{EventSplitter, StreamEvent};
+use crate::upstream::response_validation::{AnswerIdentity, AnswerPlace, ResponseValidation};
 use bytes::Bytes;
 use config::{RouteKind, ServiceKind};
 use placement::{Event, Outcome, RequestCost};
--- a/crates/router/src/forward/detached.rs
+++ b/crates/router/src/upstream/forwarding/detached.rs
@@ -2,9 +2,9 @@
 //! state charts are those of the daemon.
 
 use super::Forwarder;
-use crate::call::CallDialect;
 use crate::control::event::ControlEvent;
 use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
+use crate::dialect::CallDialect;
 use crate::shared::Shared;
 use config::Plan;
 use std::sync::Arc;
--- a/crates/router/src/forward/tests.rs
+++ b/crates/router/src/upstream/forwarding/tests.rs
@@ -1,11 +1,11 @@
 //! A forwarder between real clients and stand-in servers over TCP, with a scripted control thread.
 
 use super::*;
-use crate::call::{Access, Call, CallDialect, Sending, ServerLoad};
 use crate::control::event::ControlEvent;
 use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
-use crate::response_validation::{AnswerIdentity, ClaimedIdentity};
-use crate::token::run_id;
+use crate::dialect::{Access, Call, CallDialect, Sending, ServerLoad};
+use crate::request::resume_token::run_id;
+use crate::upstream::response_validation::{AnswerIdentity, ClaimedIdentity};
 use config::parse_plan;
 use placement::{Event, Outcome, RequestCost, ServerEntry};
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/router/src/carrier.rs
+++ b/crates/router/src/upstream/stream_proxy.rs
@@ -1,15 +1,15 @@
 //! Carries one request from its client to a server and the answer back.
 
 use crate::admin::metrics::Metrics;
-use crate::attempts::AttemptOutput;
 use crate::control::event::ControlEvent;
 use crate::control::node::{NodeInput, Placement, resume_id};
 use crate::interface::{ClientRequest, LIFE_HEADER, ResumeRequest, RunRequest};
-use crate::piece_reader::{ChunkReader, Passed};
-use crate::request_state::Failure;
+use crate::request::attempts::AttemptOutput;
+use crate::request::resume_token::Token;
+use crate::request::state_machine::Failure;
 use crate::shared::{Place, Shared, silence};
-use crate::token::Token;
-use crate::trip::{Gone, NotTaken, Trip, Wanted};
+use crate::upstream::chunk_reader::{ChunkReader, Passed};
+use crate::upstream::dispatch::{Gone, NotTaken, Trip, Wanted};
 use config::ServiceKind;
 use placement::{Event, Outcome, block_hashes};
 use std::io::{BufRead, BufReader, Read};
