--- a/crates/placement/src/arrival_window.rs
+++ b/crates/placement/src/arrival_window.rs
@@ -1,3 +1,7 @@
+//! Sliding-window counts of prefix arrivals.
+//!
+//! Source: "the same Y-block-length prefix arrives X times within Z seconds" (BTB, docs/provenance.md).
+
 use crate::sketch::{HotPrefix, PrefixHash};
 use std::collections::{BTreeMap, VecDeque};
 use types::{Milliseconds, MonotonicInstant};
@@ -11,7 +15,7 @@
 }
 
 impl ArrivalWindow {
-    /// A prompt with this prefix came.
+    /// Records an arrival of a prefix; `span` is the window in ms.
     pub fn arrive(&mut self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) {
         let queue = self.arrivals.entry(prefix).or_default();
         queue.push_back(now);
@@ -21,14 +25,14 @@
             queue.pop_front();
         }
     }
-    /// How many came within the window.
+    /// Returns the arrivals of a prefix within the window of `span` ms.
     pub fn count(&self, prefix: PrefixHash, now: MonotonicInstant, span: Milliseconds) -> u32 {
         let queue = self.arrivals.get(&prefix);
         queue.map_or(0, |queue| {
             queue.iter().filter(|at| now.since(**at) < span).count() as u32
         })
     }
-    /// The hottest ones, most first.
+    /// Returns the prefixes with the most arrivals within the window, most first.
     pub fn hottest(
         &mut self,
         now: MonotonicInstant,
--- a/crates/placement/src/block_hash.rs
+++ b/crates/placement/src/block_hash.rs
@@ -1,3 +1,7 @@
+//! Hashes of a prompt's leading blocks.
+//!
+//! Source: the prefix block hashes of the paper (BTB, docs/provenance.md).
+
 use crate::rendezvous::mix;
 use crate::sketch::PrefixHash;
 
--- a/crates/placement/src/event.rs
+++ b/crates/placement/src/event.rs
@@ -1,3 +1,6 @@
+//! The scheduler's inputs, [`Event`], and outputs, [`Decision`]. Their JSON is an outer interface
+//! (docs/interfaces.md): names there are fixed by serde attributes.
+
 use crate::rules::Rules;
 use crate::sketch::{PrefixHash, Sketch};
 use serde::{Deserialize, Serialize};
@@ -7,32 +10,32 @@
 };
 
 messages! {
-    /// One server in the platform's list.
+    /// One server in the platform's endpoint list.
     #[derive(Default, Eq, Serialize, Deserialize)]
     pub struct ServerEntry {
-        /// The server, by its address, or by the name of its life where the list has one.
+        /// The server, by its address, or by the name of its incarnation where the list has one.
         pub server: ServerName,
         /// Where it's reached, if its name isn't its address.
         #[serde(default)]
         pub address: Option<String>,
-        /// Requests that it runs at once, if the list tells.
+        /// Requests that it runs at once, if the list says so.
         #[serde(default)]
         pub slots: Option<u32>,
-        /// How much longer it is cold, if the list tells.
+        /// How much longer it warms up, in ms, if the list says so.
         #[serde(default)]
         #[serde(rename = "cold_left")]
         pub warm_up_left: Option<Milliseconds>,
-        /// Its zone.
+        /// The zone that it is in.
         pub zone: ZoneName,
         /// Its pool, such as `model` or `app`.
         pub pool: String,
-        /// Whether it's leaving.
+        /// Whether it is draining, and takes no new work.
         #[serde(rename = "is_leaving", default)]
         pub is_draining: bool,
     }
 }
 
-/// What a request asks of a server, as far as its client tells. All zero: nothing is told.
+/// What a request costs a server, as far as its client declares. All zero: nothing is declared.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCost {
     /// Tokens that each hash of the prompt adds to the one before; empty: `SchedulerRules::block_tokens` each.
@@ -56,8 +59,8 @@
 }
 
 impl RequestCost {
-    /// Whether the client told anything of its request; then it's placed by expected time.
-    pub fn is_told(&self) -> bool {
+    /// Whether the client declared anything; then the request is placed by expected time.
+    pub fn is_declared(&self) -> bool {
         self.deadline.0 > 0 || !self.hash_tokens.is_empty()
     }
     /// Its class among those that wait to be read at one server: 0 goes first, 9 last. The shorter a prompt is
@@ -86,18 +89,18 @@
     Failed,
 }
 
-/// What a scheduler is told. As JSON lines this is the stream that operators may push in.
+/// An input of the scheduler. As JSON lines this is the stream that operators may push in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// A configuration is in force.
     Rules {
-        /// It.
+        /// The configuration.
         rules: Rules,
     },
     /// The members of the fleet that share caps.
     Members {
-        /// They.
+        /// All members.
         members: Vec<Address>,
         /// The epoch at which they became these: it rises with each change, also one back to former members.
         #[serde(default)]
@@ -110,16 +113,16 @@
         /// How long each lease runs at most, whoever holds it.
         span: Milliseconds,
     },
-    /// The platform's list, whole.
+    /// The complete endpoint list of the platform.
     ServerList {
-        /// It.
+        /// All its entries.
         servers: Vec<ServerEntry>,
     },
-    /// A server's late report.
+    /// A server's report of its own load.
     Load {
         /// The server.
         server: ServerName,
-        /// Its life.
+        /// Its incarnation.
         incarnation: u64,
         /// How long it has been up, in ms.
         up: Milliseconds,
@@ -137,7 +140,7 @@
         /// The server.
         server: ServerName,
     },
-    /// A request wants a server.
+    /// A request is to be placed.
     Prompt {
         /// The request.
         request: RequestId,
@@ -145,9 +148,9 @@
         service: ServiceName,
         /// Its cumulative block hashes; empty for a plain fetch.
         hashes: Vec<PrefixHash>,
-        /// Zero the first time; a repeat has more.
+        /// Zero the first time; more for a retry.
         round: u32,
-        /// Servers that are not to be asked again.
+        /// Servers that are not to be tried again.
         tried: Vec<ServerName>,
         /// What it asks of a server, where the client tells.
         #[serde(default)]
@@ -163,7 +166,7 @@
     Ended {
         /// The request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
     /// A peer's sketch, or the sum of all other nodes.
@@ -173,7 +176,7 @@
         /// Its sketch.
         sketch: Sketch,
     },
-    /// What a server said to a KV order.
+    /// A server's response to an order to copy KV.
     CopyFate {
         /// The prefix.
         prefix: PrefixHash,
@@ -191,9 +194,9 @@
 /// An event with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Timestamped {
-    /// When, on the node's monotonic clock.
+    /// When it came, on the node's monotonic clock.
     pub at: MonotonicInstant,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -216,22 +219,22 @@
     Warming,
 }
 
-/// A server that was weighed.
+/// A server that was considered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
     /// The server.
     pub server: ServerName,
-    /// Requests believed in hand there.
+    /// Requests believed to be in flight there.
     pub load: u32,
     /// Leading blocks believed held.
     pub matched: u32,
-    /// Expected time to the first piece.
+    /// Expected time to the first token, in ms.
     pub expected: Milliseconds,
     /// Whether it's believed to hold the counted prefix.
     pub is_warm: bool,
 }
 
-/// What a scheduler decides, with its reason, inputs and epoch.
+/// An output of the scheduler, with its reason, inputs and epoch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "decision", rename_all = "snake_case")]
 pub enum Decision {
@@ -243,15 +246,15 @@
         service: ServiceName,
         /// The server.
         server: ServerName,
-        /// Why.
+        /// Why it was chosen.
         reason: PlacementReason,
-        /// Which round of it.
+        /// The number of its retry, zero at first.
         round: u32,
         /// Arrivals of its prefix within the window, over all nodes.
         count: u32,
-        /// Who was weighed.
+        /// The servers that were considered.
         candidates: Vec<Candidate>,
-        /// Under this epoch.
+        /// The configuration epoch that it was decided under.
         epoch: ConfigEpoch,
     },
     /// A request goes nowhere.
@@ -260,35 +263,35 @@
         request: RequestId,
         /// Its service.
         service: ServiceName,
-        /// The numbered code.
+        /// The number of the result code.
         code: u16,
-        /// Why.
+        /// The reason, for people.
         why: String,
-        /// When to come back.
+        /// After how long to retry, in ms.
         retry_after: Milliseconds,
-        /// Which round of it.
+        /// The number of its retry, zero at first.
         round: u32,
-        /// Under this epoch.
+        /// The configuration epoch that it was decided under.
         epoch: ConfigEpoch,
     },
     /// A prefix is active and is to be copied.
     Warm {
         /// The prefix.
         prefix: PrefixHash,
-        /// Who exports.
+        /// The server that exports it.
         holder: ServerName,
-        /// Who import.
+        /// The servers that import it.
         targets: Vec<ServerName>,
         /// Arrivals that were counted.
         count: u32,
-        /// Under this epoch.
+        /// The configuration epoch that it was decided under.
         epoch: ConfigEpoch,
     },
     /// A prefix has cooled; its copies may go.
     Cooled {
         /// The prefix.
         prefix: PrefixHash,
-        /// Who was ordered to import it.
+        /// The servers that were ordered to import it.
         copies: Vec<ServerName>,
     },
     /// A prefix was believed to be held, but its first token came as late as without.
@@ -298,11 +301,11 @@
         /// The server.
         server: ServerName,
     },
-    /// A server gets no work for a while.
+    /// A server is ejected for a while.
     Suspected {
         /// The server.
         server: ServerName,
-        /// For this long.
+        /// For how long, in ms.
         span: Milliseconds,
     },
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,10 +1,11 @@
-//! Prompt placement: which prefixes turn hot, who holds their KV, where each request goes.
+//! Prompt placement: which prefixes turn hot, which servers hold their KV, where each request goes.
 //!
 //! The mechanism is BTB, Bite the Bullet (docs/provenance.md): a sliding-window count for each
 //! prefix hash; a burst makes the prefix active and orders copies of its KV; later prompts go to the
 //! least-loaded warm server; everything else is placed by plain cache awareness. Pure: [`Scheduler`] takes
-//! dated events and gives decisions, the same ones for the same events.
-//!
+//! timestamped events and returns decisions, the same ones for the same events.
+
+#![warn(missing_docs)]
 
 mod arrival_window;
 mod block_hash;
--- a/crates/placement/src/prefix_residency.rs
+++ b/crates/placement/src/prefix_residency.rs
@@ -1,13 +1,16 @@
+//! What one server is believed to have in its prefix cache.
+//!
+//! Source: the "resident copy" of the paper (BTB, docs/provenance.md), inferred here from first-token times.
+
 use crate::rendezvous::mix;
 use crate::sketch::PrefixHash;
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 use types::{Milliseconds, MonotonicInstant};
 
-/// What one server is believed to hold, part by part. What was sent there is expected to be held
-/// soon; a first token makes it known. Forgotten when first-token times, a failure or a restart speak
-/// against it, or when the server has since read so many other tokens that its memory must have made
-/// room (it drops what was not used for longest).
+/// What one server is believed to have cached, block by block. What was sent there is expected to be cached
+/// soon; a first token confirms it. Evicted when first-token times, a failure or a restart disprove it, or when
+/// the server has since prefilled so many other tokens that its cache must have evicted it (least recently used).
 ///
 /// Invariant: a part counts as matched only if every part before it does.
 #[derive(Debug, Clone, Default)]
@@ -48,24 +51,25 @@
     }
 }
 
-const BOUND: usize = 16_384;
-const LIFE: Milliseconds = Milliseconds::seconds(120);
+const MAX_BLOCKS: usize = 16_384;
+const RESIDENCY_LIFETIME: Milliseconds = Milliseconds::seconds(120);
 /// What was sent and has shown no first token after this is expected no more.
-const SENT_LIFE: Milliseconds = Milliseconds::seconds(10);
+const SENT_LIFETIME: Milliseconds = Milliseconds::seconds(10);
 
 impl PrefixResidency {
-    /// How many tokens the server's memory holds; zero: not told.
+    /// Sets how many tokens the server's cache has room for; zero means unknown.
     pub fn set_memory(&mut self, tokens: u64) {
         self.memory = tokens;
     }
-    /// The server has read so many tokens more, whoever sent them.
+    /// Records tokens that the server has prefilled, from whichever node.
     pub fn record_prefill(&mut self, tokens: u64) {
         self.prefilled_tokens += tokens;
     }
-    /// A prompt is on its way there.
+    /// Records a prompt that was sent there.
     pub fn record_sent(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
-        if self.sent.len() > BOUND {
-            self.sent.retain(|_, used| now.since(used.at) < SENT_LIFE);
+        if self.sent.len() > MAX_BLOCKS {
+            self.sent
+                .retain(|_, used| now.since(used.at) < SENT_LIFETIME);
         }
         let used = Used {
             at: now,
@@ -73,13 +77,13 @@
         };
         self.sent.extend(hashes.iter().map(|hash| (*hash, used)));
     }
-    /// It came to nothing.
+    /// Forgets a prompt that was sent there and never prefilled.
     pub fn forget_sent(&mut self, hashes: &[PrefixHash]) {
         for hash in hashes {
             self.sent.remove(hash);
         }
     }
-    /// The server has worked through this prompt, or was given a copy.
+    /// Records that the server has prefilled these blocks, or was given a copy of them.
     pub fn record_cached(&mut self, hashes: &[PrefixHash], now: MonotonicInstant) {
         for hash in hashes {
             self.parts.insert(
@@ -91,50 +95,50 @@
             );
             self.sent.remove(hash);
         }
-        if self.parts.len() > BOUND {
+        if self.parts.len() > MAX_BLOCKS {
             let mut moments: Vec<MonotonicInstant> =
                 self.parts.values().map(|used| used.at).collect();
             moments.sort_unstable();
-            let oldest_kept = moments[BOUND / 4];
-            self.parts.retain(|_, used| used.at > oldest_kept);
+            let oldest_retained = moments[MAX_BLOCKS / 4];
+            self.parts.retain(|_, used| used.at > oldest_retained);
         }
     }
-    /// It does not hold these after all.
+    /// Evicts blocks that the server does not have.
     pub fn evict(&mut self, hashes: &[PrefixHash]) {
         for hash in hashes {
             self.parts.remove(hash);
             self.sent.remove(hash);
         }
     }
-    /// Whether it's believed to hold this very prefix.
+    /// Whether the server is believed to have this prefix cached.
     pub fn holds(&self, prefix: PrefixHash, now: MonotonicInstant) -> bool {
-        self.parts
-            .get(&prefix)
-            .is_some_and(|used| now.since(used.at) < LIFE && self.has_room_for(used))
+        self.parts.get(&prefix).is_some_and(|used| {
+            now.since(used.at) < RESIDENCY_LIFETIME && self.fits_in_memory(used)
+        })
     }
-    /// Whether it's believed to hold it, or to do so soon.
+    /// Whether the server is believed to have this prefix cached, or to have it soon.
     pub fn expects(&self, prefix: PrefixHash, now: MonotonicInstant) -> bool {
         self.holds(prefix, now)
             || self
                 .sent
                 .get(&prefix)
-                .is_some_and(|used| now.since(used.at) < SENT_LIFE)
+                .is_some_and(|used| now.since(used.at) < SENT_LIFETIME)
     }
-    /// How many leading parts it's believed to hold, or to hold soon.
+    /// Returns how many leading blocks are believed to be cached, or to be so soon.
     pub fn matched(&self, hashes: &[PrefixHash], now: MonotonicInstant) -> u32 {
         hashes
             .iter()
             .take_while(|hash| self.expects(**hash, now))
             .count() as u32
     }
-    /// Forgets all.
+    /// Forgets all blocks, as after a restart.
     pub fn clear(&mut self) {
         self.parts.clear();
         self.sent.clear();
     }
 
     /// Whether what was read since then leaves it in memory.
-    fn has_room_for(&self, used: &Used) -> bool {
+    fn fits_in_memory(&self, used: &Used) -> bool {
         self.memory == 0 || self.prefilled_tokens - used.prefilled_tokens < self.memory
     }
 }
--- a/crates/placement/src/prefix_residency/tests.rs
+++ b/crates/placement/src/prefix_residency/tests.rs
@@ -9,7 +9,10 @@
     let mut residency = PrefixResidency::default();
     residency.record_cached(&hashes[..3], MonotonicInstant(0));
     assert_eq!(residency.matched(&hashes, MonotonicInstant(1)), 3);
-    assert_eq!(residency.matched(&hashes, MonotonicInstant(0) + LIFE), 0);
+    assert_eq!(
+        residency.matched(&hashes, MonotonicInstant(0) + RESIDENCY_LIFETIME),
+        0
+    );
     residency.evict(&hashes[1..3]);
     assert_eq!(residency.matched(&hashes, MonotonicInstant(1)), 1);
     residency.record_sent(&hashes, MonotonicInstant(2));
--- a/crates/placement/src/rendezvous.rs
+++ b/crates/placement/src/rendezvous.rs
@@ -1,3 +1,6 @@
+//! Rendezvous hashing: each key gives the members an order of its own, by which caps are shared out without
+//! agreement.
+
 use types::Address;
 
 /// Spreads a number's bits (the finisher of splitmix64).
--- a/crates/placement/src/rules.rs
+++ b/crates/placement/src/rules.rs
@@ -1,3 +1,7 @@
+//! The settings of placement: by service, by plan, and of the scheduler itself.
+//!
+//! Source of X, Y, Z and M: the paper's four constants (BTB, docs/provenance.md).
+
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use types::{ConfigEpoch, Milliseconds, ServerName, ServiceName, ZoneName};
@@ -41,21 +45,21 @@
     pub zones: Vec<ZoneName>,
     /// The servers that may; empty: all of the pool.
     pub servers: Vec<ServerName>,
-    /// The first piece must be expected within this.
+    /// The first token must be expected within this, in ms.
     pub first_token: Milliseconds,
-    /// Requests that one server may have in hand from the whole fleet.
+    /// Requests that one server may have in flight from the whole fleet.
     pub slots: u32,
-    /// BTB.
+    /// Bursts of one prefix.
     pub btb: BtbRules,
-    /// Requests a second that a cold server bears, over the whole fleet; zero: there is no such bound.
+    /// Requests a second that the fleet may send a server that warms up; zero: there is no such bound.
     #[serde(default)]
     #[serde(rename = "cold_per_second")]
     pub warm_up_per_second: u32,
-    /// How long a server is cold after its start, unless the list tells.
+    /// How long a server warms up after its start, in ms, unless the list says so.
     #[serde(default)]
     #[serde(rename = "cold_span")]
     pub warm_up_duration: Milliseconds,
-    /// Tokens that a server's memory holds; zero: not told.
+    /// Tokens that a server's memory holds; zero: unknown.
     #[serde(default)]
     pub memory_tokens: u64,
 }
@@ -63,7 +67,7 @@
 /// The configuration in force, as far as placement goes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Its epoch.
+    /// The epoch of this configuration.
     pub epoch: ConfigEpoch,
     /// Allowed services.
     pub services: BTreeMap<ServiceName, ServiceRules>,
@@ -81,10 +85,10 @@
     /// Whether requests are refused by expected first-token time.
     #[serde(rename = "does_admit")]
     pub enforces_deadlines: bool,
-    /// A fresh server reaches its full cap after this.
+    /// Slow start: a new server reaches its full cap after this, in ms.
     #[serde(rename = "ramp")]
     pub slow_start_duration: Milliseconds,
-    /// What a fresh server may have in hand at first, fleet-wide.
+    /// Slow start: requests that the fleet may have in flight at a new server at first.
     #[serde(rename = "ramp_start")]
     pub slow_start_initial_cap: u32,
     /// A sketch older than this counts no more.
@@ -105,13 +109,13 @@
     pub base_first_token: Milliseconds,
     /// Prefill of a block, in microseconds, until it has been seen.
     pub block_micros: u64,
-    /// How long a request holds a slot, until it has been seen.
+    /// How long a request occupies a slot, in ms, until it has been learned.
     #[serde(rename = "hold")]
     pub service_time: Milliseconds,
-    /// Repeats that a service's traffic earns, in percent of it.
+    /// Retries that a service's traffic earns, in percent of it.
     #[serde(rename = "repeat_percent")]
     pub retry_percent: u32,
-    /// Repeats that a service may have besides, a minute, over the whole fleet.
+    /// Retries that a service may have besides, a minute, over the whole fleet.
     #[serde(rename = "repeats_a_minute")]
     pub retries_per_minute: u32,
     /// Tokens of a block: what Y counts in, where clients tell tokens.
@@ -124,10 +128,10 @@
     /// later than this: until then a copy, which has to be read anew, gains nothing.
     #[serde(rename = "warm_from")]
     pub warming_threshold: Milliseconds,
-    /// Repeats are bounded in each sliding window of this length; zero: by the minute.
+    /// Retries are bounded in each sliding window of this length; zero: by the minute.
     #[serde(rename = "repeat_window")]
     pub retry_window: Milliseconds,
-    /// Repeats that a service may have in such a window besides the percentage, over the whole fleet.
+    /// Retries that a service may have in such a window besides the percentage, over the whole fleet.
     #[serde(rename = "repeats_in_window")]
     pub retries_per_window: u32,
     /// What a server in another zone than the node's own is held to cost, as time.
@@ -148,7 +152,7 @@
     pub step_micros_per_request: u64,
     /// What may wait at a server beyond its slots, in percent of them.
     pub queue_percent: u32,
-    /// The fleet is taken to have at least so many members where cold servers are shared out.
+    /// The fleet is taken to have at least so many members where the budgets of new servers are shared out.
     #[serde(rename = "members_least")]
     pub min_members: u32,
     /// A server's own report of its requests counts for this long.
--- a/crates/placement/src/scheduler/peer_totals.rs
+++ b/crates/placement/src/scheduler/peer_totals.rs
@@ -1,8 +1,8 @@
 //! What peers told, summed up once for each sketch.
 
-use super::*;
 use crate::server_state::Load;
 use crate::sketch::{PrefixHash, Sketch};
+use std::collections::BTreeMap;
 use types::ServerName;
 
 /// The sum of all sketches that count.
@@ -65,11 +65,11 @@
                 &mut place.sent
             }) += 1;
         }
-        for told in &sketch.in_flight {
-            let load = self.loads.entry(told.server.clone()).or_default();
-            load.count += told.count;
-            load.pending_prefill_tokens += told.pending_prefill_tokens;
-            load.tokens += told.tokens;
+        for reported in &sketch.in_flight {
+            let load = self.loads.entry(reported.server.clone()).or_default();
+            load.count += reported.count;
+            load.pending_prefill_tokens += reported.pending_prefill_tokens;
+            load.tokens += reported.tokens;
         }
     }
     /// Counts a sketch no more.
@@ -86,32 +86,33 @@
             let Some(those) = self.holdings.get_mut(&holding.prefix) else {
                 continue;
             };
-            for told in those.iter_mut() {
-                if told.server == holding.server && told.incarnation == holding.incarnation {
+            for reported in those.iter_mut() {
+                if reported.server == holding.server && reported.incarnation == holding.incarnation
+                {
                     let count = if holding.is_shown {
-                        &mut told.shown
+                        &mut reported.shown
                     } else {
-                        &mut told.sent
+                        &mut reported.sent
                     };
                     *count = count.saturating_sub(1);
                 }
             }
-            those.retain(|told| told.shown + told.sent > 0);
+            those.retain(|reported| reported.shown + reported.sent > 0);
             if those.is_empty() {
                 self.holdings.remove(&holding.prefix);
             }
         }
-        for told in &sketch.in_flight {
-            let Some(load) = self.loads.get_mut(&told.server) else {
+        for reported in &sketch.in_flight {
+            let Some(load) = self.loads.get_mut(&reported.server) else {
                 continue;
             };
-            load.count = load.count.saturating_sub(told.count);
+            load.count = load.count.saturating_sub(reported.count);
             load.pending_prefill_tokens = load
                 .pending_prefill_tokens
-                .saturating_sub(told.pending_prefill_tokens);
-            load.tokens = load.tokens.saturating_sub(told.tokens);
+                .saturating_sub(reported.pending_prefill_tokens);
+            load.tokens = load.tokens.saturating_sub(reported.tokens);
             if load.count == 0 && load.pending_prefill_tokens == 0 && load.tokens == 0 {
-                self.loads.remove(&told.server);
+                self.loads.remove(&reported.server);
             }
         }
     }
--- a/crates/placement/src/scheduler/warming.rs
+++ b/crates/placement/src/scheduler/warming.rs
@@ -1,13 +1,51 @@
-//! Bursts: which prefixes are active, who copies them where, when they cool.
+//! Warming: bursts make prefixes active, active prefixes are copied to M servers, and both end after a while.
+//!
+//! Source: "if the same Y-block-length prefix arrives X times within Z seconds, BTB marks that prefix as active
+//! and warms M replicas" (BTB, docs/provenance.md).
 
-use super::*;
 use crate::event::Decision;
 use crate::rendezvous::{key_of, mix, rank};
 use crate::rules::ServiceRules;
 use crate::scheduler::Scheduler;
+use crate::server_state::ServerState;
 use crate::sketch::PrefixHash;
+use std::collections::BTreeMap;
 use types::{Address, Milliseconds, MonotonicInstant, ServerName, ServiceName};
 
+/// A prefix in a burst.
+#[derive(Debug, Clone)]
+pub(super) struct Active {
+    pub(super) last: MonotonicInstant,
+    pub(super) hashes: Vec<PrefixHash>,
+    pub(super) service: ServiceName,
+    pub(super) copies: BTreeMap<ServerName, Copy>,
+}
+
+/// A copy that this node has ordered.
+#[derive(Debug, Clone)]
+pub(super) struct Copy {
+    pub(super) ordered: MonotonicInstant,
+    pub(super) state: CopyState,
+}
+
+#[derive(Debug, Clone, PartialEq)]
+pub(super) enum CopyState {
+    Ordered,
+    Assumed,
+    Failed,
+}
+
+impl Copy {
+    /// Whether it keeps another copy to the same server from being ordered.
+    fn is_blocking(&self, now: MonotonicInstant) -> bool {
+        self.state == CopyState::Ordered
+            || (self.state == CopyState::Failed && now.since(self.ordered) < COPY_RETRY_DELAY)
+    }
+}
+
+/// A copy that failed is ordered again after this.
+const COPY_RETRY_DELAY: Milliseconds = Milliseconds(3000);
+
 impl Scheduler {
     /// Makes a prefix active when its count fires, and orders copies that are due.
     pub(super) fn activate_burst(
@@ -44,10 +82,10 @@
             self.order_copies(now);
         }
         self.update_overdue(now);
-        self.cool(now);
+        self.deactivate_idle(now);
         let incarnation = Milliseconds(self.scheduler_rules.sketch_lifetime.0 * 4);
         self.peers
-            .retain(|_, peer| now.since(peer.heard) < incarnation);
+            .retain(|_, peer| now.since(peer.received_at) < incarnation);
         self.forget_unlisted();
     }
 
@@ -67,112 +105,150 @@
         }
     }
 
-    /// Requests the copies that an active prefix lacks, if it's this node's duty: the one that comes
-    /// first in the prefix's own order of the members that are heard. Should two nodes for a moment
-    /// both think so, the servers take the same copy once.
+    /// Orders the copies that active prefixes lack, where that is this node's duty: the node that ranks
+    /// first for the prefix among those heard. Should two nodes both think so for a moment, the servers
+    /// take the same copy once.
     fn order_copies(&mut self, now: MonotonicInstant) {
-        let heard: Vec<Address> = self.heard().into_iter().collect();
+        let reachable_peers: Vec<Address> = self.reachable_peers().into_iter().collect();
         let prefixes: Vec<PrefixHash> = self.active.keys().copied().collect();
         for prefix in prefixes {
-            if rank(prefix.0, &self.own, &heard) != 0 {
-                continue;
+            if rank(prefix.0, &self.own, &reachable_peers) == 0 {
+                self.order_copies_of(prefix, now);
             }
-            let Some(rules) = self
-                .rules
-                .services
-                .get(&self.active[&prefix].service)
-                .cloned()
-            else {
-                continue;
-            };
-            let is_usable = |name: &ServerName| {
-                self.servers
-                    .get(name)
-                    .is_some_and(|server| self.may_serve(&rules, name, server, now))
-            };
-            let holders: Vec<ServerName> = self
-                .holders(prefix, now)
-                .into_iter()
-                .filter(is_usable)
-                .collect();
-            let Some(holder) = holders.iter().min_by_key(|name| {
-                (
-                    self.servers.get(*name).map_or(0, |s| self.load(s, now)),
-                    (*name).clone(),
-                )
-            }) else {
-                continue;
-            };
-            let is_under_way = |copy: &Copy| {
-                copy.state == CopyState::Ordered
-                    || (copy.state == CopyState::Failed
-                        && now.since(copy.ordered) < Milliseconds(3000))
-            };
-            let active = &self.active[&prefix];
-            let under_way = active
-                .copies
-                .values()
-                .filter(|copy| copy.state == CopyState::Ordered)
-                .count();
-            let is_full = |name: &ServerName| {
-                self.servers.get(name).is_some_and(|server| {
-                    self.load(server, now) >= server.slots.unwrap_or(rules.slots)
-                })
+        }
+    }
+
+    /// Orders the copies that one active prefix lacks, from its least-loaded holder.
+    fn order_copies_of(&mut self, prefix: PrefixHash, now: MonotonicInstant) {
+        let service = &self.active[&prefix].service;
+        let Some(rules) = self.rules.services.get(service).cloned() else {
+            return;
+        };
+        let holders = self.usable_holders(prefix, &rules, now);
+        let load_of = |name: &ServerName| self.servers.get(name).map_or(0, |s| self.load(s, now));
+        let Some(holder) = holders
+            .iter()
+            .min_by_key(|name| (load_of(name), (*name).clone()))
+        else {
+            return;
+        };
+        let missing = self.missing_copies(prefix, &rules, &holders, now);
+        if missing == 0 {
+            return;
+        }
+        let targets = self.copy_targets(prefix, &rules, holder, &holders, missing, now);
+        if targets.is_empty() || !self.servers[holder].knows_kv {
+            return;
+        }
+        let count = self.count(prefix, now, rules.btb.window);
+        let (holder, epoch) = (holder.clone(), self.rules.epoch);
+        self.record_ordered(prefix, &targets, now);
+        self.decisions.push(Decision::Warm {
+            prefix,
+            holder,
+            targets,
+            count,
+            epoch,
+        });
+    }
+
+    /// Servers that hold a prefix and may serve the service.
+    fn usable_holders(
+        &self,
+        prefix: PrefixHash,
+        rules: &ServiceRules,
+        now: MonotonicInstant,
+    ) -> Vec<ServerName> {
+        let is_usable = |name: &ServerName| {
+            self.servers
+                .get(name)
+                .is_some_and(|server| self.may_serve(rules, name, server, now))
+        };
+        self.holders(prefix, now)
+            .into_iter()
+            .filter(is_usable)
+            .collect()
+    }
+
+    /// How many copies of a prefix are to be ordered now: up to M, and one more at a time while every
+    /// holder is full.
+    fn missing_copies(
+        &self,
+        prefix: PrefixHash,
+        rules: &ServiceRules,
+        holders: &[ServerName],
+        now: MonotonicInstant,
+    ) -> usize {
+        let copies = self.active[&prefix].copies.values();
+        let under_way = copies
+            .filter(|copy| copy.state == CopyState::Ordered)
+            .count();
+        let is_full = |name: &ServerName| {
+            self.servers
+                .get(name)
+                .is_some_and(|server| self.load(server, now) >= server.slots.unwrap_or(rules.slots))
+        };
+        let more = usize::from(under_way == 0 && holders.iter().all(is_full));
+        let max_copies = rules.btb.most_copies.max(rules.btb.copies) as usize;
+        let goal = (rules.btb.copies as usize)
+            .max(holders.len() + more)
+            .min(max_copies);
+        goal.saturating_sub(holders.len() + under_way)
+    }
+
+    /// The least-loaded servers that can take a copy, at most `missing` of them.
+    fn copy_targets(
+        &self,
+        prefix: PrefixHash,
+        rules: &ServiceRules,
+        holder: &ServerName,
+        holders: &[ServerName],
+        missing: usize,
+        now: MonotonicInstant,
+    ) -> Vec<ServerName> {
+        let copies = &self.active[&prefix].copies;
+        let weights = &self.servers[holder].weights;
+        let can_take = |name: &ServerName, server: &ServerState| {
+            self.may_serve(rules, name, server, now)
+                && !holders.contains(name)
+                && !copies.get(name).is_some_and(|copy| copy.is_blocking(now))
+                && !server.is_in_slow_start(now, &self.scheduler_rules)
+                && server.knows_kv
+                && server.weights == *weights
+                && self.copies_under_way(name) < self.scheduler_rules.copies_per_server
+        };
+        let mut targets: Vec<(u32, u64, &ServerName)> = self
+            .servers
+            .iter()
+            .filter(|(name, server)| can_take(name, server))
+            .map(|(name, server)| {
+                let tie_breaker = mix(prefix.0 ^ key_of(name.as_str()));
+                (self.load(server, now), tie_breaker, name)
+            })
+            .collect();
+        targets.sort();
+        targets.truncate(missing);
+        targets
+            .into_iter()
+            .map(|(_, _, name)| name.clone())
+            .collect()
+    }
+
+    fn record_ordered(
+        &mut self,
+        prefix: PrefixHash,
+        targets: &[ServerName],
+        now: MonotonicInstant,
+    ) {
+        let Some(active) = self.active.get_mut(&prefix) else {
+            return;
+        };
+        for target in targets {
+            let copy = Copy {
+                ordered: now,
+                state: CopyState::Ordered,
             };
-            let more = usize::from(under_way == 0 && holders.iter().all(is_full));
-            let most = rules.btb.most_copies.max(rules.btb.copies) as usize;
-            let goal = (rules.btb.copies as usize)
-                .max(holders.len() + more)
-                .min(most);
-            let wanted = goal.saturating_sub(holders.len() + under_way);
-            if wanted == 0 {
-                continue;
-            }
-            let weights = self.servers[holder].weights.clone();
-            let mut targets: Vec<(u32, u64, ServerName)> = self
-                .servers
-                .iter()
-                .filter(|(name, server)| {
-                    self.may_serve(&rules, name, server, now)
-                        && !holders.contains(name)
-                        && !active.copies.get(*name).is_some_and(is_under_way)
-                        && !server.is_in_slow_start(now, &self.scheduler_rules)
-                        && server.knows_kv
-                        && server.weights == weights
-                        && self.copies_under_way(name) < self.scheduler_rules.copies_per_server
-                })
-                .map(|(name, server)| {
-                    (
-                        self.load(server, now),
-                        mix(prefix.0 ^ key_of(name.as_str())),
-                        name.clone(),
-                    )
-                })
-                .collect();
-            targets.sort();
-            targets.truncate(wanted);
-            if targets.is_empty() || !self.servers[holder].knows_kv {
-                continue;
-            }
-            let targets: Vec<ServerName> = targets.into_iter().map(|(_, _, name)| name).collect();
-            let count = self.count(prefix, now, rules.btb.window);
-            let (holder, epoch) = (holder.clone(), self.rules.epoch);
-            if let Some(active) = self.active.get_mut(&prefix) {
-                for target in &targets {
-                    let copy = Copy {
-                        ordered: now,
-                        state: CopyState::Ordered,
-                    };
-                    active.copies.insert(target.clone(), copy);
-                }
-            }
-            self.decisions.push(Decision::Warm {
-                prefix,
-                holder,
-                targets,
-                count,
-                epoch,
-            });
+            active.copies.insert(target.clone(), copy);
         }
     }
 
@@ -186,7 +262,7 @@
             .count() as u32
     }
 
-    pub(super) fn on_copy_fate(
+    pub(super) fn on_copy_result(
         &mut self,
         prefix: PrefixHash,
         name: &ServerName,
@@ -206,27 +282,10 @@
         }
     }
 
-    /// What is overdue at a server now is to be expected of what goes there next.
-    fn update_overdue(&mut self, now: MonotonicInstant) {
-        for server in self.servers.values_mut() {
-            server.overdue = 0;
-        }
-        for hand in self
-            .requests
-            .values()
-            .filter(|hand| hand.first.is_none() && hand.footprint.is_told)
-        {
-            let overdue = now.since(hand.placed).0.saturating_sub(hand.expected.0);
-            if let Some(server) = self.servers.get_mut(&hand.server) {
-                server.overdue = server.overdue.max(overdue);
-            }
-        }
-    }
-
-    fn cool(&mut self, now: MonotonicInstant) {
+    fn deactivate_idle(&mut self, now: MonotonicInstant) {
         let span = self.scheduler_rules.deactivate_after;
         for (prefix, active) in &mut self.active {
-            if self.told.count(*prefix).is_some() {
+            if self.peer_totals.count(*prefix).is_some() {
                 active.last = now;
             }
         }
--- a/crates/placement/src/server_state.rs
+++ b/crates/placement/src/server_state.rs
@@ -1,3 +1,5 @@
+//! The state of one server in the endpoint table: load, health, slow start, warm-up and learned speeds.
+
 use crate::event::ServerEntry;
 use crate::prefix_residency::PrefixResidency;
 use crate::rendezvous::key_of;
@@ -5,12 +7,12 @@
 use std::collections::VecDeque;
 use types::{Milliseconds, MonotonicInstant, ZoneName};
 
-/// What others have in hand at a server.
+/// The load that peers have at a server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Load {
-    /// Requests.
+    /// Requests in flight.
     pub count: u32,
-    /// Prompt tokens of them that it has still to read.
+    /// Prompt tokens of them that it has yet to prefill.
     pub pending_prefill_tokens: u64,
     /// Tokens that they take of its memory.
     pub tokens: u64,
@@ -19,73 +21,73 @@
 /// One server, as this node sees it.
 ///
 /// Invariants: `own` counts this node's requests there that have not ended. Residency belongs to one
-/// incarnation; another one starts empty. A server that was suspected ramps up anew.
+/// incarnation; another one starts empty. A server that was ejected goes through slow start again.
 #[derive(Debug, Clone)]
 pub struct ServerState {
-    /// Its zone.
+    /// The zone that it is in.
     pub zone: ZoneName,
-    /// Its pool.
+    /// The pool that it belongs to, such as `model`.
     pub pool: String,
     /// Whether the newest server list lists it.
     pub is_listed: bool,
     /// Whether it gets no new work.
     pub is_draining: bool,
-    /// Its life, if it told one.
+    /// Its incarnation, if it reported one.
     pub incarnation: Option<u64>,
-    /// What it runs, if it told.
+    /// The weights that it runs, if it reported them.
     pub weights: Option<String>,
     /// Whether it has refused KV orders as unknown.
     pub knows_kv: bool,
-    /// From when its ramp counts.
+    /// When its slow start began.
     pub slow_start_from: MonotonicInstant,
-    /// Slots, if it told.
+    /// Requests that it runs at once, if known.
     pub slots: Option<u32>,
     /// Its last report: running and waiting, and when it came.
     pub reported: Option<(u32, MonotonicInstant)>,
-    /// This node's requests there.
+    /// This node's requests in flight there.
     pub own: u32,
     /// The requests of those peers there whose sketches count.
     pub peer_load: Load,
-    /// Failures one after another.
+    /// Consecutive failures.
     pub consecutive_failures: u32,
-    /// How much later than expected its first pieces came lately, in ms, smoothed.
+    /// How much later than expected its first tokens came, in ms, as a moving average.
     pub lag: u64,
     /// A first piece may come this much later than expected, besides what is usual.
     pub lag_slack: Milliseconds,
-    /// First pieces that came far too late, one after another.
+    /// Consecutive first tokens that came far too late.
     pub consecutive_late: u32,
-    /// No work until then.
+    /// Ejected until then.
     pub ejected_until: Option<MonotonicInstant>,
-    /// What it holds.
+    /// What it is believed to have cached.
     pub residency: PrefixResidency,
-    /// Prefill of a block in microseconds.
+    /// Prefill time of a block, in microseconds.
     pub block_micros: u64,
-    /// How long a request holds a slot.
+    /// How long a request occupies a slot, in ms.
     pub service_time: Milliseconds,
     /// A number for its name, the same everywhere.
     pub key: u64,
     /// This node's place in the server's own order of the members.
     pub rank: u32,
-    /// When it was first listed, or a new life of it was first heard of, in this node's life.
+    /// When it was first listed, or its newest incarnation was first seen, in this node's incarnation.
     pub listed_from: MonotonicInstant,
-    /// Until when the list says that it is cold; `None` where the list has never told.
+    /// Until when it warms up by the endpoint list; `None` where the list has never said.
     pub warming_up_until: Option<MonotonicInstant>,
-    /// What this node sent it lately while it was cold.
+    /// When this node sent it requests within the last second.
     pub sent_while_warming_up: VecDeque<MonotonicInstant>,
     /// Prompt tokens of this node's requests that it has still to read.
     pub pending_prefill_tokens: u64,
     /// Tokens that this node's requests take of its memory.
     pub tokens: u64,
-    /// Tokens that this node's requests made it read in this node's life.
+    /// Tokens that this node's requests made it read in this node's incarnation.
     pub prefilled_tokens: u64,
-    /// What of them the last sketch told.
+    /// What of them the last sketch reported.
     pub reported_prefilled_tokens: u64,
-    /// How long this node's most overdue first piece there is overdue, in ms.
+    /// How long this node's most overdue first token there is overdue, in ms.
     pub overdue: u64,
 }
 
 impl ServerState {
-    /// When first seen.
+    /// Creates the state of a server that is listed for the first time.
     pub fn new(entry: &ServerEntry, now: MonotonicInstant, rules: &SchedulerRules) -> Self {
         ServerState {
             zone: entry.zone.clone(),
@@ -120,7 +122,7 @@
             overdue: 0,
         }
     }
-    /// Takes over what the list says of it.
+    /// Applies its entry in the endpoint list.
     pub fn update_from_list(&mut self, entry: ServerEntry, now: MonotonicInstant) {
         self.is_listed = true;
         self.is_draining = entry.is_draining;
@@ -131,15 +133,19 @@
             self.warming_up_until = Some(now + left);
         }
     }
-    /// Whether it is cold. Where the list has not told, it is for as long as the plan says, from when this
-    /// node first heard of it.
+    /// Whether it warms up. Where the list does not say, it does so for `span` ms from when this node first saw
+    /// it.
     pub fn is_warming_up(&self, span: Milliseconds, now: MonotonicInstant) -> bool {
         match self.warming_up_until {
             Some(deadline) => now < deadline,
             None => now.since(self.listed_from) < span,
         }
     }
-    /// Whether this node may send it one more while it is cold; else when.
+    /// Checks that this node may send it one more request while it warms up; `part` is this node's share a second.
+    ///
+    /// # Errors
+    ///
+    /// The time, in ms, after which it may.
     ///
     /// Invariant: no more than `part` go there in any second.
     pub fn check_warm_up_rate(&self, part: u32, now: MonotonicInstant) -> Result<(), Milliseconds> {
@@ -155,7 +161,7 @@
         };
         Err(now.until(*oldest + WARM_UP_RATE_WINDOW))
     }
-    /// It was sent one. Also noted of warm ones: they may turn cold at any moment.
+    /// Records a request sent there, also after warm-up: a new incarnation may begin at any moment.
     pub fn record_sent(&mut self, now: MonotonicInstant) {
         while self
             .sent_while_warming_up
@@ -166,7 +172,7 @@
         }
         self.sent_while_warming_up.push_back(now);
     }
-    /// What the whole fleet may have in hand there now.
+    /// Returns how many requests the fleet may have in flight there now, out of `full`.
     pub fn cap(&self, full: u32, now: MonotonicInstant, rules: &SchedulerRules) -> u32 {
         let age = now.since(self.slow_start_from);
         if age >= rules.slow_start_duration {
@@ -175,15 +181,15 @@
         let grown = u64::from(full) * age.0 / rules.slow_start_duration.0.max(1);
         full.min(rules.slow_start_initial_cap.max(grown as u32))
     }
-    /// Whether it's still ramping up.
+    /// Whether it is in slow start.
     pub fn is_in_slow_start(&self, now: MonotonicInstant, rules: &SchedulerRules) -> bool {
         now.since(self.slow_start_from) < rules.slow_start_duration
     }
-    /// Whether it's kept from work after faults.
+    /// Whether it is ejected after failures.
     pub fn is_ejected(&self, now: MonotonicInstant) -> bool {
         self.ejected_until.is_some_and(|deadline| now < deadline)
     }
-    /// A request failed there. Gives how long it is kept from work, if it is.
+    /// Records a failure. Returns for how many ms it is ejected, if it now is.
     pub fn record_failure(
         &mut self,
         now: MonotonicInstant,
@@ -199,7 +205,8 @@
         self.slow_start_from = now + span;
         Some(span)
     }
-    /// A first piece came after it had read so many tokens, in so many microseconds besides the base time.
+    /// Learns the prefill time of a block from a first token that took `took` microseconds, besides the base time,
+    /// to prefill `tokens`.
     pub fn learn_prefill(&mut self, took: u64, tokens: u64, rules: &SchedulerRules) {
         if tokens < MIN_LEARNING_TOKENS {
             return;
@@ -208,8 +215,8 @@
         let bound = ((rules.block_micros / 32).max(1), rules.block_micros * 8);
         self.block_micros = (self.block_micros * 7 + sample.clamp(bound.0, bound.1)) / 8;
     }
-    /// A first piece came this much later than expected, while its kin are `usual` late. Says whether it's
-    /// far too slow: a server that answers, but slowly, is as bad as one that doesn't.
+    /// Records that a first token came `lag` ms later than expected, where `usual` is the median of its pool.
+    /// Returns whether it is an outlier: a server that answers slowly is as bad as one that does not.
     pub fn record_lag(&mut self, lag: u64, usual: u64) -> bool {
         self.lag = (self.lag * 3 + lag) / 4;
         self.consecutive_late = if lag > self.lag_slack.0 + usual * 4 {
@@ -219,7 +226,7 @@
         };
         self.consecutive_late >= MAX_CONSECUTIVE_LATE
     }
-    /// A request went well there.
+    /// Records a success, which ends a row of failures.
     pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
--- a/crates/placement/src/sketch.rs
+++ b/crates/placement/src/sketch.rs
@@ -1,3 +1,5 @@
+//! What nodes report to each other: hot prefixes, cached prefixes, requests in flight, draining servers.
+
 use serde::{Deserialize, Serialize};
 use types::{Address, ServerName, messages};
 
@@ -20,7 +22,7 @@
 #[serde(transparent)]
 pub struct PrefixHash(pub u64);
 
-/// The origin under which a scheduler is told the sum of all other nodes; no node has this address.
+/// The origin under which a scheduler receives the sum of all other nodes; no node has this address.
 pub const FLEET: Address = Address(std::net::SocketAddr::new(
     std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED),
     0,
@@ -43,52 +45,52 @@
         pub prefix: PrefixHash,
         /// The server.
         pub server: ServerName,
-        /// The server's life that it was seen in.
+        /// The server's incarnation that it was seen in.
         pub incarnation: u64,
         /// Whether a first token has shown it; else it was only sent there.
         pub is_shown: bool,
     }
 
-    /// How many requests of one node a server has in hand.
+    /// How many requests of one node a server has in flight.
     #[derive(Eq, Serialize, Deserialize)]
     pub struct InFlight {
         /// The server.
         pub server: ServerName,
         /// Requests of the sender alone.
         pub count: u32,
-        /// Prompt tokens of them that the server has still to read.
+        /// Prompt tokens of them that the server has yet to prefill.
         #[serde(default)]
         #[serde(rename = "unread")]
         pub pending_prefill_tokens: u64,
         /// Tokens that they take of its memory.
         #[serde(default)]
         pub tokens: u64,
-        /// Tokens that the sender's requests made it read in the sender's life.
+        /// Tokens that the sender's requests made it prefill in the sender's incarnation.
         #[serde(default)]
         #[serde(rename = "read")]
         pub prefilled_tokens: u64,
     }
 
-    /// What one node tells the others, or a sum of what all others tell.
+    /// What one node reports to the others, or a sum of what all others report.
     ///
-    /// Invariant: a node's own holds only what it saw itself, never what it was told, so sums count
+    /// Invariant: a node's own holds only what it saw itself, never what peers reported, so sums count
     /// nothing twice.
     #[derive(Eq, Default, Serialize, Deserialize)]
     pub struct Sketch {
-        /// The sender's life.
+        /// The sender's incarnation.
         pub incarnation: u64,
-        /// Grows within a life.
+        /// Grows within an incarnation.
         pub number: u64,
         /// Prefixes that are turning hot.
         pub hot: Vec<HotPrefix>,
-        /// Who holds them.
+        /// The servers believed to hold them.
         pub holdings: Vec<CachedPrefix>,
-        /// What the sender has at servers.
+        /// The sender's load at servers.
         pub in_flight: Vec<InFlight>,
-        /// Servers that the sender knows to be leaving.
+        /// Servers that the sender knows to be draining.
         #[serde(rename = "leaving")]
         pub draining: Vec<ServerName>,
-        /// In a sum over all other nodes: the members whose sights are not in it.
+        /// In a sum over all other nodes: the members whose reports are not in it.
         #[serde(default)]
         pub missing: Option<Vec<Address>>,
     }
