--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -33,7 +33,7 @@
 pub fn an_address<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
     text.parse::<Address>()
         .map(drop)
-        .map_err(ValidateError::new)
+        .map_err(|error| ValidateError::new(error.to_string()))
 }
 
 /// A setting that is a list of such.
@@ -44,7 +44,7 @@
 
 /// A setting that is a plain name.
 pub fn a_name<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
-    if ZoneName::from(text).is_healthy() {
+    if ZoneName::from(text).is_valid() {
         Ok(())
     } else {
         Err(ValidateError::new(format!(
--- a/crates/config/src/tenants.rs
+++ b/crates/config/src/tenants.rs
@@ -60,7 +60,7 @@
                 why,
             });
         };
-        if !TenantName::from(tenant.name.as_str()).is_healthy() {
+        if !TenantName::from(tenant.name.as_str()).is_valid() {
             say(
                 "name",
                 "a name is 1 to 64 letters, digits or any of -_.:".into(),
--- a/crates/controller/src/admin/http.rs
+++ b/crates/controller/src/admin/http.rs
@@ -183,7 +183,7 @@
 
     fn propose(&self, command: Command, needs_base: bool) -> Response {
         let id = self.change_id();
-        if !ServiceName::from(id.as_str()).is_healthy() {
+        if !ServiceName::from(id.as_str()).is_valid() {
             let why = "the query must have an id of 1 to 64 letters, digits or any of -_.:";
             return Response::result(ResultCode::BadPlan, why);
         }
--- a/crates/router/src/upstream/stream_proxy.rs
+++ b/crates/router/src/upstream/stream_proxy.rs
@@ -114,7 +114,7 @@
             return shared.refusal(ResultCode::BadRequest, fault.to_string(), Milliseconds(0));
         }
     };
-    if !request.id.is_healthy() || !request.service.is_healthy() || request.max_pieces == 0 {
+    if !request.id.is_valid() || !request.service.is_valid() || request.max_pieces == 0 {
         let why =
             "id and service are 1 to 64 letters, digits or any of -_.:, max_pieces is at least 1";
         return shared.refusal(ResultCode::BadRequest, why.into(), Milliseconds(0));
@@ -289,8 +289,8 @@
     let request = id.map(RequestId::from);
     let service = ServiceName::from(service);
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-    let is_healthy = request.as_ref().is_none_or(RequestId::is_healthy) && service.is_healthy();
-    if !is_healthy || path.len() > 1024 || !path.chars().all(is_plain) {
+    let is_valid = request.as_ref().is_none_or(RequestId::is_valid) && service.is_valid();
+    if !is_valid || path.len() > 1024 || !path.chars().all(is_plain) {
         let why = "id, service and path are made of letters, digits and -_.:, a path also of / and at most 1024 long";
         return shared.refusal(ResultCode::BadRequest, why.into(), Milliseconds(0));
     }
--- a/crates/types/src/address.rs
+++ b/crates/types/src/address.rs
@@ -1,8 +1,10 @@
+//! The addresses of our own processes.
+
 use std::fmt;
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Where a process of ours listens: IP number and port, never a host name.
+/// Where a process of the fleet listens: IP address and port, never a host name.
 #[derive(
     Debug,
     Clone,
@@ -22,7 +24,7 @@
 pub struct Address(pub SocketAddr);
 
 impl Address {
-    /// Loopback at this port.
+    /// The loopback address 127.0.0.1 with this port.
     pub fn loopback(port: u16) -> Self {
         Address(SocketAddr::from(([127, 0, 0, 1], port)))
     }
@@ -35,10 +37,33 @@
 }
 
 impl FromStr for Address {
-    type Err = String;
+    type Err = ParseAddressError;
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         text.parse()
             .map(Address)
-            .map_err(|_| format!("`{text}` is not an IP number with a port, such as 10.0.0.7:7100"))
+            .map_err(|_| ParseAddressError(text.to_owned()))
+    }
+}
+
+/// A text that is no [`Address`]: an IP address and a port are expected, such as 10.0.0.7:7100.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ParseAddressError(String);
+
+impl fmt::Display for ParseAddressError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ParseAddressError(text) = self;
+        write!(
+            f,
+            "`{text}` is not an IP number with a port, such as 10.0.0.7:7100"
+        )
+    }
+}
+
+impl std::error::Error for ParseAddressError {}
+
+/// For callers whose errors are still texts.
+impl From<ParseAddressError> for String {
+    fn from(error: ParseAddressError) -> String {
+        error.to_string()
     }
 }
--- a/crates/types/src/api_key.rs
+++ b/crates/types/src/api_key.rs
@@ -1,3 +1,5 @@
+//! API keys, which are never shown.
+
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
@@ -7,22 +9,22 @@
 
 /// The secret by which a client shows which tenant it belongs to.
 ///
-/// Invariant: never shown, neither in logs nor in faults, metrics, answers or what is serialized.
+/// Invariant: never shown, neither in logs nor in errors, metrics, answers or what is serialized.
 #[derive(Clone, Default, PartialEq, Eq, Hash)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// The key in an `Authorization` header of the scheme `Bearer`; `None`: it has none.
+    /// The key in an `Authorization` header of the scheme `Bearer`; `None` if there is none.
     pub fn from_bearer(header: &str) -> Option<ApiKey> {
         let (scheme, key) = header.trim().split_once(' ')?;
         let key = key.trim();
         (scheme.eq_ignore_ascii_case("bearer") && !key.is_empty()).then(|| ApiKey::from(key))
     }
-    /// Its bytes, to be hashed.
+    /// The bytes of the key, to be hashed.
     pub fn as_bytes(&self) -> &[u8] {
         self.0.as_bytes()
     }
-    /// Whether there is nothing in it.
+    /// Whether the key is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/types/src/delta.rs
+++ b/crates/types/src/delta.rs
@@ -1,20 +1,22 @@
+//! The difference between two versions of a plan, as one replaced range of bytes.
+
 use crate::messages;
 
 messages! {
-    /// What turns one plan's bytes into another's: at `start`, so many bytes go and these come.
+    /// Turns one version's bytes into another's by replacing the `removed` bytes from `start` on with `inserted`.
     #[derive(Eq, Default)]
     pub struct Delta {
-        /// From this byte.
+        /// The offset of the first byte that is replaced.
         pub start: u64,
-        /// So many go.
+        /// How many bytes are removed.
         pub removed: u64,
-        /// These come.
+        /// The bytes that take their place.
         pub inserted: Vec<u8>,
     }
 }
 
 impl Delta {
-    /// The shortest that makes `new` of `old` in one place.
+    /// The shortest delta that turns `old` into `new` by replacing one range.
     pub fn between(old: &[u8], new: &[u8]) -> Delta {
         let most = old.len().min(new.len());
         let start = old
@@ -31,17 +33,17 @@
             inserted: new[start..new.len() - kept].to_vec(),
         }
     }
-    /// What it makes of these bytes; `None` if it isn't for them.
+    /// The bytes that this delta makes of `old`; `None` if its range is beyond their end.
     pub fn apply(&self, old: &[u8]) -> Option<Vec<u8>> {
         revert(old, [self])
     }
-    /// Whether it is for bytes of this length.
+    /// Whether the replaced range is within `old`.
     pub fn fits(&self, old: &[u8]) -> bool {
         self.start
             .checked_add(self.removed)
             .is_some_and(|end| end <= old.len() as u64)
     }
-    /// What turns the new bytes back into `old`.
+    /// The delta that turns the new bytes back into `old`; `None` if the range of this one is beyond the end of `old`.
     pub fn reverse(&self, old: &[u8]) -> Option<Delta> {
         let start = usize::try_from(self.start).ok()?;
         let end = start.checked_add(usize::try_from(self.removed).ok()?)?;
@@ -54,15 +56,12 @@
     }
 }
 
-/// Applies splices one after another. The bytes are copied once, however many splices there are.
-pub fn revert<'a>(
-    bytes: &'a [u8],
-    splices: impl IntoIterator<Item = &'a Delta>,
-) -> Option<Vec<u8>> {
+/// Applies deltas one after another; `None` if one doesn't fit. The bytes are copied once, however many deltas there are.
+pub fn revert<'a>(bytes: &'a [u8], deltas: impl IntoIterator<Item = &'a Delta>) -> Option<Vec<u8>> {
     let mut parts: Vec<&[u8]> = vec![bytes];
-    for delta in splices {
-        let (mut left, right) = cut(parts, usize::try_from(delta.start).ok()?)?;
-        let (_, rest) = cut(right, usize::try_from(delta.removed).ok()?)?;
+    for delta in deltas {
+        let (mut left, right) = split_parts(parts, usize::try_from(delta.start).ok()?)?;
+        let (_, rest) = split_parts(right, usize::try_from(delta.removed).ok()?)?;
         left.push(&delta.inserted);
         left.extend(rest);
         parts = left;
@@ -72,16 +71,16 @@
 
 type Parts<'a> = Vec<&'a [u8]>;
 
-/// Parts up to this byte, and from it on; `None` beyond their end.
-fn cut(parts: Parts<'_>, mut at: usize) -> Option<(Parts<'_>, Parts<'_>)> {
+/// The parts before this offset, and those from it on; `None` if it is beyond their end.
+fn split_parts(parts: Parts<'_>, mut offset: usize) -> Option<(Parts<'_>, Parts<'_>)> {
     let (mut left, mut right) = (vec![], vec![]);
     for part in parts {
-        let (before, after) = part.split_at(at.min(part.len()));
-        at -= before.len();
+        let (before, after) = part.split_at(offset.min(part.len()));
+        offset -= before.len();
         left.extend((!before.is_empty()).then_some(before));
         right.extend((!after.is_empty()).then_some(after));
     }
-    (at == 0).then_some((left, right))
+    (offset == 0).then_some((left, right))
 }
 
 #[cfg(test)]
--- a/crates/types/src/disk_id.rs
+++ b/crates/types/src/disk_id.rs
@@ -1,6 +1,8 @@
+//! The identity of a replica's disk.
+
 use std::fmt;
 
-/// Names one disk's contents. Drawn at random when an empty data folder is first used, and lost
+/// The id of one disk's contents, 128 random bits. It is drawn when an empty data folder is first used, and lost
 /// with it.
 ///
 /// Invariant: two folders that were ever empty at different times never share one, so a wiped
--- a/crates/types/src/epoch.rs
+++ b/crates/types/src/epoch.rs
@@ -1,3 +1,5 @@
+//! Numbers that only grow: of configurations, views and changes.
+
 use std::fmt;
 
 macro_rules! counters {
@@ -10,7 +12,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The next one.
+            /// The number after this one.
             #[must_use]
             pub fn next(self) -> Self {
                 $name(self.0 + 1)
@@ -26,14 +28,14 @@
 }
 
 counters! {
-    /// Numbers the configurations (what operators had accepted). Zero: none yet.
+    /// The number of a configuration, which is what operators had accepted; 0 before the first one.
     ///
-    /// Invariant: grows by one with each accepted change; a node never goes back.
+    /// Invariant: grows by one with each accepted change, and a node never goes back to an earlier one.
     ConfigEpoch
-    /// Numbers the views of the control core. Zero: before the founding.
+    /// The number of a view of the controllers' chain; 0 before the founding.
     ///
     /// Invariant: for each number at most one view is ever decided.
     ViewNumber
-    /// Numbers the changes in the chain, from 1 without gaps.
+    /// The number of a change in the chain's log, from 1 without gaps.
     SequenceNumber
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,8 @@
-//! The words that all packages of cobaltfall share: ids, epochs, times, result codes.
+//! The types that all packages of cobaltfall share: ids, epochs, instants, result codes.
+//!
+//! Many of them are archived with `rkyv` and stored or sent: the order of fields and variants must never change.
+
+#![warn(missing_docs)]
 
 mod address;
 mod api_key;
@@ -12,7 +16,7 @@
 mod result_code;
 mod token_key;
 
-pub use address::Address;
+pub use address::{Address, ParseAddressError};
 pub use api_key::{ApiKey, ApiKeys};
 pub use delta::{Delta, revert};
 pub use disk_id::DiskId;
--- a/crates/types/src/macros.rs
+++ b/crates/types/src/macros.rs
@@ -1,4 +1,4 @@
-/// Declares messages: plain data that goes between our processes or to disk.
+/// Declares messages: plain data that is sent between processes or written to disk.
 ///
 /// Each gets the same derives, so that all of them can be cloned, compared, printed, and
 /// archived with `rkyv` with checked access.
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -1,3 +1,5 @@
+//! Names that come from outside: from plans, clients and the platform.
+
 use std::fmt;
 
 macro_rules! names {
@@ -10,13 +12,13 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// As text.
+            /// The name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
-            /// Whether it may stand in a path, a log line or a configuration: 1 to 64 letters, digits,
+            /// Whether the name may stand in a path, a log line or a configuration: 1 to 64 ASCII letters, digits,
             /// or `-_.:`.
-            pub fn is_healthy(&self) -> bool {
+            pub fn is_valid(&self) -> bool {
                 let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
                 (1..=64).contains(&self.0.len()) && self.0.chars().all(is_plain)
             }
@@ -37,17 +39,17 @@
 }
 
 names! {
-    /// A zone.
+    /// The name of a zone, a failure domain of the fleet.
     ZoneName
-    /// What a client calls its request.
+    /// The id that a client gives its request, by which a repeated one is known.
     RequestId
-    /// What a server calls one run of a request.
+    /// The id that a server gives one run of a request.
     RunId
-    /// A back end, by its address as the platform lists it.
+    /// The name of a server (a back end): its address as the platform lists it.
     ServerName
-    /// A service that a plan may allow.
+    /// The name of a service that a plan may allow.
     ServiceName
-    /// A tenant: whoever holds one of its API keys.
+    /// The name of a tenant; whoever has one of its API keys acts for it.
     TenantName
 }
 
--- a/crates/types/src/names/tests.rs
+++ b/crates/types/src/names/tests.rs
@@ -8,6 +8,6 @@
     slash = { "a/b", false },
     newline = { "a\nb", false },
 )]
-fn only_plain_names_are_sound(text: &str, is_healthy: bool) {
-    assert_eq!(ServiceName::from(text).is_healthy(), is_healthy);
+fn only_plain_names_are_valid(text: &str, is_valid: bool) {
+    assert_eq!(ServiceName::from(text).is_valid(), is_valid);
 }
--- a/crates/types/src/random.rs
+++ b/crates/types/src/random.rs
@@ -1,4 +1,10 @@
-/// Random bytes from the system, for ids that must never come twice: a disk's, a life's.
+//! Random bytes for ids.
+
+/// Random bytes from `/dev/urandom`, for ids that must never come twice: a disk's, an incarnation's.
+///
+/// # Panics
+///
+/// If the system gives none.
 pub fn random_bytes<const N: usize>() -> [u8; N] {
     let mut bytes = [0u8; N];
     let file = std::fs::File::open("/dev/urandom");
--- a/crates/types/src/result_code.rs
+++ b/crates/types/src/result_code.rs
@@ -1,3 +1,5 @@
+//! Result codes: what became of a request, a plan or a message, as stable numbers. `docs/result-codes.md` lists them.
+
 use crate::moment::Milliseconds;
 use std::fmt;
 
@@ -15,26 +17,26 @@
         }
 
         impl ResultCode {
-            /// All of them, in order of their numbers.
+            /// All result codes, in order of their numbers.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name),*];
-            /// Its number.
+            /// The number of the code, which never changes.
             pub fn number(self) -> u16 {
                 match self { $(ResultCode::$name => $number),* }
             }
-            /// The HTTP status that goes with it.
+            /// The HTTP status that an answer with this code has.
             pub fn http_status(self) -> u16 {
                 match self { $(ResultCode::$name => $http),* }
             }
-            /// When coming back helps, if it does: said as `retry-after` unless something later is known.
+            /// After how long a retry may help, if it may: sent as `retry-after` unless something later is known.
             pub fn comes_back(self) -> Option<Milliseconds> {
                 let seconds = match self { $(ResultCode::$name => $back),* };
                 (seconds > 0).then(|| Milliseconds::seconds(seconds))
             }
-            /// Its short name.
+            /// The short name of the code, as in logs and answers.
             pub fn word(self) -> &'static str {
                 match self { $(ResultCode::$name => $word),* }
             }
-            /// One sentence about it.
+            /// One sentence about the code, for operators and clients.
             pub fn meaning(self) -> &'static str {
                 match self { $(ResultCode::$name => $what),* }
             }
@@ -87,7 +89,7 @@
 }
 
 impl ResultCode {
-    /// Whether it says that the request never ran and never will.
+    /// Whether the code says that the request never ran and never will.
     pub fn is_refusal(self) -> bool {
         (100..200).contains(&self.number())
     }
--- a/crates/types/src/token_key.rs
+++ b/crates/types/src/token_key.rs
@@ -1,6 +1,8 @@
+//! The key of the fleet's tokens.
+
 use std::fmt;
 
-/// What the fleet's tokens are checked with: drawn once, kept by the core, given with each lease.
+/// The key by which the fleet's tokens are checked: drawn once, stored by the controllers, sent with each lease.
 ///
 /// Invariant: never shown, neither in logs nor in answers.
 #[derive(Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
