--- a/crates/controller/src/consensus/disk_thread.rs
+++ b/crates/controller/src/consensus/disk_thread.rs
@@ -1,7 +1,7 @@
 use replication::{Record, RecoveredRecords};
 use std::path::Path;
 use std::time::Duration;
-use storage::{RecoveredStorage, Storage, StorageError};
+use storage::{Damage, RecoveredStorage, Storage, StorageError};
 use types::{DiskId, random_bytes};
 
 /// What the disk's own thread tells the control thread.
@@ -76,7 +76,10 @@
         std::thread::Builder::new()
             .name("disk".into())
             .spawn(work)
-            .map_err(StorageError::Io)?;
+            .map_err(|source| StorageError::Io {
+                action: "start the disk's thread",
+                source,
+            })?;
         match first.recv_timeout(FIRST_DEADLINE) {
             Ok(Err(fault)) => Err(fault),
             // A slow disk holds nothing up: what comes of it is told when it's known.
@@ -113,7 +116,7 @@
     /// Linux's number of an I/O error, which has no kind of its own.
     const EIO: i32 = 5;
     match fault {
-        StorageError::Io(fault) => {
+        StorageError::Io { source: fault, .. } => {
             let kinds = [
                 StorageFull,
                 QuotaExceeded,
@@ -140,7 +143,7 @@
         let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
         aligned.extend_from_slice(bytes);
         let record = rkyv::from_bytes::<Record, rkyv::rancor::Error>(&aligned);
-        record.map_err(|fault| StorageError::Damaged(format!("a record can't be read: {fault}")))
+        record.map_err(|error| StorageError::from(Damage::RecordContent(error.to_string())))
     };
     Ok(RecoveredRecords {
         records: raw.iter().map(read).collect::<Result<_, _>>()?,
--- a/crates/controller/src/consensus/disk_thread/tests.rs
+++ b/crates/controller/src/consensus/disk_thread/tests.rs
@@ -18,7 +18,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (path, tries) = (folder.path().join("data"), AtomicUsize::new(0));
     let open = move || match tries.fetch_add(1, Ordering::Relaxed) {
-        0 | 1 => Err(StorageError::Io(refuse())),
+        0 | 1 => Err(StorageError::Io {
+            action: "open",
+            source: refuse(),
+        }),
         _ => open_folder(&path),
     };
     let (tell, told) = flume::unbounded();
--- a/crates/storage/src/checked_file.rs
+++ b/crates/storage/src/checked_file.rs
@@ -1,10 +1,20 @@
+//! Small files that are replaced at once and checked when they are read.
+//!
+//! A file holds `cbflfile`, the length of its content (8 bytes, big-endian), the content's CRC-32 (4), and the content.
+
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
+/// The bytes that each file begins with.
 const MAGIC: [u8; 8] = *b"cbflfile";
 
-/// Writes a small file so that a crash leaves the old one or the new one, whole.
+/// Writes the file `name` in `folder`, its content the parts in order, so that a crash leaves the old file or the new one,
+/// complete, and syncs it.
+///
+/// # Errors
+///
+/// The operating system's; the old file is there then, or the new one.
 pub fn write_file(folder: &Path, name: &str, parts: &[&[u8]]) -> io::Result<()> {
     let draft = folder.join(format!("{name}.draft"));
     let mut check = crc32fast::Hasher::new();
@@ -20,12 +30,16 @@
     File::open(folder)?.sync_all()
 }
 
-/// Reads such a file; `None` if there is none, an error if it isn't whole.
+/// Reads the content of such a file; `None` if there is none.
+///
+/// # Errors
+///
+/// The operating system's, or one of kind [`io::ErrorKind::InvalidData`] if the file is not complete or fails its check.
 pub fn read_file(folder: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
     let bytes = match fs::read(folder.join(name)) {
         Ok(bytes) => bytes,
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(fault) => return Err(fault),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error),
     };
     let bad = |why: &str| io::Error::new(io::ErrorKind::InvalidData, format!("{name} {why}"));
     let head = bytes.get(..20).ok_or_else(|| bad("is torn"))?;
--- a/crates/storage/src/checked_file/tests.rs
+++ b/crates/storage/src/checked_file/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_file_bent_or_torn_anywhere_is_noticed() {
+fn a_damaged_or_torn_file_is_noticed() {
     let folder = tempfile::tempdir().unwrap();
     assert_eq!(read_file(folder.path(), "checked_file").unwrap(), None);
     write_file(folder.path(), "checked_file", &[b"some ", b"words"]).unwrap();
--- a/crates/storage/src/write_ahead_log/tests.rs
+++ b/crates/storage/src/data_folder/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::record_frame::HEADER_BYTES;
 use types::DiskId;
 
 fn records(words: &[&str]) -> Vec<Vec<u8>> {
@@ -6,7 +7,7 @@
 }
 
 #[test]
-fn what_was_written_comes_back_after_snapshots_and_reopening() {
+fn records_are_recovered_after_snapshots_and_reopening() {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = Storage::open(folder.path(), DiskId(7)).unwrap();
     assert_eq!((opened.disk, opened.records.len()), (DiskId(7), 0));
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn large_records_survive_and_the_log_is_cut_by_snapshots_only() {
+fn large_records_survive_and_only_snapshots_cut_the_log() {
     let folder = tempfile::tempdir().unwrap();
     let large: Vec<Vec<u8>> = (0..6u8).map(|n| vec![n; 700_000]).collect();
     let mut opened = Storage::open(folder.path(), DiskId(7)).unwrap();
@@ -57,14 +58,14 @@
 }
 
 #[test]
-fn a_bent_log_is_never_served_as_good_but_for_the_last_entry_as_torn() {
+fn a_damaged_log_is_never_served_except_that_the_last_entry_may_look_torn() {
     let (folder, path, whole) = three_entries();
     let used = whole.iter().rposition(|byte| *byte != 0).unwrap() + 1;
     let third = whole
         .windows(5)
         .position(|window| window == b"third")
         .unwrap()
-        - RECORD_HEAD;
+        - HEADER_BYTES;
     let good = records(&["first", "second", "third"]);
     for place in 0..used {
         let mut bent = whole.clone();
@@ -92,7 +93,7 @@
         .windows(5)
         .position(|window| window == b"third")
         .unwrap();
-    for cut in third - RECORD_HEAD - 8..third + 5 {
+    for cut in third - HEADER_BYTES - 8..third + 5 {
         let mut torn = whole.clone();
         torn[cut..].fill(0);
         fs::write(&path, &torn).unwrap();
