--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -517,7 +517,7 @@
     /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
     /// members must know it, its answer alone waits for them: they may be gone since.
     pub(crate) fn is_firm(&self, epoch: ConfigEpoch) -> bool {
-        self.replica.has_copies()
+        self.replica.has_min_chain_length()
             && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
     }
 
--- a/crates/replication/src/leases.rs
+++ b/crates/replication/src/leases.rs
@@ -1,25 +1,31 @@
+//! The leases of the fleet's members, as the tail keeps them, and the membership as the chain replicates it.
+//!
+//! A membership changes in one step, unlike Raft's joint consensus; what joint consensus does is done by `previous`: until more than
+//! half of the members before the last change know the present ones, whatever needs a majority needs one of both. Without that, two
+//! groups, each a majority of its own membership, could act on different configurations.
+
 use std::collections::BTreeMap;
 use types::{Address, ConfigEpoch, MonotonicInstant, messages};
 
 messages! {
-    /// The members of the fleet, as the chain keeps them.
+    /// The members of the fleet, as the chain replicates them.
     ///
     /// Invariant: `previous` are the members before the last change of the membership. A membership changes again only
     /// once more than half of the previous members know the present one.
     #[derive(Default)]
     pub struct Membership {
-        /// The members now.
+        /// The present members.
         pub members: Vec<Address>,
         /// The members before the last change.
         pub previous: Vec<Address>,
-        /// The epoch at which it last changed.
+        /// The epoch of the configuration by which the membership last changed.
         pub since: ConfigEpoch,
     }
 }
 
-/// Leases that the tail has given. Kept in memory: a new tail learns them from the next polls.
+/// The leases that the tail has granted. They are kept in memory: a new tail learns them from the next requests.
 ///
-/// Invariant: a lease runs from when its holder asked, so the holder's own reckoning never ends
+/// Invariant: here a lease runs from when the request came, and at its holder from when it was sent, so the holder's never ends
 /// later than the one here.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
@@ -33,25 +39,28 @@
 }
 
 impl LeaseTable {
-    /// A member asked, knowing this epoch; its lease runs until `deadline`.
+    /// Grants a member that asked, knowing this epoch, a lease until `deadline`.
     pub fn renew(&mut self, member: Address, known: ConfigEpoch, deadline: MonotonicInstant) {
         self.leases.insert(member, Lease { deadline, known });
     }
-    /// Forgets all, when this replica stops being the tail.
+    /// Forgets all leases, when this replica stops being the tail.
     pub fn clear(&mut self) {
         self.leases.clear();
     }
-    /// Whether more than half of the members, and of the previous members, hold leases.
+    /// Whether more than half of the members, and of the previous members, hold leases at `now`.
     pub fn has_majority(&self, membership: &Membership, now: MonotonicInstant) -> bool {
         let is_live = |member: &Address| self.leases.get(member).is_some_and(|p| p.deadline > now);
-        is_most(&membership.members, is_live) && is_most(&membership.previous, is_live)
+        holds_for_majority(&membership.members, is_live)
+            && holds_for_majority(&membership.previous, is_live)
     }
     /// Whether more than half of the members, and of the previous members, are known to know `epoch`.
     pub fn is_known_to_most(&self, membership: &Membership, epoch: ConfigEpoch) -> bool {
-        let is_told = |member: &Address| self.leases.get(member).is_some_and(|p| p.known >= epoch);
-        is_most(&membership.members, is_told) && is_most(&membership.previous, is_told)
+        let is_notified =
+            |member: &Address| self.leases.get(member).is_some_and(|p| p.known >= epoch);
+        holds_for_majority(&membership.members, is_notified)
+            && holds_for_majority(&membership.previous, is_notified)
     }
-    /// Whether each that holds a lease is known to know `epoch`; one that is no member any more still does.
+    /// Whether each holder of a lease at `now` is known to know `epoch`, also one that is no member any more.
     pub fn is_known_to_holders(&self, epoch: ConfigEpoch, now: MonotonicInstant) -> bool {
         self.leases
             .values()
@@ -64,25 +73,25 @@
             .iter()
             .all(|member| self.leases.get(member).is_some_and(|p| p.known >= epoch))
     }
-    /// Whether more than half of those before the last change of the membership know the membership now.
+    /// Whether the last change of the membership is settled: more than half of the previous members know the present ones.
     pub fn is_membership_settled(&self, membership: &Membership) -> bool {
-        let is_told = |member: &Address| {
+        let is_notified = |member: &Address| {
             self.leases
                 .get(member)
                 .is_some_and(|p| p.known >= membership.since)
         };
-        is_most(&membership.previous, is_told)
+        holds_for_majority(&membership.previous, is_notified)
     }
-    /// Who holds a lease now, and what they know.
+    /// The holders of leases at `now`, and the epoch that each knows.
     pub fn live(&self, now: MonotonicInstant) -> Vec<(Address, ConfigEpoch)> {
         let leases = self.leases.iter().filter(|(_, p)| p.deadline > now);
         leases.map(|(member, p)| (*member, p.known)).collect()
     }
 }
 
-/// Whether it holds for more than half; of nobody it holds always.
-fn is_most(members: &[Address], is_so: impl Fn(&Address) -> bool) -> bool {
-    members.is_empty() || members.iter().filter(|m| is_so(m)).count() * 2 > members.len()
+/// Whether it holds for more than half of the members; always for none at all.
+fn holds_for_majority(members: &[Address], holds: impl Fn(&Address) -> bool) -> bool {
+    members.is_empty() || members.iter().filter(|m| holds(m)).count() * 2 > members.len()
 }
 
 #[cfg(test)]
--- a/crates/replication/src/messages.rs
+++ b/crates/replication/src/messages.rs
@@ -1,254 +1,260 @@
+//! Messages between replicas, and the records that they write to their disks.
+//!
+//! The names of types, variants and fields don't reach the wire or the disk; their order does, and must never change.
+
 use crate::view::View;
 use types::{Address, DiskId, SequenceNumber, ViewNumber, messages};
 
 messages! {
-    /// Requests ballots of one instance: the greater one wins.
+    /// The proposal number of Paxos (its ballot number): orders the proposals for one view.
     #[derive(Copy, Eq, PartialOrd, Ord, Default, Hash)]
     pub struct ProposalNumber {
-        /// Grows with each try.
+        /// Higher with each attempt. Each proposer uses a higher count than all that it has seen.
         pub count: u64,
-        /// Breaks ties: the proposer's disk.
+        /// The proposer's disk id. It breaks ties, so that no two proposers ever share a number.
         pub proposer: u128,
     }
 
-    /// A round together with the view that it would decide.
+    /// A proposal of Paxos: a number and the proposed value, the next view.
     #[derive(Eq, Hash)]
     pub struct ViewProposal {
-        /// Its round.
+        /// The number of the proposal.
         pub proposal_number: ProposalNumber,
-        /// What it is for.
+        /// The proposed view.
         pub view: View,
     }
 
-    /// Whoever proposed a change: who waits for its answer, and under which number.
+    /// Identifies one request to change the replicated state, and where its answer goes.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     pub struct ChangeRequestId {
-        /// Where the answer goes.
+        /// The process that made the request and waits for the answer.
         pub origin: Address,
-        /// The origin's own number for it, which no other has in all its lives.
+        /// The origin's own number for it, which no other request of the origin has, in any of its incarnations.
         pub number: u64,
     }
 
-    /// One change in the chain.
+    /// One change in the chain, an entry of the replicated log.
     ///
-    /// Invariant: `seq` with `stamp` names one body for ever: a head forwards a change only once it
-    /// is on its own disk.
+    /// Invariant: `seq` and `origin_view` together name one change forever, as index and term do in Raft: a head
+    /// forwards a change only once it is on its own disk.
     #[derive(Eq, Hash)]
     pub struct Change {
-        /// Its place.
+        /// The position of the change in the log, from 1 without gaps.
         pub seq: SequenceNumber,
-        /// The view in which the head took it.
+        /// The view in which the head appended it.
         pub origin_view: ViewNumber,
-        /// Who waits for it.
+        /// The request that it came from.
         pub request_id: ChangeRequestId,
-        /// What it says, for the state machine alone.
+        /// The change itself; only the state machine reads it.
         pub body: Vec<u8>,
     }
 
-    /// What replicas say to each other.
+    /// What replicas, and processes that propose changes, send each other. Messages may be lost, delayed, duplicated and
+    /// reordered.
     #[derive(Eq, Hash)]
     pub enum ReplicationMessage {
-        /// Said to all, often: that I live and how far I am.
+        /// Sent to all others in each heartbeat interval: the sender runs, and is this far.
         Heartbeat {
-            /// My disk.
+            /// The sender's disk.
             disk: DiskId,
-            /// The view that I know.
+            /// The last decided view that the sender knows.
             view: ViewNumber,
-            /// The last change on my disk.
+            /// The last change that is synced on the sender's disk.
             last: SequenceNumber,
-            /// Its stamp.
+            /// The view in which that change was appended.
             origin_view: ViewNumber,
-            /// The last change known to be replied.
+            /// The last change that the sender knows to be committed.
             commit_index: SequenceNumber,
-            /// Whether I hold all that was ever replied.
+            /// Whether the sender holds every change that was ever committed.
             is_caught_up: bool,
-            /// Whether my disk takes writes, and I hear most of the voters.
+            /// Whether the sender's disk takes writes and most of the voters are reachable from it.
             is_healthy: bool,
-            /// Whether the tail sees more than half of the members with leases (the tail's word).
+            /// Whether more than half of the fleet's members hold leases. Only the tail's heartbeat counts.
             has_member_majority: bool,
         },
-        /// First half of a ballot.
+        /// Paxos phase 1, proposer to voters: asks for a promise.
         Prepare {
-            /// For the view of this epoch.
+            /// The view that is to be decided.
             instance: ViewNumber,
-            /// The round.
+            /// The number of the proposal to come.
             proposal_number: ProposalNumber,
         },
-        /// Response to `Prepare`: I'll take part in no lesser round.
+        /// Answer to `Prepare`: the voter will accept no proposal with a lower number.
         Promise {
-            /// For the view of this epoch.
+            /// The view that is to be decided.
             instance: ViewNumber,
-            /// The round.
+            /// The number that is promised.
             proposal_number: ProposalNumber,
-            /// My disk.
+            /// The voter's disk.
             disk: DiskId,
-            /// What I accepted before.
+            /// The proposal that the voter has accepted for this view before, if any.
             accepted: Option<ViewProposal>,
         },
-        /// Second half of a ballot.
+        /// Paxos phase 2, proposer to voters: asks to accept a proposal.
         Accept {
-            /// The ballot.
+            /// The proposal.
             proposal: ViewProposal,
         },
-        /// Response to `Accept`.
+        /// Answer to `Accept`: the voter has accepted the proposal.
         Accepted {
-            /// For the view of this epoch.
+            /// The view that is to be decided.
             instance: ViewNumber,
-            /// The round.
+            /// The number of the accepted proposal.
             proposal_number: ProposalNumber,
-            /// My disk.
+            /// The voter's disk.
             disk: DiskId,
         },
-        /// Response to a lesser round.
+        /// Answer to `Prepare` or `Accept` with a number below the promised one.
         ProposalRejected {
-            /// For the view of this epoch.
+            /// The view that is to be decided.
             instance: ViewNumber,
-            /// What I have promised.
+            /// The number that the voter has promised.
             promised: ProposalNumber,
         },
-        /// A view that is decided.
+        /// A view is decided.
         Decided {
-            /// The view.
+            /// The decided view.
             view: View,
         },
-        /// The tail asks to answer for a while.
+        /// The tail asks a voter for a lease.
         LeaseRequest {
-            /// In this view.
+            /// The view that it is the tail of.
             view: ViewNumber,
-            /// Tells asks apart.
+            /// The number of the request. Only grants of the newest request count.
             request_number: u64,
         },
-        /// It may.
+        /// A voter grants the tail a lease.
         LeaseGrant {
-            /// In this view.
+            /// The view that it is the tail of.
             view: ViewNumber,
-            /// As asked.
+            /// The number of the request.
             request_number: u64,
-            /// Whose grant.
+            /// The voter's disk.
             disk: DiskId,
         },
-        /// A change, from a member to its successor.
+        /// A change, from a chain member to its successor.
         Forward {
-            /// In this view.
+            /// The view in which it is forwarded.
             view: ViewNumber,
             /// The change.
             change: Change,
         },
-        /// To a newcomer's seat: you're level once you hold this change.
+        /// From a caught-up predecessor to a newcomer: it has caught up once it holds this change.
         CatchUpTarget {
-            /// In this view.
+            /// The present view.
             view: ViewNumber,
-            /// My last change when I took up the view.
+            /// The predecessor's last change.
             last: SequenceNumber,
         },
-        /// Asks the tail for what I lack.
+        /// A follower asks the tail for the changes that it lacks.
         CatchUpRequest {
-            /// My disk.
+            /// The follower's disk.
             disk: DiskId,
-            /// The last change that I hold.
+            /// The follower's last change.
             last: SequenceNumber,
-            /// Its stamp.
+            /// The view in which that change was appended.
             origin_view: ViewNumber,
         },
-        /// Some of what a follower lacks.
+        /// Some of the changes that a follower lacks.
         CatchUpBatch {
-            /// In order, from the one after `last`.
+            /// Changes in order, the first one right after the last that the follower reported.
             changes: Vec<Change>,
         },
-        /// A follower needs the snapshot; it's this long.
+        /// The log doesn't reach back to the follower's last change; the tail offers a snapshot.
         SnapshotOffer {
             /// The last change in the snapshot.
             last: SequenceNumber,
-            /// Its stamp.
+            /// The view in which that change was appended.
             origin_view: ViewNumber,
-            /// Its length.
+            /// The length of the snapshot in bytes.
             length: u64,
         },
-        /// Asks for a piece of it.
+        /// A follower asks for a chunk of a snapshot.
         SnapshotRequest {
-            /// Of the snapshot up to this change.
+            /// The last change in the snapshot.
             last: SequenceNumber,
-            /// From this byte.
+            /// Where the chunk begins, in bytes.
             offset: u64,
         },
-        /// A piece of it.
+        /// A chunk of a snapshot.
         SnapshotChunk {
-            /// Of the snapshot up to this change.
+            /// The last change in the snapshot.
             last: SequenceNumber,
-            /// Its stamp.
+            /// The view in which that change was appended.
             origin_view: ViewNumber,
-            /// From this byte.
+            /// Where the chunk begins, in bytes.
             offset: u64,
-            /// Of the whole snapshot.
+            /// The length of the complete snapshot in bytes.
             length: u64,
-            /// The bytes.
+            /// The chunk.
             bytes: Vec<u8>,
         },
-        /// A proposal for the head.
+        /// A proposed change, to the head.
         Propose {
-            /// Who waits.
+            /// The request.
             request_id: ChangeRequestId,
-            /// What it says.
+            /// The change, for the state machine.
             body: Vec<u8>,
         },
-        /// The answer to a proposal. `is_replied` is false if it was turned away unchanged.
+        /// The answer to a proposed change.
         Response {
-            /// Which proposal.
+            /// The origin's number for the request.
             number: u64,
-            /// Whether it entered the chain and is on every member's disk.
+            /// Whether the answer is final: the change was committed, or rejected by a committed state. If not, nothing was
+            /// changed, and it may be proposed again.
             is_final: bool,
-            /// The state machine's answer; empty when the core could not take it.
+            /// The state machine's answer; empty if the answer isn't final.
             body: Vec<u8>,
         },
-        /// From the head to the tail: by my state, this proposal can't be taken. Mine may be on one disk only,
-        /// or of a view that is past, so say so yourself, or that it isn't so.
+        /// From the head to the tail: by the head's state, this change must be rejected. That state may be on one disk only, or
+        /// belong to a view that is past, so the tail is to confirm it.
         ConfirmRejection {
-            /// In this view.
+            /// The present view.
             view: ViewNumber,
-            /// Who waits.
+            /// The request.
             request_id: ChangeRequestId,
-            /// The last change of the state that it was judged against.
+            /// The last change of the state by which the head rejects it.
             last: SequenceNumber,
-            /// The proposal.
+            /// The change.
             body: Vec<u8>,
         },
-        /// I'm about to stop; said with each beat until then.
+        /// The sender is about to stop. Sent with each heartbeat until then.
         Draining {
-            /// My disk.
+            /// The sender's disk.
             disk: DiskId,
         },
     }
 
-    /// What goes to disk, in order. A snapshot is kept as a file of its own.
+    /// What a replica writes to its disk, in order.
     #[derive(Eq, Hash)]
     pub enum Record {
-        /// I promised this.
+        /// A promise: no proposal with a lower number will be accepted.
         Promised {
-            /// For the view of this epoch.
+            /// The view that is to be decided.
             instance: ViewNumber,
-            /// The round.
+            /// The number that is promised.
             proposal_number: ProposalNumber,
         },
-        /// I accepted this.
+        /// An accepted proposal.
         Accepted {
-            /// The ballot.
+            /// The proposal.
             proposal: ViewProposal,
         },
-        /// This view is decided.
+        /// A decided view.
         View {
             /// The view.
             view: View,
         },
-        /// A change.
+        /// A change of the log.
         Change {
             /// The change.
             change: Change,
         },
-        /// From here on the snapshot counts; all changes before this record are void.
+        /// A snapshot. All changes recorded before it are void.
         Snapshot {
-            /// The last change in it.
+            /// The last change in the snapshot.
             last: SequenceNumber,
-            /// Its stamp.
+            /// The view in which that change was appended.
             origin_view: ViewNumber,
             /// The state machine's state.
             body: Vec<u8>,
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,14 +1,65 @@
-//! The chain: changes enter at the head, pass down, and are replied at the tail.
+//! Chain replication: changes enter at the head, are forwarded down the chain, and commit at the tail.
+//!
+//! The steps, with the names of van Renesse and Schneider's paper:
+//!
+//! 1. The *head* takes a proposed change, gives it the next sequence number, and appends it to its log ([`Replica::on_propose`]).
+//! 2. Each member *forwards* a change to its successor once it is synced on its own disk ([`Replica::on_change_synced`]). So a
+//!    member holds each change that its successor holds; without the sync first, a restart could take a change from
+//!    the head that the rest already has, and another would get its number.
+//! 3. At the *tail* a change is on all disks of the chain: it's *committed*. The tail's last change is the commit index,
+//!    which heartbeats carry back up the chain.
+//!
+//! Departures from the published form:
+//!
+//! - A change counts as committed only while the chain has [`Timing::min_chain_length`](crate::Timing) members. Published chain
+//!   replication goes on with one; here a lone disk that is lost would take acknowledged changes with it.
+//! - The head bounds the changes in flight and their rate, and rejects what exceeds that.
+//! - A rejection by the state machine is confirmed by the tail ([`Replica::on_confirm_rejection`]): the head's state isn't committed
+//!   yet, and what it says may never have been true.
+//! - There is no separate acknowledgement: a successor's heartbeat tells how far it is, and what it lacks is sent again. A
+//!   successor that reports another change under the same number ([`Replica::has_diverged`]) is left out.
 
-use super::*;
+use super::PeerState;
+use super::durability::AfterSync;
+use super::rate_limit::ChangeRateLimiter;
 use crate::messages::{Change, ChangeRequestId, Record, ReplicationMessage};
-use crate::replica::{Output, Replica};
+use crate::replica::{Output, Replica, Timing};
 use crate::state_machine::{Preview, StateMachine};
 use crate::view::Voter;
-use types::{Address, DiskId, Milliseconds, SequenceNumber, ViewNumber};
+use std::collections::BTreeMap;
+use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
+
+/// The least rate that a link and the next disk are taken for, in bytes a millisecond: 4 MB/s.
+const TRANSFER_BYTES_PER_MS: u64 = 4000;
+
+/// Changes on their way down the chain.
+#[derive(Debug, Clone)]
+pub(super) struct Forwarding {
+    /// Changes from the predecessor that came before one that precedes them.
+    pub(super) out_of_order: BTreeMap<SequenceNumber, Change>,
+    /// At the head: bounds the rate of changes.
+    pub(super) rate_limiter: ChangeRateLimiter,
+    /// The last change forwarded to the successor, and when it is taken for lost.
+    pub(super) last_forwarded: (SequenceNumber, MonotonicInstant),
+    /// The last change that the successor reported, and when it last made progress.
+    pub(super) successor_progress: (SequenceNumber, MonotonicInstant),
+}
+
+impl Forwarding {
+    /// At the start of an incarnation: nothing is under way.
+    pub(super) fn new(timing: &Timing, now: MonotonicInstant) -> Forwarding {
+        Forwarding {
+            out_of_order: BTreeMap::new(),
+            rate_limiter: ChangeRateLimiter::full(timing, now),
+            last_forwarded: (SequenceNumber(0), MonotonicInstant(0)),
+            successor_progress: (SequenceNumber(0), now),
+        }
+    }
+}
 
 impl<C: StateMachine> Replica<C> {
-    pub(super) fn on_propose_here(&mut self, number: u64, body: Vec<u8>) {
+    /// A proposal of this process: sent to the head, or rejected at once where there is none.
+    pub(super) fn on_local_proposal(&mut self, number: u64, body: Vec<u8>) {
         let request_id = ChangeRequestId {
             origin: self.me.address,
             number,
@@ -26,26 +77,23 @@
         }
     }
 
+    /// At the head: takes a proposed change into the chain, or rejects it unchanged, to be proposed again, while the chain can't
+    /// take it.
     pub(super) fn on_propose(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
-        let tail_says = match self.view.tail() {
-            Some(tail) if tail == self.me => self.has_member_majority,
-            Some(tail) => self.heard.get(&tail.address).is_some_and(|h| {
-                h.disk == tail.disk
-                    && h.has_member_majority
-                    && self.now.since(h.at) < self.timing.suspect_timeout
-            }),
-            None => false,
-        };
         let has_room = self.last.0.0 < self.commit_index.0 + self.timing.max_in_flight_changes;
-        let may_enter = self.is_head() && self.is_caught_up && self.has_copies() && has_room;
-        if !may_enter || (self.state_machine.requires_member_majority(&body) && !tail_says) {
-            return self.turn_away(request_id, false, vec![]);
+        let may_enter =
+            self.is_head() && self.is_caught_up && self.has_min_chain_length() && has_room;
+        let lacks_members = || {
+            self.state_machine.requires_member_majority(&body) && !self.tail_has_member_majority()
+        };
+        if !may_enter || lacks_members() {
+            return self.reject_unchanged(request_id);
         }
         match self.state_machine.preview(&body) {
-            Preview::Reject(_) => self.ask_for_judgement(request_id, body),
+            Preview::Reject(_) => self.confirm_rejection_at_tail(request_id, body),
             // Not taken, so that it's tried again.
-            Preview::Admit if !self.pace.take(&self.timing, self.now) => {
-                self.turn_away(request_id, false, vec![])
+            Preview::Admit if !self.forwarding.rate_limiter.take(&self.timing, self.now) => {
+                self.reject_unchanged(request_id)
             }
             Preview::Admit => {
                 let change = Change {
@@ -59,10 +107,28 @@
         }
     }
 
-    /// Has the tail say that a proposal can't be taken: the head's own state may never be accepted.
-    fn ask_for_judgement(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
+    /// Whether the tail, by its own knowledge or its last heartbeat, sees more than half of the fleet's members, and of the
+    /// members before the last change of the membership, with leases.
+    fn tail_has_member_majority(&self) -> bool {
+        let is_current = |tail: &Voter, peer: &PeerState| {
+            peer.disk == tail.disk
+                && peer.has_member_majority
+                && self.now.since(peer.last_seen) < self.timing.suspect_timeout
+        };
+        match self.view.tail() {
+            Some(tail) if tail == self.me => self.has_member_majority,
+            Some(tail) => {
+                let peer = self.peers.get(&tail.address);
+                peer.is_some_and(|peer| is_current(&tail, peer))
+            }
+            None => false,
+        }
+    }
+
+    /// Has the tail confirm a rejection: the head's own state may never be committed.
+    pub(super) fn confirm_rejection_at_tail(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
         let Some(tail) = self.view.tail() else {
-            return self.turn_away(request_id, false, vec![]);
+            return self.reject_unchanged(request_id);
         };
         let message = ReplicationMessage::ConfirmRejection {
             view: self.view.epoch,
@@ -73,10 +139,10 @@
         self.send(tail.address, message);
     }
 
-    /// Judges a proposal that the head would not take. The answer is given like that to a change: by the tail
-    /// of the view in force, under its lease, once its state is accepted. A tail that is not as far as the head
-    /// was, or finds that it can be taken, has it proposed again.
-    pub(super) fn on_judge(
+    /// At the tail: confirms that a proposal can't be taken. The answer is given as one to a committed change is: by the tail
+    /// of the present view, under its lease. A tail that is not as far as the head was, or finds that the change can be taken, has it
+    /// proposed again.
+    pub(super) fn on_confirm_rejection(
         &mut self,
         from: Address,
         view: ViewNumber,
@@ -84,49 +150,51 @@
         last: SequenceNumber,
         body: Vec<u8>,
     ) {
-        let is_heads =
+        let is_from_head =
             view == self.view.epoch && self.view.head().is_some_and(|head| head.address == from);
-        let may_judge = is_heads
+        let may_confirm = is_from_head
             && self.is_tail()
             && self.is_caught_up
-            && self.has_copies()
+            && self.has_min_chain_length()
             && self.synced.0 >= last;
-        if !may_judge {
-            return self.turn_away(request_id, false, vec![]);
+        if !may_confirm {
+            return self.reject_unchanged(request_id);
         }
         match self.state_machine.preview(&body) {
             Preview::Reject(answer) => self.outputs.push(Output::ChangeRejected {
                 request_id,
                 body: answer,
             }),
-            Preview::Admit => self.turn_away(request_id, false, vec![]),
+            Preview::Admit => self.reject_unchanged(request_id),
         }
     }
 
-    /// Whether the chain is long enough that what passed down it is on as many disks as a change must be.
-    pub fn has_copies(&self) -> bool {
+    /// Whether the chain has [`Timing::min_chain_length`](crate::Timing) members, so that what passed down it is on as many disks.
+    pub fn has_min_chain_length(&self) -> bool {
         self.view.chain.len() >= self.timing.min_chain_length
     }
 
-    fn turn_away(&mut self, request_id: ChangeRequestId, is_final: bool, body: Vec<u8>) {
+    /// Rejects a proposal without any change of the state; it may be proposed again.
+    pub(super) fn reject_unchanged(&mut self, request_id: ChangeRequestId) {
         let message = ReplicationMessage::Response {
             number: request_id.number,
-            is_final,
-            body,
+            is_final: false,
+            body: vec![],
         };
         self.send(request_id.origin, message);
     }
 
-    /// Takes a change onto the log; it counts once it's synced.
+    /// Appends a change to the log; it counts once it is synced.
     pub(super) fn append(&mut self, change: Change) {
         self.last = (change.seq, change.origin_view);
-        self.log_bytes += change.body.len();
+        self.writes.log_bytes += change.body.len();
         self.log.push_back(change.clone());
-        self.is_fresh = false;
-        let then = Deferred::Apply(self.incarnation, change.clone());
+        self.has_unused_disk = false;
+        let then = AfterSync::Apply(self.writes.incarnation, change.clone());
         self.write(Record::Change { change }, Some(then));
     }
 
+    /// A change is on this disk: applies it, and forwards it, or commits it at the tail.
     pub(super) fn on_change_synced(&mut self, change: Change) {
         let answer = self.state_machine.apply(&change.body);
         self.synced = (change.seq, change.origin_view);
@@ -134,9 +202,11 @@
         match self.view.successor(&self.me) {
             Some(successor) => {
                 let size = change.body.len();
-                let deadline = (self.now + self.way(size))
-                    .max(self.passed.1 + Milliseconds(size as u64 / 4000));
-                self.passed = (change.seq, deadline);
+                let deadline = (self.now + self.transfer_time(size)).max(
+                    self.forwarding.last_forwarded.1
+                        + Milliseconds(size as u64 / TRANSFER_BYTES_PER_MS),
+                );
+                self.forwarding.last_forwarded = (change.seq, deadline);
                 let message = ReplicationMessage::Forward {
                     view: self.view.epoch,
                     change,
@@ -146,7 +216,7 @@
             None if self.is_tail() && self.is_caught_up => {
                 self.commit_index = self.synced.0;
                 // A chain that has shrunk since it took the change has it on too few disks to say so.
-                if self.has_copies() {
+                if self.has_min_chain_length() {
                     self.outputs.push(Output::Committed {
                         request_id,
                         body: answer,
@@ -158,7 +228,8 @@
         }
     }
 
-    pub(super) fn on_pass(&mut self, from: Address, view: ViewNumber, change: Change) {
+    /// A change from the predecessor: appended in order; what came too early waits for those before it.
+    pub(super) fn on_forward(&mut self, from: Address, view: ViewNumber, change: Change) {
         let is_from_predecessor = self
             .view
             .predecessor(&self.me)
@@ -169,13 +240,14 @@
         if view != self.view.epoch || !is_from_predecessor || !is_wanted {
             return;
         }
-        self.early.insert(change.seq, change);
-        while let Some(next) = self.early.remove(&self.last.0.next()) {
+        self.forwarding.out_of_order.insert(change.seq, change);
+        while let Some(next) = self.forwarding.out_of_order.remove(&self.last.0.next()) {
             self.append(next);
         }
     }
 
-    pub(super) fn on_chain_beat(
+    /// A heartbeat of a chain member: the tail's carries the commit index, the successor's tells how far it is.
+    pub(super) fn on_member_heartbeat(
         &mut self,
         from: Address,
         disk: DiskId,
@@ -195,10 +267,10 @@
             self.commit_index = self.commit_index.max(commit_index.min(self.synced.0));
         }
         if self.view.successor(&self.me) == Some(voter) {
-            if last > self.successor_moved.0 || last >= self.synced.0 {
-                self.successor_moved = (last, self.now);
+            if last > self.forwarding.successor_progress.0 || last >= self.synced.0 {
+                self.forwarding.successor_progress = (last, self.now);
             }
-            if !is_caught_up && self.is_caught_up && self.is_on_own_history(&voter) {
+            if !is_caught_up && self.is_caught_up && self.shares_history_with(&voter) {
                 let message = ReplicationMessage::CatchUpTarget {
                     view,
                     last: self.last.0,
@@ -208,12 +280,19 @@
         }
     }
 
-    pub(super) fn on_level(&mut self, from: Address, view: ViewNumber, last: SequenceNumber) {
+    /// From the predecessor: this member has caught up once it holds the change that was the predecessor's last
+    /// at that heartbeat. From then on it may answer as the tail.
+    pub(super) fn on_catch_up_target(
+        &mut self,
+        from: Address,
+        view: ViewNumber,
+        last: SequenceNumber,
+    ) {
         let is_from_predecessor = self
             .view
             .predecessor(&self.me)
             .is_some_and(|p| p.address == from);
-        let has_all = self.synced.0 >= last && self.snapshot_write.is_none();
+        let has_all = self.synced.0 >= last && self.catch_up.snapshot_write.is_none();
         if view == self.view.epoch && is_from_predecessor && has_all && !self.is_caught_up {
             self.is_caught_up = true;
             self.next_heartbeat = self.now;
@@ -223,31 +302,31 @@
         }
     }
 
-    /// How long so many bytes may be under way and to the disk: a few beats, and 4 MB/s.
-    pub(super) fn way(&self, bytes: usize) -> Milliseconds {
-        Milliseconds(self.timing.heartbeat_interval.0 * 3 + bytes as u64 / 4000)
+    /// How long so many bytes may be under way and to the next disk: three heartbeats, and 4 MB/s.
+    pub(super) fn transfer_time(&self, bytes: usize) -> Milliseconds {
+        Milliseconds(self.timing.heartbeat_interval.0 * 3 + bytes as u64 / TRANSFER_BYTES_PER_MS)
     }
 
-    /// Passes on again what the successor hasn't got, but nothing that is still on its way.
-    pub(super) fn pass_again(&mut self) {
+    /// Forwards again what the successor lacks, but nothing that may still be on its way.
+    pub(super) fn resend_to_successor(&mut self) {
         let Some(successor) = self.view.successor(&self.me) else {
             return;
         };
-        let Some(heard) = self.heard.get(&successor.address) else {
+        let Some(peer) = self.peers.get(&successor.address) else {
             return;
         };
-        let has_all = heard.view != self.view.epoch
-            || heard.disk != successor.disk
-            || heard.last >= self.synced.0;
-        let is_under_way = self.now < self.passed.1;
-        if has_all || is_under_way || !self.is_on_own_history(&successor) {
+        let has_all = peer.view != self.view.epoch
+            || peer.disk != successor.disk
+            || peer.last >= self.synced.0;
+        let is_under_way = self.now < self.forwarding.last_forwarded.1;
+        if has_all || is_under_way || !self.shares_history_with(&successor) {
             return;
         }
-        let (from, view) = (heard.last, self.view.epoch);
+        let (from, view) = (peer.last, self.view.epoch);
         let missing = self.changes_after(from, self.timing.catch_up_batch_bytes);
         if let Some(newest) = missing.last() {
             let bytes = missing.iter().map(|change| change.body.len()).sum();
-            self.passed = (newest.seq, self.now + self.way(bytes));
+            self.forwarding.last_forwarded = (newest.seq, self.now + self.transfer_time(bytes));
         }
         for change in missing {
             self.send(
@@ -257,69 +336,68 @@
         }
     }
 
-    /// Synced changes after this one, up to the bound, at least one.
+    /// Synced changes after this number in order, up to `room` bytes, and at least one if there is any.
     pub(super) fn changes_after(&self, seq: SequenceNumber, mut room: usize) -> Vec<Change> {
-        let mut found: Vec<Change> = vec![];
+        let mut changes: Vec<Change> = vec![];
         for change in self
             .log
             .iter()
             .filter(|c| c.seq > seq && c.seq <= self.synced.0)
         {
-            if !found.is_empty() && change.body.len() > room {
+            if !changes.is_empty() && change.body.len() > room {
                 break;
             }
             room = room.saturating_sub(change.body.len());
-            found.push(change.clone());
+            changes.push(change.clone());
         }
-        found
+        changes
     }
 
-    /// Whether this is the successor, and takes nothing although it beats: a line that is cut one
-    /// way, or a disk that hangs.
-    pub(super) fn is_stuck(&self, voter: &Voter) -> bool {
+    /// Whether this is the successor, and makes no progress although its heartbeats come: a link that is cut one way, or a
+    /// disk that hangs.
+    pub(super) fn makes_no_progress(&self, voter: &Voter) -> bool {
         if self.has_diverged(voter) {
             return true;
         }
-
         let is_behind = self
-            .heard
+            .peers
             .get(&voter.address)
-            .is_some_and(|h| h.last < self.synced.0);
+            .is_some_and(|peer| peer.last < self.synced.0);
         self.view.successor(&self.me) == Some(*voter)
             && is_behind
-            && self.now.since(self.successor_moved.1)
+            && self.now.since(self.forwarding.successor_progress.1)
                 > Milliseconds(self.timing.suspect_timeout.0 * 4)
-            && self.now >= self.passed.1
+            && self.now >= self.forwarding.last_forwarded.1
     }
 
-    /// Whether the last change that the successor says it holds is one of this log. One that was restarted before its
-    /// snapshot was on its disk holds what it had before, which may be a change that was never accepted.
-    fn is_on_own_history(&self, successor: &Voter) -> bool {
-        let Some(heard) = self
-            .heard
+    /// Whether the last change that the successor reports is one of this log. One that was restarted before its snapshot was on its
+    /// disk holds what it had before, which may be a change that was never committed.
+    pub(super) fn shares_history_with(&self, successor: &Voter) -> bool {
+        let Some(peer) = self
+            .peers
             .get(&successor.address)
-            .filter(|heard| heard.disk == successor.disk)
+            .filter(|peer| peer.disk == successor.disk)
         else {
             return false;
         };
-        self.stamp_at(heard.last) == Some(heard.origin_view)
+        self.origin_view_of(peer.last) == Some(peer.origin_view)
     }
 
     /// Whether the successor's last change is known to be another one than that of the same number here. It gets a
-    /// snapshot once it has no seat any more.
+    /// snapshot once it has no position in the chain any more.
     pub(super) fn has_diverged(&self, voter: &Voter) -> bool {
-        let Some(heard) = self
-            .heard
+        let Some(peer) = self
+            .peers
             .get(&voter.address)
-            .filter(|heard| heard.disk == voter.disk)
+            .filter(|peer| peer.disk == voter.disk)
         else {
             return false;
         };
         let is_successor =
-            self.view.successor(&self.me) == Some(*voter) && heard.view == self.view.epoch;
+            self.view.successor(&self.me) == Some(*voter) && peer.view == self.view.epoch;
         is_successor
             && self
-                .stamp_at(heard.last)
-                .is_some_and(|origin_view| origin_view != heard.origin_view)
+                .origin_view_of(peer.last)
+                .is_some_and(|origin_view| origin_view != peer.origin_view)
     }
 }
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -1,17 +1,17 @@
-//! A digest of a replica's logical state, for programs that explore its states.
+//! A digest of a replica's logical state, for a model checker that explores its states.
 //!
-//! Two replicas with equal digests behave alike from here on, whatever comes: moments are taken relative
+//! Two replicas with equal digests behave alike from here on, whatever comes: instants are taken relative
 //! to now, and no further apart than any timer looks; numbers that only tell one write or one request
 //! from another are left out or counted from the newest one.
 
-use super::*;
+use super::durability::AfterSync;
 use crate::replica::Replica;
 use crate::state_machine::StateMachine;
 use std::hash::{Hash, Hasher};
 use types::{Milliseconds, MonotonicInstant};
 
 impl<C: StateMachine> Replica<C> {
-    /// Feeds the digest of the state at this moment.
+    /// Feeds the digest of the state at the instant `now` to `hasher`.
     pub fn fingerprint(&self, now: MonotonicInstant, hasher: &mut impl Hasher) {
         let clock = RelativeClock {
             now,
@@ -22,13 +22,13 @@
         self.fingerprint_writes(&clock, hasher);
         self.fingerprint_peers(&clock, hasher);
         self.fingerprint_lease(&clock, hasher);
-        self.fingerprint_ballots(&clock, hasher);
+        self.fingerprint_proposals(&clock, hasher);
         self.fingerprint_transfers(&clock, hasher);
     }
 
-    /// The number of the tail's newest request for its lease: an answer to any other is void.
+    /// The number of the tail's newest request for its lease. A grant of any other request is void.
     pub fn lease_request_number(&self) -> u64 {
-        self.ask_round
+        self.lease.request_number
     }
 
     /// The longest span that any timer compares an age with.
@@ -50,7 +50,7 @@
         self.view.hash(hasher);
         self.promised.hash(hasher);
         self.accepted.hash(hasher);
-        self.base.hash(hasher);
+        self.log_start.hash(hasher);
         self.log.hash(hasher);
         self.state_machine.snapshot().hash(hasher);
     }
@@ -60,141 +60,164 @@
         (
             self.is_caught_up,
             self.is_healthy,
-            self.is_fresh,
+            self.has_unused_disk,
             self.has_member_majority,
         )
             .hash(hasher);
-        self.early.hash(hasher);
-        self.pace.level(&self.timing, now).hash(hasher);
+        self.forwarding.out_of_order.hash(hasher);
+        self.forwarding
+            .rate_limiter
+            .level(&self.timing, now)
+            .hash(hasher);
     }
 
     fn fingerprint_writes(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
-        for (id, at) in &self.unsynced {
-            (self.next_write - id, clock.signed(*at)).hash(hasher);
+        for (id, at) in &self.writes.pending_writes {
+            (self.writes.last_write_id - id, clock.signed(*at)).hash(hasher);
         }
-        for (id, then) in &self.deferred {
-            (self.next_write - id).hash(hasher);
+        for (id, then) in &self.writes.after_sync {
+            (self.writes.last_write_id - id).hash(hasher);
             match then {
-                Deferred::Send(to, message) => (to, message).hash(hasher),
-                Deferred::Apply(incarnation, change) => {
-                    (self.incarnation - incarnation, change).hash(hasher)
+                AfterSync::Send(to, message) => (to, message).hash(hasher),
+                AfterSync::Apply(incarnation, change) => {
+                    (self.writes.incarnation - incarnation, change).hash(hasher)
                 }
             }
         }
     }
 
     fn fingerprint_peers(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
-        for (address, heard) in &self.heard {
+        for (address, peer) in &self.peers {
             (
                 address,
-                clock.signed(heard.at),
-                heard.disk,
-                heard.view,
-                heard.last,
-                heard.origin_view,
-            )
-                .hash(hasher);
-            (
-                heard.is_caught_up,
-                heard.is_healthy,
-                heard.has_member_majority,
+                clock.signed(peer.last_seen),
+                peer.disk,
+                peer.view,
+                peer.last,
+                peer.origin_view,
             )
                 .hash(hasher);
+            (peer.is_caught_up, peer.is_healthy, peer.has_member_majority).hash(hasher);
         }
         (
-            clock.signed(self.last_event),
+            clock.signed(self.last_tick),
             clock.signed(self.next_heartbeat),
-            clock.signed(self.listens_since),
+            clock.signed(self.listening_since),
         )
             .hash(hasher);
     }
 
     fn fingerprint_lease(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
         let ends = [
-            self.granted_until,
-            self.silent_until,
-            self.paused_until,
-            self.lease_deadline,
+            self.lease.granted_until,
+            self.lease.earlier_grant_until,
+            self.lease.grants_paused_until,
+            self.lease.lease_deadline,
         ];
         ends.map(|end| clock.ahead(end)).hash(hasher);
-        (self.has_released, clock.signed(self.asked_at)).hash(hasher);
-        self.grants.hash(hasher);
+        (
+            self.lease.has_released_lease,
+            clock.signed(self.lease.requested_at),
+        )
+            .hash(hasher);
+        self.lease.grants.hash(hasher);
     }
 
-    fn fingerprint_ballots(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
-        (self.top_count, clock.signed(self.not_before)).hash(hasher);
-        self.wanted_since
+    fn fingerprint_proposals(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
+        (
+            self.view_change.highest_count,
+            clock.signed(self.view_change.next_attempt_at),
+        )
+            .hash(hasher);
+        self.view_change
+            .needed_since
             .map(|since| clock.signed(since))
             .hash(hasher);
-        let Some(bid) = &self.bid else { return };
+        let Some(attempt) = &self.view_change.attempt else {
+            return;
+        };
         (
-            bid.proposal_number,
-            &bid.founders,
-            &bid.promises,
-            &bid.proposal,
-            &bid.accepts,
+            attempt.proposal_number,
+            &attempt.founders,
+            &attempt.promises,
+            &attempt.proposal,
+            &attempt.accepts,
         )
             .hash(hasher);
-        (clock.signed(bid.sent), clock.signed(bid.deadline)).hash(hasher);
+        (clock.signed(attempt.sent), clock.signed(attempt.deadline)).hash(hasher);
     }
 
     fn fingerprint_transfers(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
-        (self.passed.0, clock.ahead(self.passed.1)).hash(hasher);
-        (self.successor_moved.0, clock.signed(self.successor_moved.1)).hash(hasher);
-        for (voter, follower) in &self.followers {
-            (voter, follower.last, clock.signed(follower.heard)).hash(hasher);
+        (
+            self.forwarding.last_forwarded.0,
+            clock.ahead(self.forwarding.last_forwarded.1),
+        )
+            .hash(hasher);
+        (
+            self.forwarding.successor_progress.0,
+            clock.signed(self.forwarding.successor_progress.1),
+        )
+            .hash(hasher);
+        for (voter, follower) in &self.catch_up.followers {
+            (voter, follower.last, clock.signed(follower.last_seen)).hash(hasher);
             (
-                follower.fed,
-                clock.ahead(follower.fed_deadline),
-                follower.patience,
+                follower.sent_up_to,
+                clock.ahead(follower.resend_at),
+                follower.resend_timeout,
             )
                 .hash(hasher);
         }
-        if let Some(offered) = &self.snapshot {
+        self.fingerprint_snapshots(clock, hasher);
+    }
+
+    fn fingerprint_snapshots(&self, clock: &RelativeClock, hasher: &mut impl Hasher) {
+        if let Some(offered) = &self.catch_up.offered_snapshot {
             (
                 offered.last,
                 offered.origin_view,
                 &offered.bytes,
-                clock.signed(offered.asked),
+                clock.signed(offered.last_requested),
             )
                 .hash(hasher);
         }
-        self.snapshot_write
-            .map(|id| self.next_write - id)
+        self.catch_up
+            .snapshot_write
+            .map(|id| self.writes.last_write_id - id)
             .hash(hasher);
-        self.draining_since
+        self.drain
+            .draining_since
             .map(|since| clock.signed(since))
             .hash(hasher);
-        for (voter, at) in &self.leaving {
+        for (voter, at) in &self.drain.draining_peers {
             (voter, clock.signed(*at)).hash(hasher);
         }
-        let Some(fetching) = &self.fetching else {
+        let Some(download) = &self.catch_up.download else {
             return;
         };
         (
-            fetching.last,
-            fetching.origin_view,
-            &fetching.bytes,
-            fetching.length,
-            clock.signed(fetching.asked),
+            download.last,
+            download.origin_view,
+            &download.bytes,
+            download.length,
+            clock.signed(download.last_requested),
         )
             .hash(hasher);
-        (fetching.is_silent, fetching.patience).hash(hasher);
+        (download.is_overdue, download.resend_timeout).hash(hasher);
     }
 }
 
-/// Gives moments relative to now.
+/// Gives instants relative to now, in milliseconds.
 struct RelativeClock {
     now: MonotonicInstant,
     horizon: Milliseconds,
 }
 
 impl RelativeClock {
-    /// Until a moment to come; what has passed is all alike.
+    /// The time until an instant to come; instants that have passed are all alike.
     fn ahead(&self, moment: MonotonicInstant) -> u64 {
         self.now.until(moment).0
     }
-    /// Until or since a moment; ages beyond the horizon are all alike.
+    /// The time until an instant, or since it if negative; ages beyond the horizon are all alike.
     fn signed(&self, moment: MonotonicInstant) -> i64 {
         let distance = moment.0 as i64 - self.now.0 as i64;
         distance.max(-(self.horizon.0 as i64))
--- a/crates/replication/src/replica/pacing.rs
+++ b/crates/replication/src/replica/rate_limit.rs
@@ -1,14 +1,15 @@
-//! How fast changes enter, so that the span in which a repeat is known as one can't be used up at once.
+//! Rate limit of the head: a token bucket, so that the changes that the state machine remembers, by which it knows a repeated
+//! change, can't be used up at once.
 
 use crate::replica::Timing;
 use types::MonotonicInstant;
 
 /// A bucket that holds at most [`Timing::max_change_burst`] changes and fills by [`Timing::max_changes_per_second`].
 ///
-/// Invariant: from when a head begins, it lets in at most `burst` changes and `changes_per_second` for each
+/// Invariant: from when a head begins, it takes at most `max_change_burst` changes and `max_changes_per_second` for each
 /// second since. It's the head's own and counts by its clock; no state that is replicated depends on it.
 #[derive(Debug, Clone)]
-pub(super) struct Pace {
+pub(super) struct ChangeRateLimiter {
     /// Thousandths of a change.
     available: u64,
     at: MonotonicInstant,
@@ -17,9 +18,10 @@
 /// Thousandths in a change.
 const CHANGE: u64 = 1000;
 
-impl Pace {
-    pub(super) fn full(timing: &Timing, now: MonotonicInstant) -> Pace {
-        Pace {
+impl ChangeRateLimiter {
+    /// A full bucket.
+    pub(super) fn full(timing: &Timing, now: MonotonicInstant) -> ChangeRateLimiter {
+        ChangeRateLimiter {
             available: timing.max_change_burst * CHANGE,
             at: now,
         }
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -9,9 +9,9 @@
 
 /// Counts the bodies that it applied.
 #[derive(Debug, Clone, PartialEq)]
-struct Tally(u64);
+struct Counter(u64);
 
-impl StateMachine for Tally {
+impl StateMachine for Counter {
     fn preview(&self, _: &[u8]) -> Preview {
         Preview::Admit
     }
@@ -26,7 +26,7 @@
         snapshot
             .try_into()
             .ok()
-            .map(|bytes| Tally(u64::from_be_bytes(bytes)))
+            .map(|bytes| Counter(u64::from_be_bytes(bytes)))
     }
 }
 
@@ -64,14 +64,14 @@
     }
 }
 
-fn replica(n: u16, records: Vec<Record>) -> Replica<Tally> {
+fn replica(n: u16, records: Vec<Record>) -> Replica<Counter> {
     let founders = (1..=3).map(Address::loopback).collect();
     Replica::new(
         voter(n),
         founders,
         Timing::default(),
         RecoveredRecords { records },
-        Tally(0),
+        Counter(0),
         MonotonicInstant(10_000),
     )
     .unwrap()
@@ -92,13 +92,13 @@
 }
 
 /// Has the replica take a note and all its writes synced; gives what it sends.
-fn tell(
-    replica: &mut Replica<Tally>,
+fn deliver(
+    replica: &mut Replica<Counter>,
     at: u64,
     from: u16,
     message: ReplicationMessage,
 ) -> Vec<(u16, ReplicationMessage)> {
-    settle(
+    step_synced(
         replica,
         at,
         Input::Message {
@@ -109,7 +109,11 @@
 }
 
 /// Has the replica take an input and all its writes synced; gives what it sends.
-fn settle(replica: &mut Replica<Tally>, at: u64, input: Input) -> Vec<(u16, ReplicationMessage)> {
+fn step_synced(
+    replica: &mut Replica<Counter>,
+    at: u64,
+    input: Input,
+) -> Vec<(u16, ReplicationMessage)> {
     let mut outputs = replica.step(MonotonicInstant(at), input);
     let mut sent = vec![];
     while !outputs.is_empty() {
@@ -128,8 +132,8 @@
     sent
 }
 
-fn grant_all(replica: &mut Replica<Tally>, at: u64) -> bool {
-    let asks: Vec<ReplicationMessage> = replica
+fn grant_all(replica: &mut Replica<Counter>, at: u64) -> bool {
+    let requests: Vec<ReplicationMessage> = replica
         .step(MonotonicInstant(at), Input::Tick)
         .into_iter()
         .filter_map(|output| match output {
@@ -140,7 +144,7 @@
             _ => None,
         })
         .collect();
-    for ask in asks {
+    for ask in requests {
         let ReplicationMessage::LeaseRequest {
             view,
             request_number,
@@ -149,7 +153,7 @@
             continue;
         };
         for n in 1..=3 {
-            tell(
+            deliver(
                 replica,
                 at,
                 n,
@@ -165,7 +169,7 @@
 }
 
 #[test]
-fn one_that_missed_a_view_without_it_is_not_level_though_it_was_before() {
+fn a_member_left_out_of_a_view_is_not_caught_up_in_a_later_one() {
     let mut records = vec![Record::View {
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
@@ -174,7 +178,7 @@
     });
     let mut tail = replica(3, records);
     // View 2 went on without 3; view 3 admits it again at the end.
-    tell(
+    deliver(
         &mut tail,
         10_100,
         2,
@@ -186,7 +190,7 @@
         !grant_all(&mut tail, 10_200),
         "it responds, and lacks what view 2 replied to"
     );
-    tell(
+    deliver(
         &mut tail,
         10_300,
         2,
@@ -196,7 +200,7 @@
         },
     );
     assert!(!grant_all(&mut tail, 10_500));
-    tell(
+    deliver(
         &mut tail,
         10_600,
         2,
@@ -205,7 +209,7 @@
             change: change(2, 2),
         },
     );
-    tell(
+    deliver(
         &mut tail,
         10_700,
         2,
@@ -218,7 +222,7 @@
 }
 
 #[test]
-fn a_voter_keeps_its_word_to_the_tail_over_a_restart() {
+fn a_voter_honours_its_lease_grant_across_a_restart() {
     let records = vec![Record::View {
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
@@ -235,8 +239,8 @@
         proposal_number,
         view: view(2, &[(1, true), (3, true)]),
     };
-    let accepts = |replica: &mut Replica<Tally>, at: u64, from: u16, proposal: &ViewProposal| {
-        let sent = tell(
+    let accepts = |replica: &mut Replica<Counter>, at: u64, from: u16, proposal: &ViewProposal| {
+        let sent = deliver(
             replica,
             at,
             from,
@@ -261,7 +265,7 @@
             view: view(1, &[(1, true), (2, true), (3, true)]),
         }],
     );
-    tell(
+    deliver(
         &mut voter,
         12_000,
         3,
@@ -274,7 +278,7 @@
         !accepts(&mut voter, 12_900, 2, &without_tail),
         "its word of 12000 holds until 13000"
     );
-    let sent = tell(
+    let sent = deliver(
         &mut voter,
         12_950,
         3,
@@ -288,7 +292,7 @@
 }
 
 #[test]
-fn nothing_leaves_before_it_is_synced() {
+fn nothing_is_sent_before_it_is_synced() {
     let chain = [(1, true), (2, true), (3, true)];
     let mut middle = replica(
         2,
@@ -335,7 +339,7 @@
 }
 
 #[test]
-fn a_disk_that_gives_back_gaps_or_bent_frames_is_not_served() {
+fn recovery_fails_on_gaps_and_unreadable_snapshots() {
     let gap = vec![
         Record::Change {
             change: change(1, 1),
@@ -358,7 +362,7 @@
             vec![],
             Timing::default(),
             RecoveredRecords { records },
-            Tally(0),
+            Counter(0),
             MonotonicInstant(0),
         );
         assert_eq!(made.err(), Some(fault));
@@ -366,7 +370,7 @@
 }
 
 #[test]
-fn one_far_behind_takes_the_snapshot_by_pieces_and_then_changes() {
+fn a_follower_far_behind_fetches_the_snapshot_and_then_changes() {
     let chain = [(1, true), (2, true)];
     let mut records = vec![Record::View {
         view: view(1, &chain),
@@ -400,12 +404,12 @@
             _ => None,
         }));
         while let Some(message) = to_tail.pop() {
-            for (_, message) in tell(&mut tail, at, 3, message)
+            for (_, message) in deliver(&mut tail, at, 3, message)
                 .into_iter()
                 .filter(|(to, _)| *to == 3)
             {
                 to_tail.extend(
-                    tell(&mut behind, at, 2, message)
+                    deliver(&mut behind, at, 2, message)
                         .into_iter()
                         .filter(|(to, _)| *to == 2)
                         .map(|(_, n)| n),
@@ -415,12 +419,12 @@
     }
     assert_eq!(
         (behind.state_machine(), behind.state().last),
-        (&Tally(41), SequenceNumber(41))
+        (&Counter(41), SequenceNumber(41))
     );
 }
 
 #[test]
-fn a_ballot_that_half_of_the_voters_accepted_and_nobody_finished_does_not_stop_the_core() {
+fn a_proposal_accepted_by_half_of_the_voters_does_not_block_the_chain() {
     // Two of four back a view with another tail; its proposer is gone, and all four see each other again.
     let all = View {
         voters: (1..=4).map(voter).collect(),
@@ -438,7 +442,7 @@
         view: without_the_tail,
     };
     let founders: Vec<Address> = (1..=4).map(Address::loopback).collect();
-    let mut replicas: Vec<Replica<Tally>> = (1..=4)
+    let mut replicas: Vec<Replica<Counter>> = (1..=4)
         .map(|n| {
             let mut records = vec![Record::View { view: all.clone() }];
             if n <= 2 {
@@ -452,7 +456,7 @@
                 founders.clone(),
                 Timing::default(),
                 RecoveredRecords { records },
-                Tally(0),
+                Counter(0),
                 start,
             )
             .unwrap()
@@ -493,11 +497,11 @@
 
 /// A tail counts its lease from when it asked: a grant to an earlier life of its own is older than that.
 #[test]
-fn a_grant_to_an_earlier_life_of_the_tail_is_not_counted() {
+fn a_lease_grant_to_an_earlier_incarnation_is_not_counted() {
     let records = vec![Record::View {
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
-    let asked = |tail: &mut Replica<Tally>, at: u64| {
+    let requested = |tail: &mut Replica<Counter>, at: u64| {
         let request_number = |output| match output {
             Output::Send {
                 message: ReplicationMessage::LeaseRequest { request_number, .. },
@@ -511,21 +515,21 @@
             .expect("it asks")
     };
     let mut tail = replica(3, records.clone());
-    let earlier = asked(&mut tail, 10_500);
+    let earlier = requested(&mut tail, 10_500);
     let founders = (1..=3).map(Address::loopback).collect();
     let mut tail = Replica::new(
         voter(3),
         founders,
         Timing::default(),
         RecoveredRecords { records },
-        Tally(0),
+        Counter(0),
         MonotonicInstant(13_000),
     )
     .unwrap();
-    let request_number = asked(&mut tail, 13_500);
-    let grant_all = |tail: &mut Replica<Tally>, request_number: u64| {
+    let request_number = requested(&mut tail, 13_500);
+    let grant_all = |tail: &mut Replica<Counter>, request_number: u64| {
         for n in 1..=3 {
-            tell(
+            deliver(
                 tail,
                 13_510,
                 n,
@@ -543,20 +547,20 @@
 }
 
 /// Replicas on a network of one beat's steps that loses nothing; who is `None` is down.
-struct Core {
+struct Cluster {
     at: u64,
     founders: Vec<Address>,
     timing: Timing,
-    replicas: Vec<Option<Replica<Tally>>>,
+    replicas: Vec<Option<Replica<Counter>>>,
     disks: Vec<DiskId>,
     records: Vec<Vec<Record>>,
     /// Nothing comes in here.
-    deaf: Option<u16>,
+    unreachable: Option<u16>,
 }
 
-impl Core {
-    fn new(founders: u16, voters: usize, all: u16) -> Core {
-        let mut core = Core {
+impl Cluster {
+    fn new(founders: u16, voters: usize, all: u16) -> Cluster {
+        let mut cluster = Cluster {
             at: 10_000,
             founders: (1..=founders).map(Address::loopback).collect(),
             timing: Timing {
@@ -567,11 +571,11 @@
             replicas: vec![],
             disks: (1..=all).map(|n| DiskId(u128::from(n))).collect(),
             records: vec![vec![]; usize::from(all)],
-            deaf: None,
+            unreachable: None,
         };
-        core.replicas.resize_with(usize::from(all), || None);
-        (1..=all).for_each(|n| core.start(n));
-        core
+        cluster.replicas.resize_with(usize::from(all), || None);
+        (1..=all).for_each(|n| cluster.start(n));
+        cluster
     }
     fn start(&mut self, n: u16) {
         let place = usize::from(n) - 1;
@@ -587,7 +591,7 @@
             self.founders.clone(),
             self.timing,
             kept,
-            Tally(0),
+            Counter(0),
             MonotonicInstant(self.at),
         );
         self.replicas[place] = Some(replica.unwrap());
@@ -613,7 +617,7 @@
                 },
             ));
         }
-        let mut told = None;
+        let mut last_response = None;
         let deadline = self.at + span;
         while self.at < deadline {
             self.at += 25;
@@ -629,7 +633,7 @@
                     match output {
                         Output::Send { to, message } => {
                             let from = Address::loopback(place as u16 + 1);
-                            if self.deaf == Some(to.0.port()) {
+                            if self.unreachable == Some(to.0.port()) {
                                 continue;
                             }
                             inputs.push_back((
@@ -652,18 +656,18 @@
                         | Output::ChangeRejected { request_id, body } => {
                             outputs.extend(replica.respond(at, request_id, body))
                         }
-                        Output::Response { is_final, .. } => told = Some(is_final),
+                        Output::Response { is_final, .. } => last_response = Some(is_final),
                         Output::ViewChanged(_) => {}
                     }
                 }
             }
         }
-        told
+        last_response
     }
     /// Where a replica may respond: who votes and who sits in the chain there, and how many changes it holds.
-    fn core(&self) -> Option<(Vec<u16>, Vec<u16>, u64)> {
+    fn cluster(&self) -> Option<(Vec<u16>, Vec<u16>, u64)> {
         let may_respond =
-            |replica: &&Replica<Tally>| replica.may_respond(MonotonicInstant(self.at));
+            |replica: &&Replica<Counter>| replica.may_respond(MonotonicInstant(self.at));
         let tail = self.replicas.iter().flatten().find(may_respond)?;
         let sorted = |voters: &mut dyn Iterator<Item = Address>| {
             let mut ports: Vec<u16> = voters.map(|address| address.0.port()).collect();
@@ -677,97 +681,103 @@
 }
 
 #[test]
-fn three_founders_grow_to_as_many_voters_as_are_wanted_and_no_further() {
-    let mut core = Core::new(3, 5, 6);
-    core.play(4000, None);
-    let (voters, chain, _) = core.core().expect("it responds");
+fn founders_grow_to_the_target_number_of_voters_and_no_further() {
+    let mut cluster = Cluster::new(3, 5, 6);
+    cluster.play(4000, None);
+    let (voters, chain, _) = cluster.cluster().expect("it responds");
     assert_eq!((voters.len(), &voters), (5, &chain), "{voters:?}");
     assert_eq!(voters[..3], [1, 2, 3]);
     assert_eq!(
-        core.play(1000, Some((6, 1))),
+        cluster.play(1000, Some((6, 1))),
         Some(true),
         "whoever is no voter proposes all the same"
     );
-    let mut core = Core::new(3, 3, 5);
-    core.play(4000, None);
-    assert_eq!(core.core().map(|(voters, ..)| voters), Some(vec![1, 2, 3]));
+    let mut cluster = Cluster::new(3, 3, 5);
+    cluster.play(4000, None);
+    assert_eq!(
+        cluster.cluster().map(|(voters, ..)| voters),
+        Some(vec![1, 2, 3])
+    );
 }
 
 /// What three voters can't bear: of the three disks that hold a change, two come back empty.
 #[test]
-fn two_of_five_disks_wiped_at_once_lose_nothing_and_the_core_goes_on() {
+fn two_of_five_disks_wiped_at_once_lose_no_change() {
     for pair in [(1, 2), (2, 3), (1, 3), (4, 5), (1, 5)] {
-        let mut core = Core::new(3, 5, 5);
-        core.play(4000, None);
-        assert_eq!(core.play(1000, Some((1, 1))), Some(true));
-        core.wipe(pair.0);
-        core.wipe(pair.1);
-        core.play(600, None);
-        core.start(pair.0);
-        core.start(pair.1);
-        core.play(8000, None);
-        let (voters, chain, held) = core.core().expect("it responds");
+        let mut cluster = Cluster::new(3, 5, 5);
+        cluster.play(4000, None);
+        assert_eq!(cluster.play(1000, Some((1, 1))), Some(true));
+        cluster.wipe(pair.0);
+        cluster.wipe(pair.1);
+        cluster.play(600, None);
+        cluster.start(pair.0);
+        cluster.start(pair.1);
+        cluster.play(8000, None);
+        let (voters, chain, change_count) = cluster.cluster().expect("it responds");
         assert_eq!(
-            (voters.len(), chain.len(), held),
+            (voters.len(), chain.len(), change_count),
             (5, 5, 1),
             "{pair:?}: {voters:?} {chain:?}"
         );
-        assert_eq!(core.play(1000, Some((2, 2))), Some(true), "{pair:?}");
+        assert_eq!(cluster.play(1000, Some((2, 2))), Some(true), "{pair:?}");
     }
 }
 
 #[test]
-fn two_of_five_gone_for_good_are_replaced_by_two_with_other_addresses() {
-    let mut core = Core::new(3, 5, 7);
-    core.stop(6);
-    core.stop(7);
-    core.play(4000, None);
-    core.stop(1);
-    core.stop(4);
-    core.play(3000, None);
+fn two_of_five_lost_members_are_replaced_by_two_at_other_addresses() {
+    let mut cluster = Cluster::new(3, 5, 7);
+    cluster.stop(6);
+    cluster.stop(7);
+    cluster.play(4000, None);
+    cluster.stop(1);
+    cluster.stop(4);
+    cluster.play(3000, None);
     assert_eq!(
-        core.core().map(|(voters, chain, _)| (voters.len(), chain)),
+        cluster
+            .cluster()
+            .map(|(voters, chain, _)| (voters.len(), chain)),
         Some((5, vec![2, 3, 5]))
     );
-    assert_eq!(core.play(1000, Some((2, 1))), Some(true));
-    core.start(6);
-    core.start(7);
-    core.play(8000, None);
+    assert_eq!(cluster.play(1000, Some((2, 1))), Some(true));
+    cluster.start(6);
+    cluster.start(7);
+    cluster.play(8000, None);
     assert_eq!(
-        core.core().map(|(voters, ..)| voters),
+        cluster.cluster().map(|(voters, ..)| voters),
         Some(vec![2, 3, 5, 6, 7])
     );
 }
 
 /// Power lost by all, with two disks, while the newest voters held the newest change.
 #[test]
-fn a_core_that_has_grown_comes_back_from_a_loss_of_power_by_all() {
-    let mut core = Core::new(3, 5, 6);
-    core.play(4000, None);
-    assert_eq!(core.play(1000, Some((1, 1))), Some(true));
-    (1..=6).for_each(|n| core.stop(n));
-    core.wipe(2);
-    core.wipe(4);
-    core.play(600, None);
-    (1..=6).for_each(|n| core.start(n));
-    core.play(8000, None);
-    let (voters, chain, held) = core.core().expect("it responds");
+fn a_grown_chain_recovers_from_a_power_loss_of_all() {
+    let mut cluster = Cluster::new(3, 5, 6);
+    cluster.play(4000, None);
+    assert_eq!(cluster.play(1000, Some((1, 1))), Some(true));
+    (1..=6).for_each(|n| cluster.stop(n));
+    cluster.wipe(2);
+    cluster.wipe(4);
+    cluster.play(600, None);
+    (1..=6).for_each(|n| cluster.start(n));
+    cluster.play(8000, None);
+    let (voters, chain, change_count) = cluster.cluster().expect("it responds");
     assert_eq!(
-        (voters.len(), chain.len(), held),
+        (voters.len(), chain.len(), change_count),
         (5, 5, 1),
         "{voters:?} {chain:?}"
     );
 }
 
+mod draining;
 mod founding;
-mod leaving;
-mod pacing;
+mod member_majority;
 mod proposals;
-mod restart;
+mod rate_limit;
+mod recovery;
 
 /// Who hears only itself can neither read nor propose, and says so to whoever asks it.
 #[test]
-fn one_that_hears_no_majority_does_not_serve() {
+fn a_replica_without_a_reachable_majority_does_not_serve() {
     let records = vec![Record::View {
         view: view(1, &[(1, true), (2, true), (3, true)]),
     }];
@@ -777,7 +787,7 @@
         "it has just begun"
     );
     assert!(!alone.is_serving(MonotonicInstant(10_800)));
-    tell(&mut alone, 11_000, 3, heartbeat(3));
+    deliver(&mut alone, 11_000, 3, heartbeat(3));
     assert!(
         alone.is_serving(MonotonicInstant(11_700)),
         "it and another are two of three"
--- a/crates/replication/src/replica/tests/founding.rs
+++ b/crates/replication/src/replica/tests/founding.rs
@@ -5,21 +5,21 @@
 use types::{Address, DiskId, MonotonicInstant};
 
 /// Replicas that write at once and lose no letter but those to and from the `down`.
-struct Played {
-    replicas: BTreeMap<u16, Replica<Tally>>,
+struct Network {
+    replicas: BTreeMap<u16, Replica<Counter>>,
     at: u64,
 }
 
-impl Played {
+impl Network {
     fn new(founders: &[u16]) -> Self {
-        let mut played = Played {
+        let mut network = Network {
             replicas: BTreeMap::new(),
             at: 10_000,
         };
         founders
             .iter()
-            .for_each(|n| played.start(*n, u128::from(*n), founders, vec![]));
-        played
+            .for_each(|n| network.start(*n, u128::from(*n), founders, vec![]));
+        network
     }
     fn start(&mut self, n: u16, disk: u128, known: &[u16], records: Vec<Record>) {
         let me = Voter {
@@ -33,7 +33,7 @@
             known,
             Timing::default(),
             RecoveredRecords { records },
-            Tally(0),
+            Counter(0),
             now,
         )
         .unwrap();
@@ -88,16 +88,16 @@
 }
 
 #[test]
-fn any_majority_of_founders_founds_and_one_that_comes_back_empty_takes_its_place_later() {
+fn any_majority_of_founders_founds_and_a_wiped_one_joins_later() {
     for lost in 1..=3 {
-        let mut played = Played::new(&[1, 2, 3]);
-        played.replicas.remove(&lost);
-        played.run(1000);
+        let mut network = Network::new(&[1, 2, 3]);
+        network.replicas.remove(&lost);
+        network.run(1000);
         // Back with an empty disk, and not told that it is a founder.
         let others: Vec<u16> = (1..=3).filter(|n| *n != lost).collect();
-        played.start(lost, 77, &others, vec![]);
-        played.run(6000);
-        let mut chain = played.chain();
+        network.start(lost, 77, &others, vec![]);
+        network.run(6000);
+        let mut chain = network.chain();
         chain.sort_unstable();
         let wanted = (1..=3u16)
             .map(|n| (n, if n == lost { 77 } else { u128::from(n) }))
@@ -107,29 +107,29 @@
 }
 
 #[test]
-fn those_that_come_back_empty_and_are_not_told_found_nothing_with_fewer_than_most() {
-    let mut played = Played::new(&[1, 2, 3]);
-    played.start(1, 71, &[2, 3], vec![]);
-    played.start(2, 72, &[1, 3], vec![]);
-    played.run(8000);
-    assert_eq!(played.chain(), []);
+fn wiped_replicas_found_nothing_without_a_majority() {
+    let mut network = Network::new(&[1, 2, 3]);
+    network.start(1, 71, &[2, 3], vec![]);
+    network.start(2, 72, &[1, 3], vec![]);
+    network.run(8000);
+    assert_eq!(network.chain(), []);
 }
 
 #[test]
-fn a_founder_whose_disk_says_so_founds_whatever_it_is_told_later() {
-    let mut played = Played::new(&[1, 2, 3]);
-    played.replicas.remove(&3);
-    let written = played.run(25);
-    assert_eq!(played.chain(), []);
-    played.replicas.clear();
-    played.start(1, 1, &[2, 3], written[&1].clone());
-    played.start(2, 2, &[1, 3], written[&2].clone());
-    played.run(3000);
-    assert_eq!(played.chain(), [(1, 1), (2, 2)]);
+fn a_founders_disk_outweighs_later_settings() {
+    let mut network = Network::new(&[1, 2, 3]);
+    network.replicas.remove(&3);
+    let written = network.run(25);
+    assert_eq!(network.chain(), []);
+    network.replicas.clear();
+    network.start(1, 1, &[2, 3], written[&1].clone());
+    network.start(2, 2, &[1, 3], written[&2].clone());
+    network.run(3000);
+    assert_eq!(network.chain(), [(1, 1), (2, 2)]);
 }
 
 #[test]
-fn what_a_shrunk_chain_has_on_too_few_disks_is_not_settled() {
+fn what_a_shrunk_chain_has_on_too_few_disks_is_not_committed() {
     let mut head = replica(
         1,
         vec![Record::View {
@@ -155,7 +155,7 @@
         Output::Write { id, .. } => Some(*id),
         _ => None,
     });
-    tell(
+    deliver(
         &mut head,
         10_150,
         2,
--- a/crates/replication/src/replica/tests/proposals.rs
+++ b/crates/replication/src/replica/tests/proposals.rs
@@ -32,7 +32,7 @@
 }
 
 /// Replica 1 of three after a restart of all, at the moment when it has begun a ballot since it heard nobody.
-fn alone_with_a_ballot() -> (Replica<Tally>, ProposalNumber, u64) {
+fn isolated_with_a_proposal() -> (Replica<Counter>, ProposalNumber, u64) {
     let mut replica = replica(
         1,
         vec![Record::View {
@@ -40,7 +40,7 @@
         }],
     );
     for at in (10_000..12_000).step_by(50) {
-        let sent = settle(&mut replica, at, Input::Tick);
+        let sent = step_synced(&mut replica, at, Input::Tick);
         let proposal_number = sent.iter().find_map(|(_, message)| match message {
             ReplicationMessage::Prepare {
                 proposal_number, ..
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn one_that_came_back_while_a_ballot_was_under_way_keeps_its_seat() {
-    let (mut replica, proposal_number, at) = alone_with_a_ballot();
-    tell(&mut replica, at + 40, 2, heartbeat(2));
-    let sent = tell(&mut replica, at + 45, 2, promise(2, proposal_number));
+fn a_member_that_returns_during_a_proposal_keeps_its_position() {
+    let (mut replica, proposal_number, at) = isolated_with_a_proposal();
+    deliver(&mut replica, at + 40, 2, heartbeat(2));
+    let sent = deliver(&mut replica, at + 45, 2, promise(2, proposal_number));
     assert_eq!(
         proposed(&sent),
         [[1, 2]],
@@ -67,33 +67,33 @@
 }
 
 #[test]
-fn one_that_promised_is_waited_for_until_it_tells_how_far_it_is() {
-    let (mut replica, proposal_number, at) = alone_with_a_ballot();
-    let sent = tell(&mut replica, at + 40, 2, promise(2, proposal_number));
+fn the_proposer_awaits_the_heartbeat_of_a_promiser() {
+    let (mut replica, proposal_number, at) = isolated_with_a_proposal();
+    let sent = deliver(&mut replica, at + 40, 2, promise(2, proposal_number));
     assert_eq!(proposed(&sent), Vec::<Vec<u16>>::new());
-    tell(&mut replica, at + 60, 2, heartbeat(2));
-    let sent = settle(&mut replica, at + 75, Input::Tick);
+    deliver(&mut replica, at + 60, 2, heartbeat(2));
+    let sent = step_synced(&mut replica, at + 75, Input::Tick);
     assert_eq!(proposed(&sent), [[1, 2]]);
 }
 
 #[test]
 fn nothing_is_proposed_once_all_are_back() {
-    let (mut replica, proposal_number, at) = alone_with_a_ballot();
+    let (mut replica, proposal_number, at) = isolated_with_a_proposal();
     [2, 3]
         .into_iter()
-        .for_each(|n| drop(tell(&mut replica, at + 40, n, heartbeat(n))));
-    let sent = tell(&mut replica, at + 45, 2, promise(2, proposal_number));
+        .for_each(|n| drop(deliver(&mut replica, at + 40, n, heartbeat(n))));
+    let sent = deliver(&mut replica, at + 45, 2, promise(2, proposal_number));
     assert_eq!(proposed(&sent), Vec::<Vec<u16>>::new());
-    let sent = settle(&mut replica, at + 100, Input::Tick);
+    let sent = step_synced(&mut replica, at + 100, Input::Tick);
     assert_eq!(proposed(&sent), Vec::<Vec<u16>>::new());
 }
 
 #[test]
-fn what_was_accepted_before_is_proposed_whatever_should_be_now() {
-    let (mut replica, proposal_number, at) = alone_with_a_ballot();
+fn an_accepted_proposal_is_proposed_again() {
+    let (mut replica, proposal_number, at) = isolated_with_a_proposal();
     [2, 3]
         .into_iter()
-        .for_each(|n| drop(tell(&mut replica, at + 40, n, heartbeat(n))));
+        .for_each(|n| drop(deliver(&mut replica, at + 40, n, heartbeat(n))));
     let before = ViewProposal {
         proposal_number: ProposalNumber {
             count: 0,
@@ -108,6 +108,6 @@
         disk: DiskId(2),
         accepted,
     };
-    let sent = tell(&mut replica, at + 45, 2, message);
+    let sent = deliver(&mut replica, at + 45, 2, message);
     assert_eq!(proposed(&sent), [[2, 3]]);
 }
--- a/crates/replication/src/replica/tests/restart.rs
+++ b/crates/replication/src/replica/tests/recovery.rs
@@ -40,13 +40,13 @@
     let replica = replica(2, records);
     assert_eq!(
         (replica.state_machine(), replica.state().last),
-        (&Tally(40), SequenceNumber(40))
+        (&Counter(40), SequenceNumber(40))
     );
 }
 
 /// A log that doesn't reach the snapshot lacks changes: nothing of it is served.
 #[parameterized(after_a_gap = { 10, 12, 40 }, from_nothing = { 0, 2, 3 })]
-fn a_log_that_lacks_changes_after_the_snapshot_is_a_fault(at: u64, from: u64, to: u64) {
+fn a_log_that_lacks_changes_after_the_snapshot_is_an_error(at: u64, from: u64, to: u64) {
     let mut records = if at == 0 { vec![] } else { vec![snapshot(at)] };
     records.extend(changes(from, to));
     let made = Replica::new(
@@ -54,7 +54,7 @@
         vec![],
         Timing::default(),
         RecoveredRecords { records },
-        Tally(0),
+        Counter(0),
         MonotonicInstant(0),
     );
     assert_eq!(made.err(), Some(RecoveryError::Gap(SequenceNumber(from))));
@@ -73,7 +73,7 @@
     let replica = replica(2, records);
     assert_eq!(
         (replica.state_machine(), replica.state().last),
-        (&Tally(40), SequenceNumber(40))
+        (&Counter(40), SequenceNumber(40))
     );
     assert!(
         replica
@@ -88,7 +88,7 @@
 /// Seed 76001237 of `pahana`: a replica was restarted before a fetched snapshot had reached its disk, had a seat by what it
 /// had held in memory, and went on from a change that was never accepted. An acknowledged change was lost.
 #[test]
-fn one_that_fetched_a_snapshot_asks_for_a_seat_only_once_it_is_on_disk() {
+fn a_follower_requests_catch_up_only_once_its_snapshot_is_synced() {
     let chain = [(1, true), (2, true)];
     let mut behind = replica(
         3,
@@ -96,7 +96,7 @@
             view: view(1, &chain),
         }],
     );
-    let from_tail = |behind: &mut Replica<Tally>, message: ReplicationMessage| {
+    let from_tail = |behind: &mut Replica<Counter>, message: ReplicationMessage| {
         behind.step(
             MonotonicInstant(10_000),
             Input::Message {
@@ -133,7 +133,7 @@
         } => Some(*id),
         _ => None,
     });
-    let asks = |outputs: Vec<Output>| {
+    let requests = |outputs: Vec<Output>| {
         outputs.iter().any(|output| {
             matches!(
                 output,
@@ -145,7 +145,7 @@
         })
     };
     assert!(
-        !asks(behind.step(MonotonicInstant(10_100), Input::Tick)),
+        !requests(behind.step(MonotonicInstant(10_100), Input::Tick)),
         "the snapshot isn't synced"
     );
     behind.step(
@@ -154,12 +154,12 @@
             id: written.expect("it writes the snapshot"),
         },
     );
-    assert!(asks(behind.step(MonotonicInstant(10_300), Input::Tick)));
+    assert!(requests(behind.step(MonotonicInstant(10_300), Input::Tick)));
 }
 
 /// The same: its predecessor took the number of its last change for the change.
 #[parameterized(same_change = { 2, true }, another_change_of_that_number = { 1, false })]
-fn a_successor_is_level_only_on_the_same_history(origin_view: u64, is_caught_up: bool) {
+fn a_successor_is_caught_up_only_on_the_same_history(origin_view: u64, is_caught_up: bool) {
     let mut records = vec![Record::View {
         view: view(2, &[(1, true), (2, false)]),
     }];
@@ -177,7 +177,7 @@
         is_healthy: true,
         has_member_majority: true,
     };
-    let sent = tell(&mut head, 10_050, 2, heartbeat);
+    let sent = deliver(&mut head, 10_050, 2, heartbeat);
     assert_eq!(
         sent.iter()
             .any(|(_, message)| matches!(message, ReplicationMessage::CatchUpTarget { .. })),
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -1,10 +1,12 @@
+//! The replicated state machine, as its owner provides it.
+
 /// What the head makes of a proposal before it enters the chain.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Preview {
-    /// It may enter.
+    /// The proposal may enter the chain.
     Admit,
-    /// It must not; the answer for whoever proposed it, true only of the state that was looked at. Nothing is
-    /// kept of it.
+    /// The proposal must be rejected, with this answer for its origin. The answer is true only of the state that was looked
+    /// at, and nothing of the proposal is kept.
     Reject(Vec<u8>),
 }
 
@@ -13,18 +15,19 @@
 /// Invariant: `apply` depends on nothing but the state and the body, so all who applied the same
 /// bodies hold the same state, and `restore(snapshot())` is that state again.
 pub trait StateMachine {
-    /// Looks at a body against the newest state: at the head, before it enters; and at the tail, before whoever
-    /// proposed it is told that it can't.
+    /// Checks a proposed change against the newest state: at the head, before it enters; and at the tail, before its
+    /// origin is told that it is rejected.
     fn preview(&self, body: &[u8]) -> Preview;
-    /// Whether a body may only enter while more than half of the members hold leases.
+    /// Whether a change may only enter while more than half of the fleet's members, and of the members before the last change
+    /// of the membership, hold leases.
     fn requires_member_majority(&self, _body: &[u8]) -> bool {
         false
     }
-    /// Takes a body in; gives the answer for whoever proposed it.
+    /// Applies a committed or about-to-be-committed change; gives the answer for its origin.
     fn apply(&mut self, body: &[u8]) -> Vec<u8>;
-    /// The whole state as bytes.
+    /// The complete state as bytes.
     fn snapshot(&self) -> Vec<u8>;
-    /// A state from such bytes; `None` if they aren't one.
+    /// The state that a snapshot holds; `None` if the bytes aren't one.
     fn restore(snapshot: &[u8]) -> Option<Self>
     where
         Self: Sized;
