--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -1,8 +1,9 @@
-//! A replicated register with a duty that is won: three replicas in one process, letters carried by a
-//! queue, disks that are vectors. Run it with `cargo run -p replication --example register`.
+//! A replicated register with a singleton role that is claimed: three replicas in one process,
+//! messages carried by a queue, disks that are vectors. Run it with `cargo run -p replication
+//! --example register`.
 //!
-//! An embedder does the same with its own network, disks and clock: feed [`Replica::step`], do what it
-//! returns.
+//! An embedder does the same with its own network, disks and clock: feed [`Replica::step`], do what
+//! it returns.
 
 use replication::{
     Input, Output, Preview, Record, RecoveredRecords, Replica, ReplicationMessage, StateMachine,
@@ -11,14 +12,14 @@
 use std::collections::VecDeque;
 use types::{Address, DiskId, Milliseconds, MonotonicInstant};
 
-/// A word, and who holds the duty to keep it.
+/// A value, and who holds the singleton role.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Register {
-    word: String,
+    value: String,
     holder: String,
 }
 
-/// `set WORD`, `claim NAME` (won by the first while the duty is vacant), `vacate NAME`.
+/// `set WORD`, `claim NAME` (won by the first while the role is vacant), `vacate NAME`.
 impl StateMachine for Register {
     fn preview(&self, body: &[u8]) -> Preview {
         match String::from_utf8_lossy(body).split_once(' ') {
@@ -29,21 +30,21 @@
     fn apply(&mut self, body: &[u8]) -> Vec<u8> {
         let text = String::from_utf8_lossy(body).into_owned();
         match text.split_once(' ') {
-            Some(("set", word)) => self.word = word.into(),
+            Some(("set", value)) => self.value = value.into(),
             Some(("claim", name)) if self.holder.is_empty() => self.holder = name.into(),
             Some(("vacate", name)) if self.holder == name => self.holder.clear(),
             _ => {}
         }
-        format!("word {}, duty held by {}", self.word, self.holder).into_bytes()
+        format!("word {}, duty held by {}", self.value, self.holder).into_bytes()
     }
     fn snapshot(&self) -> Vec<u8> {
-        format!("{}\n{}", self.word, self.holder).into_bytes()
+        format!("{}\n{}", self.value, self.holder).into_bytes()
     }
     fn restore(snapshot: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(snapshot).ok()?;
-        let (word, holder) = text.split_once('\n')?;
+        let (value, holder) = text.split_once('\n')?;
         Some(Register {
-            word: word.into(),
+            value: value.into(),
             holder: holder.into(),
         })
     }
@@ -81,20 +82,20 @@
     }
     fn open(&self, place: usize) -> Replica<Register> {
         let founders = (0..3).map(|n| voter(n).address).collect();
-        let kept = RecoveredRecords {
+        let recovered = RecoveredRecords {
             records: self.disks[place].clone(),
         };
         let made = Replica::new(
             voter(place),
             founders,
             Timing::default(),
-            kept,
+            recovered,
             Register::default(),
             self.now,
         );
         made.expect("what the disk holds can be used")
     }
-    /// Gives one replica an input and does what it wants.
+    /// Gives one replica an input and carries out its outputs.
     fn step(&mut self, place: usize, input: Input) {
         let Some(replica) = &mut self.replicas[place] else {
             return;
@@ -151,7 +152,7 @@
             }
         }
     }
-    /// Lets time pass and carries all letters.
+    /// Lets time pass and delivers all messages.
     fn pass(&mut self, span: Milliseconds) {
         let deadline = self.now + span;
         while self.now < deadline {
--- a/crates/replication/src/lease_state/tests.rs
+++ b/crates/replication/src/lease_state/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn one_cut_off_stops_when_its_lease_runs_out() {
+fn a_partitioned_member_stops_when_its_lease_runs_out() {
     let lease_state = lease_state();
     assert_eq!(
         lease_state.status(MonotonicInstant(1499)),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_restarted_member_is_unheard_and_old_news_is_no_lease() {
+fn a_restarted_member_has_no_lease_and_old_updates_grant_none() {
     let fresh = LeaseState::new(Address::loopback(1), Milliseconds(1000));
     assert_eq!(fresh.status(MonotonicInstant(0)), LeaseStatus::NeverLeased);
     let mut lease_state = lease_state();
@@ -65,7 +65,8 @@
     );
 }
 
-/// Without a lease, whoever knows more stops it: one that asks, one that became a member since, the core.
+/// Without a lease, whoever knows more stops it: one that asks, one that became a member since, the
+/// core.
 #[test]
 fn whoever_knows_more_stops_a_group_without_leases() {
     let members: Vec<Address> = (1..=3).map(Address::loopback).collect();
--- a/crates/replication/src/leases.rs
+++ b/crates/replication/src/leases.rs
@@ -1,8 +1,10 @@
-//! The leases of the fleet's members, as the tail keeps them, and the membership as the chain replicates it.
+//! The leases of the fleet's members, as the tail keeps them, and the membership as the chain
+//! replicates it.
 //!
-//! A membership changes in one step, unlike Raft's joint consensus; what joint consensus does is done by `previous`: until more than
-//! half of the members before the last change know the present ones, whatever needs a majority needs one of both. Without that, two
-//! groups, each a majority of its own membership, could act on different configurations.
+//! A membership changes in one step, unlike Raft's joint consensus; what joint consensus does is
+//! done by `previous`: until more than half of the members before the last change know the present
+//! ones, whatever needs a majority needs one of both. Without that, two groups, each a majority of
+//! its own membership, could act on different configurations.
 
 use std::collections::BTreeMap;
 use types::{Address, ConfigEpoch, MonotonicInstant, messages};
@@ -10,8 +12,8 @@
 messages! {
     /// The members of the fleet, as the chain replicates them.
     ///
-    /// Invariant: `previous` are the members before the last change of the membership. A membership changes again only
-    /// once more than half of the previous members know the present one.
+    /// Invariant: `previous` are the members before the last change of the membership. A membership
+    /// changes again only once more than half of the previous members know the present one.
     #[derive(Default)]
     pub struct Membership {
         /// The present members.
@@ -23,10 +25,11 @@
     }
 }
 
-/// The leases that the tail has granted. They are kept in memory: a new tail learns them from the next requests.
+/// The leases that the tail has granted. They are kept in memory: a new tail learns them from the
+/// next requests.
 ///
-/// Invariant: here a lease runs from when the request came, and at its holder from when it was sent, so the holder's never ends
-/// later than the one here.
+/// Invariant: here a lease runs from when the request came, and at its holder from when it was
+/// sent, so the holder's never ends later than the one here.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<Address, Lease>,
@@ -53,14 +56,16 @@
         holds_for_majority(&membership.members, is_live)
             && holds_for_majority(&membership.previous, is_live)
     }
-    /// Whether more than half of the members, and of the previous members, are known to know `epoch`.
+    /// Whether more than half of the members, and of the previous members, are known to know
+    /// `epoch`.
     pub fn is_known_to_most(&self, membership: &Membership, epoch: ConfigEpoch) -> bool {
         let is_notified =
             |member: &Address| self.leases.get(member).is_some_and(|p| p.known >= epoch);
         holds_for_majority(&membership.members, is_notified)
             && holds_for_majority(&membership.previous, is_notified)
     }
-    /// Whether each holder of a lease at `now` is known to know `epoch`, also one that is no member any more.
+    /// Whether each holder of a lease at `now` is known to know `epoch`, also one that is no member
+    /// any more.
     pub fn is_known_to_holders(&self, epoch: ConfigEpoch, now: MonotonicInstant) -> bool {
         self.leases
             .values()
@@ -73,7 +78,8 @@
             .iter()
             .all(|member| self.leases.get(member).is_some_and(|p| p.known >= epoch))
     }
-    /// Whether the last change of the membership is settled: more than half of the previous members know the present ones.
+    /// Whether the last change of the membership is settled: more than half of the previous members
+    /// know the present ones.
     pub fn is_membership_settled(&self, membership: &Membership) -> bool {
         let is_notified = |member: &Address| {
             self.leases
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,21 +1,27 @@
-//! A replicated state machine for the controllers: chain replication, with a view that Paxos decides.
+//! A replicated state machine for the controllers: chain replication, with a view that Paxos
+//! decides.
 //!
 //! The algorithms, and where each is:
 //!
-//! - *Chain replication* (van Renesse and Schneider, 2004): changes enter at the head, are forwarded from member to member once each
-//!   has them on its disk, and commit at the tail, which also answers reads. See `replica/chain.rs`.
-//! - *Paxos* (Lamport), one single-decree instance for each view: it decides who forms the chain and who votes on the next
-//!   view. It replaces the perfect failure detector and master that the chain's paper assumes. See `replica/view_change.rs`.
-//! - *Leases*: the tail answers only while a majority of the voters has granted it a lease, which fences off a tail that was
-//!   replaced and doesn't know it. See `replica/lease.rs`. The members of the fleet hold leases of another kind, granted by the tail: see
-//!   [`LeaseTable`] for the tail's side and [`LeaseState`] for a member's.
-//! - *Catch-up* of those that are behind, by changes from the log or by a snapshot. See `replica/catch_up.rs` and
-//!   `replica/snapshot.rs`.
+//! - *Chain replication* (van Renesse and Schneider, 2004): changes enter at the head, are
+//!   forwarded from member to member once each has them on its disk, and commit at the tail, which
+//!   also answers reads. See `replica/chain.rs`.
+//! - *Paxos* (Lamport), one single-decree instance for each view: it decides who forms the chain
+//!   and who votes on the next view. It replaces the perfect failure detector and master that the
+//!   chain's paper assumes. See `replica/view_change.rs`.
+//! - *Leases*: the tail answers only while a majority of the voters has granted it a lease, which
+//!   fences off a tail that was replaced and doesn't know it. See `replica/lease.rs`. The members
+//!   of the fleet hold leases of another kind, granted by the tail: see [`LeaseTable`] for the
+//!   tail's side and [`LeaseState`] for a member's.
+//! - *Catch-up* of those that are behind, by changes from the log or by a snapshot. See
+//!   `replica/catch_up.rs` and `replica/snapshot.rs`.
 //!
-//! Each of these modules tells its rules, what would break without them, and where it departs from the published form.
+//! Each of these modules tells its rules, what would break without them, and where it departs from
+//! the published form.
 //!
-//! Everything here is pure: a [`Replica`] takes an [`Input`] and the time, and returns what to send, write and answer as [`Output`]s. It
-//! does no I/O, reads no clock and keeps nothing global. `examples/register.rs` is a complete program. The core of it:
+//! Everything here is pure: a [`Replica`] takes an [`Input`] and the time, and returns what to
+//! send, write and answer as [`Output`]s. It does no I/O, reads no clock and keeps nothing global.
+//! `examples/register.rs` is a complete program. The core of it:
 //!
 //! ```
 //! use replication::*;
--- a/crates/replication/src/messages.rs
+++ b/crates/replication/src/messages.rs
@@ -1,6 +1,7 @@
 //! Messages between replicas, and the records that they write to their disks.
 //!
-//! The names of types, variants and fields don't reach the wire or the disk; their order does, and must never change.
+//! The names of types, variants and fields don't reach the wire or the disk; their order does, and
+//! must never change.
 
 use crate::view::View;
 use types::{Address, DiskId, SequenceNumber, ViewNumber, messages};
@@ -29,14 +30,15 @@
     pub struct ChangeRequestId {
         /// The process that made the request and waits for the answer.
         pub origin: Address,
-        /// The origin's own number for it, which no other request of the origin has, in any of its incarnations.
+        /// The origin's own number for it, which no other request of the origin has, in any of its
+        /// incarnations.
         pub number: u64,
     }
 
     /// One change in the chain, an entry of the replicated log.
     ///
-    /// Invariant: `seq` and `origin_view` together name one change forever, as index and term do in Raft: a head
-    /// forwards a change only once it is on its own disk.
+    /// Invariant: `seq` and `origin_view` together name one change forever, as index and term do in
+    /// Raft: a head forwards a change only once it is on its own disk.
     #[derive(Eq, Hash)]
     pub struct Change {
         /// The position of the change in the log, from 1 without gaps.
@@ -49,8 +51,8 @@
         pub body: Vec<u8>,
     }
 
-    /// What replicas, and processes that propose changes, send each other. Messages may be lost, delayed, duplicated and
-    /// reordered.
+    /// What replicas, and processes that propose changes, send each other. Messages may be lost,
+    /// delayed, duplicated and reordered.
     #[derive(Eq, Hash)]
     pub enum ReplicationMessage {
         /// Sent to all others in each heartbeat interval: the sender runs, and is this far.
@@ -69,7 +71,8 @@
             is_caught_up: bool,
             /// Whether the sender's disk takes writes and most of the voters are reachable from it.
             is_healthy: bool,
-            /// Whether more than half of the fleet's members hold leases. Only the tail's heartbeat counts.
+            /// Whether more than half of the fleet's members hold leases. Only the tail's heartbeat
+            /// counts.
             has_member_majority: bool,
         },
         /// Paxos phase 1, proposer to voters: asks for a promise.
@@ -92,7 +95,7 @@
         },
         /// Paxos phase 2, proposer to voters: asks to accept a proposal.
         Accept {
-            /// The proposal.
+            /// The proposal to accept.
             proposal: ViewProposal,
         },
         /// Answer to `Accept`: the voter has accepted the proposal.
@@ -136,7 +139,7 @@
         Forward {
             /// The view in which it is forwarded.
             view: ViewNumber,
-            /// The change.
+            /// The forwarded change.
             change: Change,
         },
         /// From a caught-up predecessor to a newcomer: it has caught up once it holds this change.
@@ -186,12 +189,12 @@
             offset: u64,
             /// The length of the complete snapshot in bytes.
             length: u64,
-            /// The chunk.
+            /// The bytes of the chunk.
             bytes: Vec<u8>,
         },
         /// A proposed change, to the head.
         Propose {
-            /// The request.
+            /// The id of the request.
             request_id: ChangeRequestId,
             /// The change, for the state machine.
             body: Vec<u8>,
@@ -200,22 +203,22 @@
         Response {
             /// The origin's number for the request.
             number: u64,
-            /// Whether the answer is final: the change was committed, or rejected by a committed state. If not, nothing was
-            /// changed, and it may be proposed again.
+            /// Whether the answer is final: the change was committed, or rejected by a committed
+            /// state. If not, nothing was changed, and it may be proposed again.
             is_final: bool,
             /// The state machine's answer; empty if the answer isn't final.
             body: Vec<u8>,
         },
-        /// From the head to the tail: by the head's state, this change must be rejected. That state may be on one disk only, or
-        /// belong to a view that is past, so the tail is to confirm it.
+        /// From the head to the tail: by the head's state, this change must be rejected. That state
+        /// may be on one disk only, or belong to a view that is past, so the tail is to confirm it.
         ConfirmRejection {
             /// The present view.
             view: ViewNumber,
-            /// The request.
+            /// The id of the request.
             request_id: ChangeRequestId,
             /// The last change of the state by which the head rejects it.
             last: SequenceNumber,
-            /// The change.
+            /// The proposed change, for the state machine.
             body: Vec<u8>,
         },
         /// The sender is about to stop. Sent with each heartbeat until then.
@@ -237,17 +240,17 @@
         },
         /// An accepted proposal.
         Accepted {
-            /// The proposal.
+            /// The proposal that was accepted.
             proposal: ViewProposal,
         },
         /// A decided view.
         View {
-            /// The view.
+            /// The decided view.
             view: View,
         },
         /// A change of the log.
         Change {
-            /// The change.
+            /// The change as it stands in the log.
             change: Change,
         },
         /// A snapshot. All changes recorded before it are void.
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -46,17 +46,18 @@
 ///
 /// Invariants:
 /// - Nothing is promised, accepted, forwarded or committed before it is synced here.
-/// - `log` is gapless and ends at `last`; `state_machine` is the state after `synced`, which is at most
-///   `last`.
-/// - The tail answers only while a majority of its view's voters have granted it a lease, and so accept
-///   no view with another tail.
+/// - `log` is gapless and ends at `last`; `state_machine` is the state after `synced`, which is at
+///   most `last`.
+/// - The tail answers only while a majority of its view's voters have granted it a lease, and so
+///   accept no view with another tail.
 /// - A voter that has just started honours the lease that it may have granted before.
 #[derive(Clone)]
 pub struct Replica<C> {
     me: Voter,
     /// The addresses whose replicas vote on the first view.
     founders: Vec<Address>,
-    /// Others, named by somebody who knows a newer view. They get heartbeats, and take part in nothing by that.
+    /// Others, named by somebody who knows a newer view. They get heartbeats, and take part in
+    /// nothing by that.
     contacts: Vec<Address>,
     timing: Timing,
     now: MonotonicInstant,
@@ -109,8 +110,8 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// Takes in one input at the instant `now`, and gives what is to be done, in order. Time never goes back: an earlier
-    /// instant than the last one counts as that.
+    /// Takes in one input at the instant `now`, and gives what is to be done, in order. Time never
+    /// goes back: an earlier instant than the last one counts as that.
     pub fn step(&mut self, now: MonotonicInstant, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         match input {
@@ -127,7 +128,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// The replicated state, after all changes synced here. To be shown to others only while [`Replica::may_respond`].
+    /// The replicated state, after all changes synced here. To be shown to others only while
+    /// [`Replica::may_respond`].
     pub fn state_machine(&self) -> &C {
         &self.state_machine
     }
@@ -142,8 +144,8 @@
         self.me
     }
 
-    /// Names replicas that know a newer view: this one sends them heartbeats until it knows as much, since its own
-    /// view and its settings may name nobody who is in the chain by now.
+    /// Names replicas that know a newer view: this one sends them heartbeats until it knows as
+    /// much, since its own view and its settings may name nobody who is in the chain by now.
     pub fn learn_contacts(&mut self, view: ViewNumber, voters: &[Address]) {
         self.contacts = if view > self.view.epoch {
             voters.to_vec()
@@ -152,15 +154,15 @@
         };
     }
 
-    /// At the tail: whether more than half of the fleet's members, and of the members before the last change of the
-    /// membership, hold leases. Heartbeats carry it to the head, which rejects changes that need it, see
-    /// [`StateMachine::requires_member_majority`].
+    /// At the tail: whether more than half of the fleet's members, and of the members before the
+    /// last change of the membership, hold leases. Heartbeats carry it to the head, which rejects
+    /// changes that need it, see [`StateMachine::requires_member_majority`].
     pub fn set_has_member_majority(&mut self, has_member_majority: bool) {
         self.has_member_majority = has_member_majority;
     }
 
-    /// Gives the output that answers a committed or rejected proposal, or `None` if this replica may no longer answer for the
-    /// chain: the proposer then asks again.
+    /// Gives the output that answers a committed or rejected proposal, or `None` if this replica
+    /// may no longer answer for the chain: the proposer then asks again.
     pub fn respond(
         &mut self,
         now: MonotonicInstant,
@@ -194,8 +196,8 @@
         self.next_heartbeat
     }
 
-    /// Whether it proposes a view, catches up, or waits for its disk or its successor, so that [`Input::Tick`] is wanted more
-    /// often than its heartbeats.
+    /// Whether it proposes a view, catches up, or waits for its disk or its successor, so that
+    /// [`Input::Tick`] is wanted more often than its heartbeats.
     pub fn is_busy(&self) -> bool {
         let is_waiting = self.view_change.attempt.is_some()
             || self.view_change.needed_since.is_some()
@@ -237,7 +239,8 @@
         }
     }
 
-    /// Hands a message to the part that it concerns. A replica whose disk failed takes part in nothing.
+    /// Hands a message to the part that it concerns. A replica whose disk failed takes part in
+    /// nothing.
     fn on_message(&mut self, from: Address, message: ReplicationMessage) {
         use ReplicationMessage as M;
         if !self.is_healthy {
--- a/crates/replication/src/replica/catch_up.rs
+++ b/crates/replication/src/replica/catch_up.rs
@@ -1,11 +1,14 @@
-//! Catch-up: a replica outside the chain, a follower, gets what it lacks from the tail, by changes from the log or by a snapshot.
+//! Catch-up: a replica outside the chain, a follower, gets what it lacks from the tail, by changes
+//! from the log or by a snapshot.
 //!
-//! The follower asks with each heartbeat, naming its last change by number and view. If that is a change of the tail's log, the tail sends
-//! those after it; otherwise it offers a snapshot, see [`super::snapshot`]. A follower is admitted to the chain by a view once it is near.
-//! Published chain replication leaves this state transfer open.
+//! The follower asks with each heartbeat, naming its last change by number and view. If that is a
+//! change of the tail's log, the tail sends those after it; otherwise it offers a snapshot, see
+//! [`super::snapshot`]. A follower is admitted to the chain by a view once it is near. Published
+//! chain replication leaves this state transfer open.
 //!
-//! The view number beside the sequence number matters, as the term does in Raft's consistency check: a follower may hold a change that
-//! was never committed under a number that another change has here. Without the check, the two would differ forever.
+//! The view number beside the sequence number matters, as the term does in Raft's consistency
+//! check: a follower may hold a change that was never committed under a number that another change
+//! has here. Without the check, the two would differ forever.
 
 use super::snapshot::{OfferedSnapshot, SnapshotDownload};
 use crate::messages::{Change, ReplicationMessage};
@@ -15,8 +18,8 @@
 use std::collections::BTreeMap;
 use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
 
-/// A batch or chunk that isn't answered is sent again after a time-out that doubles up to so many times
-/// [`Timing::suspect_timeout`](crate::Timing): a slow link isn't filled with copies.
+/// A batch or chunk that isn't answered is sent again after a time-out that doubles up to so many
+/// times [`Timing::suspect_timeout`](crate::Timing): a slow link isn't filled with copies.
 pub(super) const MAX_TIMEOUT_FACTOR: u64 = 8;
 
 /// A follower silent for this long is sent batches as if it were new.
@@ -31,7 +34,8 @@
     pub(super) offered_snapshot: Option<OfferedSnapshot>,
     /// At a follower: the snapshot that it fetches.
     pub(super) download: Option<SnapshotDownload>,
-    /// The write of a fetched snapshot that isn't synced yet. Until it is, a restart gives back what was there before.
+    /// The write of a fetched snapshot that isn't synced yet. Until it is, a restart gives back
+    /// what was there before.
     pub(super) snapshot_write: Option<u64>,
 }
 
@@ -51,7 +55,8 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// At a follower: asks the tail for what it lacks, and again for the chunk of a snapshot that is overdue.
+    /// At a follower: asks the tail for what it lacks, and again for the chunk of a snapshot that
+    /// is overdue.
     pub(super) fn request_catch_up(&mut self) {
         let Some(tail) = self.view.tail() else { return };
         if self.view.contains(&self.me)
@@ -96,8 +101,8 @@
             .map(|change| change.origin_view)
     }
 
-    /// At the tail: sends a follower the changes that it lacks, or offers a snapshot if the log doesn't reach back to
-    /// its last change.
+    /// At the tail: sends a follower the changes that it lacks, or offers a snapshot if the log
+    /// doesn't reach back to its last change.
     pub(super) fn on_catch_up_request(
         &mut self,
         from: Address,
@@ -114,11 +119,11 @@
         }
         let is_known = last <= self.synced.0 && self.origin_view_of(last) == Some(origin_view);
         let front = self.log.front();
-        let first_kept = front.map_or(self.synced.0.next(), |change| change.seq);
-        if is_known && last.next() >= first_kept {
+        let first_in_log = front.map_or(self.synced.0.next(), |change| change.seq);
+        if is_known && last.next() >= first_in_log {
             self.send_batch(voter, last);
         } else {
-            self.offer_snapshot(from, first_kept);
+            self.offer_snapshot(from, first_in_log);
         }
     }
 
@@ -167,7 +172,8 @@
         self.view.tail().is_some_and(|tail| tail.address == from)
     }
 
-    /// At a follower: appends a batch of changes that continues its log, and asks for the next one at once.
+    /// At a follower: appends a batch of changes that continues its log, and asks for the next one
+    /// at once.
     pub(super) fn on_catch_up_batch(&mut self, from: Address, changes: Vec<Change>) {
         let is_fetching = self
             .catch_up
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,23 +1,28 @@
-//! Chain replication: changes enter at the head, are forwarded down the chain, and commit at the tail.
+//! Chain replication: changes enter at the head, are forwarded down the chain, and commit at the
+//! tail.
 //!
 //! The steps, with the names of van Renesse and Schneider's paper:
 //!
-//! 1. The *head* takes a proposed change, gives it the next sequence number, and appends it to its log ([`Replica::on_propose`]).
-//! 2. Each member *forwards* a change to its successor once it is synced on its own disk ([`Replica::on_change_synced`]). So a
-//!    member holds each change that its successor holds; without the sync first, a restart could take a change from
-//!    the head that the rest already has, and another would get its number.
-//! 3. At the *tail* a change is on all disks of the chain: it's *committed*. The tail's last change is the commit index,
-//!    which heartbeats carry back up the chain.
+//! 1. The *head* takes a proposed change, gives it the next sequence number, and appends it to its
+//!    log ([`Replica::on_propose`]).
+//! 2. Each member *forwards* a change to its successor once it is synced on its own disk
+//!    ([`Replica::on_change_synced`]). So a member holds each change that its successor holds;
+//!    without the sync first, a restart could take a change from the head that the rest already
+//!    has, and another would get its number.
+//! 3. At the *tail* a change is on all disks of the chain: it's *committed*. The tail's last change
+//!    is the commit index, which heartbeats carry back up the chain.
 //!
 //! Departures from the published form:
 //!
-//! - A change counts as committed only while the chain has [`Timing::min_chain_length`](crate::Timing) members. Published chain
-//!   replication goes on with one; here a lone disk that is lost would take acknowledged changes with it.
+//! - A change counts as committed only while the chain has
+//!   [`Timing::min_chain_length`](crate::Timing) members. Published chain replication goes on with
+//!   one; here a lone disk that is lost would take acknowledged changes with it.
 //! - The head bounds the changes in flight and their rate, and rejects what exceeds that.
-//! - A rejection by the state machine is confirmed by the tail ([`Replica::on_confirm_rejection`]): the head's state isn't committed
-//!   yet, and what it says may never have been true.
-//! - There is no separate acknowledgement: a successor's heartbeat tells how far it is, and what it lacks is sent again. A
-//!   successor that reports another change under the same number ([`Replica::has_diverged`]) is left out.
+//! - A rejection by the state machine is confirmed by the tail ([`Replica::on_confirm_rejection`]):
+//!   the head's state isn't committed yet, and what it says may never have been true.
+//! - There is no separate acknowledgement: a successor's heartbeat tells how far it is, and what it
+//!   lacks is sent again. A successor that reports another change under the same number
+//!   ([`Replica::has_diverged`]) is left out.
 
 use super::PeerState;
 use super::durability::AfterSync;
@@ -77,12 +82,15 @@
         }
     }
 
-    /// At the head: takes a proposed change into the chain, or rejects it unchanged, to be proposed again, while the chain can't
-    /// take it.
+    /// At the head: takes a proposed change into the chain, or rejects it unchanged, to be proposed
+    /// again, while the chain can't take it.
     pub(super) fn on_propose(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
-        let has_room = self.last.0.0 < self.commit_index.0 + self.timing.max_in_flight_changes;
-        let may_enter =
-            self.is_head() && self.is_caught_up && self.has_min_chain_length() && has_room;
+        let is_below_in_flight_limit =
+            self.last.0.0 < self.commit_index.0 + self.timing.max_in_flight_changes;
+        let may_enter = self.is_head()
+            && self.is_caught_up
+            && self.has_min_chain_length()
+            && is_below_in_flight_limit;
         let lacks_members = || {
             self.state_machine.requires_member_majority(&body) && !self.tail_has_member_majority()
         };
@@ -107,8 +115,8 @@
         }
     }
 
-    /// Whether the tail, by its own knowledge or its last heartbeat, sees more than half of the fleet's members, and of the
-    /// members before the last change of the membership, with leases.
+    /// Whether the tail, by its own knowledge or its last heartbeat, sees more than half of the
+    /// fleet's members, and of the members before the last change of the membership, with leases.
     fn tail_has_member_majority(&self) -> bool {
         let is_current = |tail: &Voter, peer: &PeerState| {
             peer.disk == tail.disk
@@ -139,9 +147,9 @@
         self.send(tail.address, message);
     }
 
-    /// At the tail: confirms that a proposal can't be taken. The answer is given as one to a committed change is: by the tail
-    /// of the present view, under its lease. A tail that is not as far as the head was, or finds that the change can be taken, has it
-    /// proposed again.
+    /// At the tail: confirms that a proposal can't be taken. The answer is given as one to a
+    /// committed change is: by the tail of the present view, under its lease. A tail that is not as
+    /// far as the head was, or finds that the change can be taken, has it proposed again.
     pub(super) fn on_confirm_rejection(
         &mut self,
         from: Address,
@@ -169,7 +177,8 @@
         }
     }
 
-    /// Whether the chain has [`Timing::min_chain_length`](crate::Timing) members, so that what passed down it is on as many disks.
+    /// Whether the chain has [`Timing::min_chain_length`](crate::Timing) members, so that what
+    /// passed down it is on as many disks.
     pub fn has_min_chain_length(&self) -> bool {
         self.view.chain.len() >= self.timing.min_chain_length
     }
@@ -228,16 +237,17 @@
         }
     }
 
-    /// A change from the predecessor: appended in order; what came too early waits for those before it.
+    /// A change from the predecessor: appended in order; what came too early waits for those before
+    /// it.
     pub(super) fn on_forward(&mut self, from: Address, view: ViewNumber, change: Change) {
         let is_from_predecessor = self
             .view
             .predecessor(&self.me)
             .is_some_and(|p| p.address == from);
-        let is_wanted = (self.last.0.next()
+        let is_in_window = (self.last.0.next()
             ..=SequenceNumber(self.last.0.0 + self.timing.max_in_flight_changes))
             .contains(&change.seq);
-        if view != self.view.epoch || !is_from_predecessor || !is_wanted {
+        if view != self.view.epoch || !is_from_predecessor || !is_in_window {
             return;
         }
         self.forwarding.out_of_order.insert(change.seq, change);
@@ -246,7 +256,8 @@
         }
     }
 
-    /// A heartbeat of a chain member: the tail's carries the commit index, the successor's tells how far it is.
+    /// A heartbeat of a chain member: the tail's carries the commit index, the successor's tells
+    /// how far it is.
     pub(super) fn on_member_heartbeat(
         &mut self,
         from: Address,
@@ -280,8 +291,8 @@
         }
     }
 
-    /// From the predecessor: this member has caught up once it holds the change that was the predecessor's last
-    /// at that heartbeat. From then on it may answer as the tail.
+    /// From the predecessor: this member has caught up once it holds the change that was the
+    /// predecessor's last at that heartbeat. From then on it may answer as the tail.
     pub(super) fn on_catch_up_target(
         &mut self,
         from: Address,
@@ -336,25 +347,26 @@
         }
     }
 
-    /// Synced changes after this number in order, up to `room` bytes, and at least one if there is any.
-    pub(super) fn changes_after(&self, seq: SequenceNumber, mut room: usize) -> Vec<Change> {
+    /// Synced changes after this number in order, up to `byte_budget` bytes, and at least one if
+    /// there is any.
+    pub(super) fn changes_after(&self, seq: SequenceNumber, mut byte_budget: usize) -> Vec<Change> {
         let mut changes: Vec<Change> = vec![];
         for change in self
             .log
             .iter()
             .filter(|c| c.seq > seq && c.seq <= self.synced.0)
         {
-            if !changes.is_empty() && change.body.len() > room {
+            if !changes.is_empty() && change.body.len() > byte_budget {
                 break;
             }
-            room = room.saturating_sub(change.body.len());
+            byte_budget = byte_budget.saturating_sub(change.body.len());
             changes.push(change.clone());
         }
         changes
     }
 
-    /// Whether this is the successor, and makes no progress although its heartbeats come: a link that is cut one way, or a
-    /// disk that hangs.
+    /// Whether this is the successor, and makes no progress although its heartbeats come: a link
+    /// that is cut one way, or a disk that hangs.
     pub(super) fn makes_no_progress(&self, voter: &Voter) -> bool {
         if self.has_diverged(voter) {
             return true;
@@ -370,8 +382,9 @@
             && self.now >= self.forwarding.last_forwarded.1
     }
 
-    /// Whether the last change that the successor reports is one of this log. One that was restarted before its snapshot was on its
-    /// disk holds what it had before, which may be a change that was never committed.
+    /// Whether the last change that the successor reports is one of this log. One that was
+    /// restarted before its snapshot was on its disk holds what it had before, which may be a
+    /// change that was never committed.
     pub(super) fn shares_history_with(&self, successor: &Voter) -> bool {
         let Some(peer) = self
             .peers
@@ -383,8 +396,8 @@
         self.origin_view_of(peer.last) == Some(peer.origin_view)
     }
 
-    /// Whether the successor's last change is known to be another one than that of the same number here. It gets a
-    /// snapshot once it has no position in the chain any more.
+    /// Whether the successor's last change is known to be another one than that of the same number
+    /// here. It gets a snapshot once it has no position in the chain any more.
     pub(super) fn has_diverged(&self, voter: &Voter) -> bool {
         let Some(peer) = self
             .peers
--- a/crates/replication/src/replica/drain.rs
+++ b/crates/replication/src/replica/drain.rs
@@ -1,8 +1,9 @@
 //! Draining: a member that is to stop hands over before it goes.
 //!
-//! It says so with its heartbeats. The tail gives its vote to a follower that has caught up, where there is one; without
-//! one, the draining member proposes a view without its own position and keeps its vote, since it may come back with its disk. A tail
-//! that drains gives its lease up by that proposal, so that the next tail needn't wait for the lease to run out.
+//! It says so with its heartbeats. The tail gives its vote to a follower that has caught up, where
+//! there is one; without one, the draining member proposes a view without its own position and
+//! keeps its vote, since it may come back with its disk. A tail that drains gives its lease up by
+//! that proposal, so that the next tail needn't wait for the lease to run out.
 
 use crate::messages::ReplicationMessage;
 use crate::replica::{Output, Replica};
@@ -11,7 +12,8 @@
 use std::collections::BTreeMap;
 use types::{Address, DiskId, Milliseconds, MonotonicInstant};
 
-/// A draining member leaves the exchange of its vote to the tail for so long, if there is a follower for it.
+/// A draining member leaves the exchange of its vote to the tail for so long, if there is a
+/// follower for it.
 const VOTE_EXCHANGE_TIMEOUT: Milliseconds = Milliseconds(1000);
 
 /// Who is about to stop.
@@ -32,8 +34,9 @@
         }
     }
 
-    /// Whether the others go on without this replica: it may stop and nothing waits for it. A member without others that
-    /// could take its place never has handed over; whoever runs it bounds the wait.
+    /// Whether the others go on without this replica: it may stop and nothing waits for it. A
+    /// member without others that could take its place never has handed over; whoever runs it
+    /// bounds the wait.
     pub fn has_handed_over(&self) -> bool {
         let are_others_here = self
             .view
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Another replica says that it drains; that holds for [`Timing::suspect_timeout`](crate::Timing).
+    /// Another replica says that it drains; that holds for
+    /// [`Timing::suspect_timeout`](crate::Timing).
     pub(super) fn on_peer_draining(&mut self, from: Address, disk: DiskId) {
         let (now, timeout) = (self.now, self.timing.suspect_timeout);
         self.drain
@@ -96,8 +100,8 @@
         })
     }
 
-    /// Leaves its own position out of the chain where the rest holds each change on as many disks as it must be on, and nobody
-    /// is there for its vote, or that takes long.
+    /// Leaves its own position out of the chain where the rest holds each change on as many disks
+    /// as it must be on, and nobody is there for its vote, or that takes long.
     pub(super) fn leave_chain(&self, chain: &mut Vec<ChainPosition>) {
         let Some(since) = self.drain.draining_since else {
             return;
--- a/crates/replication/src/replica/durability.rs
+++ b/crates/replication/src/replica/durability.rs
@@ -1,7 +1,8 @@
 //! Writes to the disk, and what must wait for them.
 //!
-//! Rule: nothing is promised, accepted, forwarded or committed before it is synced here. Paxos and chain replication both assume that a
-//! replica that comes back remembers what it said; without the wait, a loss of power would make it forget.
+//! Rule: nothing is promised, accepted, forwarded or committed before it is synced here. Paxos and
+//! chain replication both assume that a replica that comes back remembers what it said; without the
+//! wait, a loss of power would make it forget.
 
 use crate::messages::{Change, Record, ReplicationMessage};
 use crate::replica::{Output, Replica};
@@ -100,7 +101,8 @@
         self.broadcast_heartbeat();
     }
 
-    /// Whether the disk has left a write unsynced for [`Timing::disk_stall_timeout`](crate::Timing).
+    /// Whether the disk has left a write unsynced for
+    /// [`Timing::disk_stall_timeout`](crate::Timing).
     pub(super) fn is_stalled(&self) -> bool {
         self.writes
             .pending_writes
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -1,8 +1,8 @@
 //! A digest of a replica's logical state, for a model checker that explores its states.
 //!
-//! Two replicas with equal digests behave alike from here on, whatever comes: instants are taken relative
-//! to now, and no further apart than any timer looks; numbers that only tell one write or one request
-//! from another are left out or counted from the newest one.
+//! Two replicas with equal digests behave alike from here on, whatever comes: instants are taken
+//! relative to now, and no further apart than any timer looks; numbers that only tell one write or
+//! one request from another are left out or counted from the newest one.
 
 use super::durability::AfterSync;
 use crate::replica::Replica;
--- a/crates/replication/src/replica/founding.rs
+++ b/crates/replication/src/replica/founding.rs
@@ -1,14 +1,16 @@
 //! Founding: how the first view (number 1) is decided, before there are voters.
 //!
-//! Published Paxos takes the set of acceptors as given. Here the acceptors of the first view are the founders that the
-//! settings name, so a few rules are added:
+//! Published Paxos takes the set of acceptors as given. Here the acceptors of the first view are
+//! the founders that the settings name, so a few rules are added:
 //!
-//! - Only a replica whose disk was empty when the settings named it, or whose disk says that it was named then,
-//!   is a founder ([`Replica::is_founder`]). Without this rule, wiped disks could found a second, empty chain beside
-//!   the first one.
-//! - The founder writes a promise of the lowest proposal number before anything else, which marks its disk for good.
-//! - A majority of the founders suffices. The place of a founder that didn't promise is kept for its address with disk id
-//!   0: a vote that nobody can cast, until a replica at that address takes it over.
+//! - Only a replica whose disk was empty when the settings named it, or whose disk says that it was
+//!   named then, is a founder ([`Replica::is_founder`]). Without this rule, wiped disks could found
+//!   a second, empty chain beside the first one.
+//! - The founder writes a promise of the lowest proposal number before anything else, which marks
+//!   its disk for good.
+//! - A majority of the founders suffices. The place of a founder that didn't promise is kept for
+//!   its address with disk id 0: a vote that nobody can cast, until a replica at that address takes
+//!   it over.
 
 use super::view_change::ProposalAttempt;
 use super::{PeerState, Replica};
@@ -18,8 +20,8 @@
 use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
 
 impl<C: StateMachine> Replica<C> {
-    /// Whether this replica votes on the first view: the settings named it when its disk was empty, and the disk has
-    /// not been used for anything else since.
+    /// Whether this replica votes on the first view: the settings named it when its disk was empty,
+    /// and the disk has not been used for anything else since.
     pub(super) fn is_founder(&self) -> bool {
         let is_untouched = self.has_unused_disk || self.promised.0 == ViewNumber(1);
         let is_named = self.founders.contains(&self.me.address);
@@ -29,8 +31,9 @@
             && self.last.0 == SequenceNumber(0)
     }
 
-    /// Starts or continues the proposal of the first view: the founder with the lowest address proposes at once when all
-    /// founders are reachable; otherwise a majority is enough, and the founders take turns.
+    /// Starts or continues the proposal of the first view: the founder with the lowest address
+    /// proposes at once when all founders are reachable; otherwise a majority is enough, and the
+    /// founders take turns.
     pub(super) fn drive_founding(&mut self) {
         if !self.is_founder() {
             return;
@@ -53,8 +56,8 @@
         self.view_change.attempt = Some(ProposalAttempt::new(proposal_number, deadline));
     }
 
-    /// Writes the lowest promise, which tells after a restart that this replica is a founder, whatever its settings
-    /// say by then.
+    /// Writes the lowest promise, which tells after a restart that this replica is a founder,
+    /// whatever its settings say by then.
     fn mark_as_founder(&mut self) {
         self.promised = (ViewNumber(1), ProposalNumber::default());
         self.write(
@@ -90,8 +93,8 @@
         self.founders.len() / 2 + 1
     }
 
-    /// Proposes the first view once a majority of the founders has promised and the others had time to: each founder
-    /// votes with the disk that it promised with.
+    /// Proposes the first view once a majority of the founders has promised and the others had time
+    /// to: each founder votes with the disk that it promised with.
     pub(super) fn propose_first_view(&mut self) {
         let majority = self.founders_majority();
         let Some(attempt) = &mut self.view_change.attempt else {
@@ -127,8 +130,8 @@
     }
 }
 
-/// The first view: all founders vote, and those that promised form the chain, each of them caught up, as there is
-/// nothing to catch up with.
+/// The first view: all founders vote, and those that promised form the chain, each of them caught
+/// up, as there is nothing to catch up with.
 fn first_view(founders: &[Address], attempt: &ProposalAttempt) -> View {
     let voter = |address: &Address| Voter {
         address: *address,
--- a/crates/replication/src/replica/heartbeat.rs
+++ b/crates/replication/src/replica/heartbeat.rs
@@ -1,8 +1,10 @@
-//! Heartbeats: how replicas know who is reachable and how far each is, and what is done at each tick.
+//! Heartbeats: how replicas know who is reachable and how far each is, and what is done at each
+//! tick.
 //!
-//! Chain replication's paper assumes that failures are detected for certain. Here a replica that is silent for
-//! [`Timing::suspect_timeout`](crate::Timing) is merely suspected: dropping it from the chain is safe though it may still run, since a
-//! view must be decided and the tail's lease run out first.
+//! Chain replication's paper assumes that failures are detected for certain. Here a replica that is
+//! silent for [`Timing::suspect_timeout`](crate::Timing) is merely suspected: dropping it from the
+//! chain is safe though it may still run, since a view must be decided and the tail's lease run out
+//! first.
 
 use crate::messages::ReplicationMessage;
 use crate::replica::{Output, Replica};
@@ -118,7 +120,8 @@
         all
     }
 
-    /// A heartbeat came: remembers it, tells a replica of an older view of the present one, and takes up what it says of the chain.
+    /// A heartbeat came: remembers it, tells a replica of an older view of the present one, and
+    /// takes up what it says of the chain.
     pub(super) fn on_heartbeat(&mut self, from: Address, message: ReplicationMessage) {
         let ReplicationMessage::Heartbeat {
             disk,
@@ -153,8 +156,8 @@
         self.on_member_heartbeat(from, disk, view, last, commit_index, is_caught_up);
     }
 
-    /// Whether too few voters are reachable for anything to be agreed on here. Its heartbeats say so: those whom they
-    /// reach would wait for it as long as its link is cut one way.
+    /// Whether too few voters are reachable for anything to be agreed on here. Its heartbeats say
+    /// so: those whom they reach would wait for it as long as its link is cut one way.
     pub(super) fn is_isolated(&self) -> bool {
         !self.view.voters.is_empty() && !self.has_reachable_majority(self.now)
     }
@@ -171,9 +174,10 @@
         })
     }
 
-    /// Whether a majority of the view's voters, this replica included, was reachable within [`Timing::suspect_timeout`](crate::Timing).
-    /// A replica without one is cut off, and can neither read nor propose; one that has just started had no time to hear from anybody
-    /// and counts as reachable.
+    /// Whether a majority of the view's voters, this replica included, was reachable within
+    /// [`Timing::suspect_timeout`](crate::Timing). A replica without one is cut off, and can
+    /// neither read nor propose; one that has just started had no time to hear from anybody and
+    /// counts as reachable.
     pub fn has_reachable_majority(&self, now: MonotonicInstant) -> bool {
         let is_voter_reachable = |voter: &Voter| {
             let peer = self.peers.get(&voter.address);
@@ -189,8 +193,8 @@
         now < self.listening_since + self.timing.suspect_timeout || count >= self.view.majority()
     }
 
-    /// Whether this replica is in the chain, has a disk that takes writes, and reaches a majority: operators are well served
-    /// here, even where the answer comes from the tail.
+    /// Whether this replica is in the chain, has a disk that takes writes, and reaches a majority:
+    /// operators are well served here, even where the answer comes from the tail.
     pub fn is_serving(&self, now: MonotonicInstant) -> bool {
         self.is_healthy && self.view.contains(&self.me) && self.has_reachable_majority(now)
     }
--- a/crates/replication/src/replica/interface.rs
+++ b/crates/replication/src/replica/interface.rs
@@ -1,6 +1,7 @@
 //! What goes into a replica and what comes out of it.
 //!
-//! A replica does no I/O and reads no clock: whoever runs it feeds it inputs with the time, and carries out the outputs in order.
+//! A replica does no I/O and reads no clock: whoever runs it feeds it inputs with the time, and
+//! carries out the outputs in order.
 
 use crate::messages::{ChangeRequestId, Record, ReplicationMessage};
 use crate::view::{View, Voter};
@@ -13,29 +14,32 @@
     Message {
         /// Where it came from.
         from: Address,
-        /// The message.
+        /// The message itself.
         message: ReplicationMessage,
     },
-    /// This process proposes a change; the answer comes as [`Output::Response`] with the same number.
+    /// This process proposes a change; the answer comes as [`Output::Response`] with the same
+    /// number.
     Propose {
-        /// The number of the proposal. No other proposal of this process may have it, nor one of an earlier incarnation:
-        /// responses may come late.
+        /// The number of the proposal. No other proposal of this process may have it, nor one of an
+        /// earlier incarnation: responses may come late.
         number: u64,
         /// The change, for the state machine.
         body: Vec<u8>,
     },
-    /// Time has passed. To be given at least once in each [`Timing::heartbeat_interval`](crate::Timing).
+    /// Time has passed. To be given at least once in each
+    /// [`Timing::heartbeat_interval`](crate::Timing).
     Tick,
     /// All writes up to this one are synced.
     Written {
         /// The id of the write, as in [`Output::Write`].
         id: u64,
     },
-    /// The disk failed a write. The replica steps out; whoever runs it makes a new one from what the
-    /// disk holds once the disk takes writes again.
+    /// The disk failed a write. The replica steps out; whoever runs it makes a new one from what
+    /// the disk holds once the disk takes writes again.
     DiskFailed,
-    /// This process is to stop: the replica asks for a view without its position, and for its vote to be taken over
-    /// where there is a replica for it. See [`Replica::has_handed_over`](crate::Replica::has_handed_over).
+    /// This process is to stop: the replica asks for a view without its position, and for its vote
+    /// to be taken over where there is a replica for it. See
+    /// [`Replica::has_handed_over`](crate::Replica::has_handed_over).
     Drain,
 }
 
@@ -44,9 +48,9 @@
 pub enum Output {
     /// Send a message; it may be lost, delayed or duplicated.
     Send {
-        /// Where to.
+        /// The address that it goes to.
         to: Address,
-        /// The message.
+        /// The message itself.
         message: ReplicationMessage,
     },
     /// Write these records in the order of ids, sync, then give [`Input::Written`].
@@ -62,8 +66,8 @@
     Response {
         /// The number of the proposal.
         number: u64,
-        /// Whether the answer is final: the change was committed, or rejected by a committed state. If not, nothing was
-        /// changed, and the proposal may be made again.
+        /// Whether the answer is final: the change was committed, or rejected by a committed state.
+        /// If not, nothing was changed, and the proposal may be made again.
         is_final: bool,
         /// The state machine's answer; empty if the answer isn't final.
         body: Vec<u8>,
@@ -76,10 +80,10 @@
         /// The state machine's answer.
         body: Vec<u8>,
     },
-    /// At the tail: this proposal is rejected by a state that is on every member's disk. Answered as
-    /// [`Output::Committed`] is.
+    /// At the tail: this proposal is rejected by a state that is on every member's disk. Answered
+    /// as [`Output::Committed`] is.
     ChangeRejected {
-        /// The proposal.
+        /// The rejected proposal.
         request_id: ChangeRequestId,
         /// The state machine's answer.
         body: Vec<u8>,
--- a/crates/replication/src/replica/lease.rs
+++ b/crates/replication/src/replica/lease.rs
@@ -1,18 +1,25 @@
-//! The tail's lease: when the tail may answer without asking anybody, and how a tail that was replaced is fenced off.
+//! The tail's lease: when the tail may answer without asking anybody, and how a tail that was
+//! replaced is fenced off.
 //!
-//! Published chain replication lets a perfect master tell the tail that it was replaced. There is none here: a tail that is cut
-//! off may not know that a newer view has another tail, and would answer with an old state. So the tail is a *lease holder*:
+//! Published chain replication lets a perfect master tell the tail that it was replaced. There is
+//! none here: a tail that is cut off may not know that a newer view has another tail, and would
+//! answer with an old state. So the tail is a *lease holder*:
 //!
-//! - The tail asks all voters for a lease ([`ReplicationMessage::LeaseRequest`]) and may answer once a majority has granted it, for
-//!   [`Timing::holder_lease_duration`](crate::Timing) from when it *asked*. Counting from the grants would let it outlive them.
-//! - *Fencing*: a voter that granted a lease accepts no view with another tail for [`Timing::lease_duration`](crate::Timing), which is
-//!   longer, for clocks that run apart ([`Replica::is_fenced`]). Any majority for the new view shares a voter with the majority that
+//! - The tail asks all voters for a lease ([`ReplicationMessage::LeaseRequest`]) and may answer
+//!   once a majority has granted it, for [`Timing::holder_lease_duration`](crate::Timing) from when
+//!   it *asked*. Counting from the grants would let it outlive them.
+//! - *Fencing*: a voter that granted a lease accepts no view with another tail for
+//!   [`Timing::lease_duration`](crate::Timing), which is longer, for clocks that run apart
+//!   ([`Replica::is_fenced`]). Any majority for the new view shares a voter with the majority that
 //!   granted the lease, so no new tail can commit while the old one may still answer.
-//! - A voter that has just started may have granted a lease before, which it doesn't keep on disk: it behaves as if it had
-//!   granted one at its start.
-//! - A voter that holds a new view back grants no further lease meanwhile, or the old tail could renew forever.
-//! - A voter that has accepted a view with another tail grants none either: that view may be decided at any moment.
-//! - A tail that itself proposes another tail gives its lease up first, for good in that view, so nobody need wait for it.
+//! - A voter that has just started may have granted a lease before, which it doesn't keep on disk:
+//!   it behaves as if it had granted one at its start.
+//! - A voter that holds a new view back grants no further lease meanwhile, or the old tail could
+//!   renew forever.
+//! - A voter that has accepted a view with another tail grants none either: that view may be
+//!   decided at any moment.
+//! - A tail that itself proposes another tail gives its lease up first, for good in that view, so
+//!   nobody need wait for it.
 
 use super::Replica;
 use crate::messages::ReplicationMessage;
@@ -28,12 +35,13 @@
     pub(super) granted_until: MonotonicInstant,
     /// As a voter: until when a lease may run that it granted before it was restarted.
     pub(super) earlier_grant_until: MonotonicInstant,
-    /// As a voter: until when it grants no lease, since a view with another tail waits for the last one to run out.
+    /// As a voter: until when it grants no lease, since a view with another tail waits for the last
+    /// one to run out.
     pub(super) grants_paused_until: MonotonicInstant,
     /// As the tail: whether it has given its lease up by proposing another tail.
     pub(super) has_released_lease: bool,
-    /// As the tail: the number of its newest request. It starts from the instant of the start, in milliseconds, so that a
-    /// grant to an earlier incarnation isn't taken for one to this.
+    /// As the tail: the number of its newest request. It starts from the instant of the start, in
+    /// milliseconds, so that a grant to an earlier incarnation isn't taken for one to this.
     pub(super) request_number: u64,
     /// As the tail: when it sent its newest request.
     pub(super) requested_at: MonotonicInstant,
@@ -44,7 +52,8 @@
 }
 
 impl TailLease {
-    /// At the start of an incarnation: nothing is held, and what may have been granted before runs until `silent_until`.
+    /// At the start of an incarnation: nothing is held, and what may have been granted before runs
+    /// until `silent_until`.
     pub(super) fn new(now: MonotonicInstant, earlier_grant_until: MonotonicInstant) -> TailLease {
         TailLease {
             granted_until: MonotonicInstant(0),
@@ -60,13 +69,15 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// Whether this replica may answer for the chain at `now`: it's the tail, has caught up, and holds the lease. To be asked
-    /// right before each answer. Without this check, a tail that was replaced could answer with an old state.
+    /// Whether this replica may answer for the chain at `now`: it's the tail, has caught up, and
+    /// holds the lease. To be asked right before each answer. Without this check, a tail that was
+    /// replaced could answer with an old state.
     pub fn may_respond(&self, now: MonotonicInstant) -> bool {
         self.is_healthy && self.is_tail() && self.is_caught_up && now < self.lease.lease_deadline
     }
 
-    /// Asks the voters for a lease, a quarter of its duration after the last request, well before the lease runs out.
+    /// Asks the voters for a lease, a quarter of its duration after the last request, well before
+    /// the lease runs out.
     pub(super) fn request_lease(&mut self) {
         if !self.is_tail()
             || self.lease.has_released_lease
@@ -88,7 +99,8 @@
         }
     }
 
-    /// At a voter: grants the tail of the present view a lease, unless it backs a view with another tail.
+    /// At a voter: grants the tail of the present view a lease, unless it backs a view with another
+    /// tail.
     pub(super) fn on_lease_request(
         &mut self,
         from: Address,
@@ -114,7 +126,8 @@
         self.send(from, message);
     }
 
-    /// At the tail: counts a grant of the newest request; with a majority, the lease is held from when it was asked for.
+    /// At the tail: counts a grant of the newest request; with a majority, the lease is held from
+    /// when it was asked for.
     pub(super) fn on_lease_grant(&mut self, view: ViewNumber, request_number: u64, disk: DiskId) {
         let is_voter = self.is_voting_disk(disk);
         if view != self.view.epoch
@@ -133,8 +146,8 @@
         }
     }
 
-    /// Whether the lease that this voter granted keeps it from accepting a view with another tail. While such a view
-    /// waits, no new lease is granted.
+    /// Whether the lease that this voter granted keeps it from accepting a view with another tail.
+    /// While such a view waits, no new lease is granted.
     pub(super) fn is_fenced(&mut self, from: Address, view: &View) -> bool {
         let is_tail_kept = view.tail() == self.view.tail();
         let is_released = self.view.tail().is_some_and(|tail| tail.address == from);
@@ -147,8 +160,9 @@
         true
     }
 
-    /// A tail that proposes another tail gives its lease up, for good in this view: voters accept such a proposal from it
-    /// whenever it reaches them. Its own promise, on its disk by now, says so after a restart.
+    /// A tail that proposes another tail gives its lease up, for good in this view: voters accept
+    /// such a proposal from it whenever it reaches them. Its own promise, on its disk by now, says
+    /// so after a restart.
     pub(super) fn release_lease_if_superseded(&mut self) {
         let proposal = self
             .view_change
@@ -162,8 +176,8 @@
         }
     }
 
-    /// When a view is installed: a lease is kept only by the same tail with the same voters, since the next view is up to
-    /// those voters, and most of them may not have granted it.
+    /// When a view is installed: a lease is kept only by the same tail with the same voters, since
+    /// the next view is up to those voters, and most of them may not have granted it.
     pub(super) fn reset_lease(
         &mut self,
         old_tail: Option<Voter>,
--- a/crates/replication/src/replica/rate_limit.rs
+++ b/crates/replication/src/replica/rate_limit.rs
@@ -1,13 +1,15 @@
-//! Rate limit of the head: a token bucket, so that the changes that the state machine remembers, by which it knows a repeated
-//! change, can't be used up at once.
+//! Rate limit of the head: a token bucket, so that the changes that the state machine remembers, by
+//! which it knows a repeated change, can't be used up at once.
 
 use crate::replica::Timing;
 use types::MonotonicInstant;
 
-/// A bucket that holds at most [`Timing::max_change_burst`] changes and fills by [`Timing::max_changes_per_second`].
+/// A bucket that holds at most [`Timing::max_change_burst`] changes and fills by
+/// [`Timing::max_changes_per_second`].
 ///
-/// Invariant: from when a head begins, it takes at most `max_change_burst` changes and `max_changes_per_second` for each
-/// second since. It's the head's own and counts by its clock; no state that is replicated depends on it.
+/// Invariant: from when a head begins, it takes at most `max_change_burst` changes and
+/// `max_changes_per_second` for each second since. It's the head's own and counts by its clock; no
+/// state that is replicated depends on it.
 #[derive(Debug, Clone)]
 pub(super) struct ChangeRateLimiter {
     /// Thousandths of a change.
--- a/crates/replication/src/replica/recovery.rs
+++ b/crates/replication/src/replica/recovery.rs
@@ -1,8 +1,9 @@
 //! Recovery: a replica from what its disk holds.
 //!
-//! Records are replayed in the order in which they were written. The log may reach back behind the snapshot, or the snapshot behind
-//! the log's end, depending on when the machine stopped; what may not be is a gap, which means that the disk lost a change that
-//! was acknowledged. A replica with such a disk must not serve: it would answer without that change.
+//! Records are replayed in the order in which they were written. The log may reach back behind the
+//! snapshot, or the snapshot behind the log's end, depending on when the machine stopped; what may
+//! not be is a gap, which means that the disk lost a change that was acknowledged. A replica with
+//! such a disk must not serve: it would answer without that change.
 
 use super::catch_up::CatchUp;
 use super::chain::Forwarding;
@@ -25,8 +26,8 @@
     pub records: Vec<Record>,
 }
 
-/// Why what a disk gave back can't be used. Nothing of it is served: the folder must be restored or emptied, and the replica
-/// catches up as a new one.
+/// Why what a disk gave back can't be used. Nothing of it is served: the folder must be restored or
+/// emptied, and the replica catches up as a new one.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecoveryError {
     /// The state machine can't read the snapshot that ends with this change.
@@ -38,9 +39,10 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// A replica at the start of an incarnation, from what its disk holds; `empty` is the state machine's first state, and `now` the
-    /// present instant of the monotonic clock. It takes part in a founding if it is one of `founders` and its disk
-    /// is empty, or if its disk says that it was when that was so.
+    /// A replica at the start of an incarnation, from what its disk holds; `empty` is the state
+    /// machine's first state, and `now` the present instant of the monotonic clock. It takes part
+    /// in a founding if it is one of `founders` and its disk is empty, or if its disk says that it
+    /// was when that was so.
     ///
     /// # Errors
     ///
@@ -72,7 +74,8 @@
         Ok(replica)
     }
 
-    /// A replica that knows nothing yet. A voter that isn't new may have granted a lease just before it stopped.
+    /// A replica that knows nothing yet. A voter that isn't new may have granted a lease just
+    /// before it stopped.
     fn blank(me: Voter, timing: Timing, is_new: bool, empty: C, now: MonotonicInstant) -> Self {
         let earlier_grant_until = if is_new {
             now
@@ -123,7 +126,8 @@
         }
     }
 
-    /// A disk that bears a founder's promise makes its replica a founder, whatever the settings say now.
+    /// A disk that bears a founder's promise makes its replica a founder, whatever the settings say
+    /// now.
     fn restore_founders(&mut self) {
         if self.view.epoch == ViewNumber(0) && self.promised.0 == ViewNumber(1) {
             self.founders.push(self.me.address);
@@ -161,7 +165,8 @@
         Ok(())
     }
 
-    /// Takes in one change of the log. Changes that the snapshot holds already are kept, for others, and not applied again.
+    /// Takes in one change of the log. Changes that the snapshot holds already are kept, for
+    /// others, and not applied again.
     fn replay_change(&mut self, change: Change) -> Result<(), RecoveryError> {
         let newest = self.log.back().map(|newest| newest.seq);
         if newest.is_some_and(|newest| newest.next() != change.seq)
--- a/crates/replication/src/replica/snapshot.rs
+++ b/crates/replication/src/replica/snapshot.rs
@@ -1,11 +1,15 @@
-//! Snapshots: the state machine's complete state, sent to followers in chunks, and written in place of the log (compaction).
+//! Snapshots: the state machine's complete state, sent to followers in chunks, and written in place
+//! of the log (compaction).
 //!
-//! - A follower installs a snapshot only when it's complete, and writes it with everything else that must survive a restart: its view,
-//!   its promise, what it accepted. A snapshot that replaced the promise would free the voter to break it.
-//! - A follower asks for a chain position only once the snapshot is synced ([`CatchUp::snapshot_write`]); before that, a restart
-//!   gives back its old log, which may hold a change that was never committed.
-//! - Compaction keeps changes that aren't committed, and some before them, for the successor. While a follower fetches a snapshot,
-//!   the log may grow longer, so that the follower finds all changes since.
+//! - A follower installs a snapshot only when it's complete, and writes it with everything else
+//!   that must survive a restart: its view, its promise, what it accepted. A snapshot that replaced
+//!   the promise would free the voter to break it.
+//! - A follower asks for a chain position only once the snapshot is synced
+//!   ([`CatchUp::snapshot_write`]); before that, a restart gives back its old log, which may hold a
+//!   change that was never committed.
+//! - Compaction keeps changes that aren't committed, and some before them, for the successor. While
+//!   a follower fetches a snapshot, the log may grow longer, so that the follower finds all changes
+//!   since.
 //!
 //! [`CatchUp::snapshot_write`]: super::catch_up::CatchUp
 
@@ -15,17 +19,19 @@
 use crate::state_machine::StateMachine;
 use types::{Address, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
 
-/// While a snapshot is fetched, the log may grow to so many times the length at which it is compacted otherwise.
+/// While a snapshot is fetched, the log may grow to so many times the length at which it is
+/// compacted otherwise.
 const FETCH_LOG_FACTOR: usize = 4;
 
-/// A snapshot that was not asked for in so many times [`Timing::suspect_timeout`](crate::Timing) is not being fetched.
+/// A snapshot that was not asked for in so many times [`Timing::suspect_timeout`](crate::Timing) is
+/// not being fetched.
 const FETCH_IDLE_FACTOR: u64 = 2 * MAX_TIMEOUT_FACTOR;
 
 /// The log is compacted when it has more changes than this, however short they are.
 const MAX_LOG_CHANGES: usize = 20_000;
 
 /// Compaction keeps at most this many committed changes.
-const MAX_KEPT_CHANGES: usize = 1000;
+const MAX_RETAINED_CHANGES: usize = 1000;
 
 /// A snapshot that followers fetch in chunks. It stays as it is while changes go on.
 #[derive(Debug, Clone)]
@@ -59,10 +65,11 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// At the tail: offers a follower a snapshot, a new one if the last one ends before the log begins.
-    pub(super) fn offer_snapshot(&mut self, to: Address, first_kept: SequenceNumber) {
+    /// At the tail: offers a follower a snapshot, a new one if the last one ends before the log
+    /// begins.
+    pub(super) fn offer_snapshot(&mut self, to: Address, first_in_log: SequenceNumber) {
         let offered = self.catch_up.offered_snapshot.as_ref();
-        if offered.is_none_or(|offered| offered.last.next() < first_kept) {
+        if offered.is_none_or(|offered| offered.last.next() < first_in_log) {
             let (last, origin_view) = self.synced;
             self.catch_up.offered_snapshot = Some(OfferedSnapshot {
                 last,
@@ -153,7 +160,8 @@
         self.send(from, message);
     }
 
-    /// At a follower: takes the next chunk, and asks for the one after it or installs the complete snapshot.
+    /// At a follower: takes the next chunk, and asks for the one after it or installs the complete
+    /// snapshot.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         from: Address,
@@ -189,8 +197,8 @@
         }
     }
 
-    /// Takes a fetched snapshot as the state, and writes it in place of the log. A snapshot that the state machine can't read is
-    /// dropped; the follower will ask again.
+    /// Takes a fetched snapshot as the state, and writes it in place of the log. A snapshot that
+    /// the state machine can't read is dropped; the follower will ask again.
     fn install_snapshot(&mut self, fetched: SnapshotDownload) {
         let Some(state_machine) = C::restore(&fetched.bytes) else {
             return;
@@ -239,18 +247,19 @@
 
     /// Compacts the log into a snapshot when it has grown long.
     pub(super) fn compact_log(&mut self) {
-        let room = if self.is_snapshot_in_use() {
+        let growth_factor = if self.is_snapshot_in_use() {
             FETCH_LOG_FACTOR
         } else {
             1
         };
         let threshold = self.timing.compaction_threshold_bytes;
-        let bound = threshold.max(self.writes.snapshot_bytes * 2) * room;
-        let is_long = self.writes.log_bytes > bound || self.log.len() > MAX_LOG_CHANGES * room;
+        let bound = threshold.max(self.writes.snapshot_bytes * 2) * growth_factor;
+        let is_long =
+            self.writes.log_bytes > bound || self.log.len() > MAX_LOG_CHANGES * growth_factor;
         if !is_long || self.last != self.synced || self.catch_up.download.is_some() {
             return;
         }
-        let first = self.first_change_kept();
+        let first = self.first_retained_change();
         if first == 0 {
             return;
         }
@@ -262,16 +271,16 @@
         self.catch_up.offered_snapshot = None;
     }
 
-    /// The index in the log of the first change that compaction keeps: those that aren't committed, and some before them, which
-    /// a successor may still need.
-    fn first_change_kept(&self) -> usize {
-        let mut kept_bytes = 0;
+    /// The index in the log of the first change that compaction keeps: those that aren't committed,
+    /// and some before them, which a successor may still need.
+    fn first_retained_change(&self) -> usize {
+        let mut retained_bytes = 0;
         let mut first = self.log.len();
         while first > 0 {
             let change = &self.log[first - 1];
-            kept_bytes += change.body.len();
-            let is_enough = kept_bytes > self.timing.catch_up_batch_bytes
-                || self.log.len() - first > MAX_KEPT_CHANGES;
+            retained_bytes += change.body.len();
+            let is_enough = retained_bytes > self.timing.catch_up_batch_bytes
+                || self.log.len() - first > MAX_RETAINED_CHANGES;
             if change.seq <= self.commit_index && is_enough {
                 break;
             }
--- a/crates/replication/src/replica/tests/member_majority.rs
+++ b/crates/replication/src/replica/tests/member_majority.rs
@@ -1,4 +1,5 @@
-//! Changes that need more than half of the fleet's members, and of the members before the last change of the membership.
+//! Changes that need more than half of the fleet's members, and of the members before the last
+//! change of the membership.
 
 use super::*;
 use crate::leases::{LeaseTable, Membership};
@@ -45,7 +46,8 @@
     Replica::new(voter(1), vec![], timing, recovered, empty, start).unwrap()
 }
 
-/// Proposes a change at the head of a chain of one, with all its writes synced; gives whether the answer was final.
+/// Proposes a change at the head of a chain of one, with all its writes synced; gives whether the
+/// answer was final.
 fn propose(replica: &mut Replica<Guarded>, at: u64, number: u64) -> Option<bool> {
     let now = MonotonicInstant(at);
     let mut outputs = replica.step(now, Input::Tick);
@@ -103,7 +105,8 @@
     );
 }
 
-/// What the head, with a tail at another machine, goes by: the tail's own heartbeat, and a recent one.
+/// What the head, with a tail at another machine, goes by: the tail's own heartbeat, and a recent
+/// one.
 #[parameterized(
     tail_sees_a_majority = { 2, 2, true, 10_200, true },
     tail_sees_none = { 2, 2, false, 10_200, false },
--- a/crates/replication/src/replica/tests/recovery.rs
+++ b/crates/replication/src/replica/tests/recovery.rs
@@ -20,8 +20,8 @@
         .collect()
 }
 
-/// What a disk may hold after a fold: a snapshot with changes from before it, after it, or both. The state is
-/// that of the newest change, each applied once.
+/// What a disk may hold after a fold: a snapshot with changes from before it, after it, or both.
+/// The state is that of the newest change, each applied once.
 #[parameterized(
     old_snapshot_newer_log = { 10, 11, 40 },
     newer_snapshot_older_log = { 40, 21, 40 },
@@ -85,8 +85,9 @@
     );
 }
 
-/// Seed 76001237 of `pahana`: a replica was restarted before a fetched snapshot had reached its disk, had a seat by what it
-/// had held in memory, and went on from a change that was never accepted. An acknowledged change was lost.
+/// Seed 76001237 of `pahana`: a replica was restarted before a fetched snapshot had reached its
+/// disk, had a seat by what it had held in memory, and went on from a change that was never
+/// accepted. An acknowledged change was lost.
 #[test]
 fn a_follower_requests_catch_up_only_once_its_snapshot_is_synced() {
     let chain = [(1, true), (2, true)];
--- a/crates/replication/src/replica/timing.rs
+++ b/crates/replication/src/replica/timing.rs
@@ -5,9 +5,11 @@
 /// The intervals, time-outs and bounds of a replica. All replicas of a chain must use the same.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// Disks that a change must be on before it is committed: changes are taken only while the chain has as many members.
+    /// Disks that a change must be on before it is committed: changes are taken only while the
+    /// chain has as many members.
     pub min_chain_length: usize,
-    /// Voters wanted: followers get a vote while there are fewer. Votes are moved, but their number never falls.
+    /// Voters wanted: followers get a vote while there are fewer. Votes are moved, but their number
+    /// never falls.
     pub target_voters: usize,
     /// Time between two heartbeats of a replica.
     pub heartbeat_interval: Milliseconds,
@@ -15,29 +17,31 @@
     pub suspect_timeout: Milliseconds,
     /// How long a voter honours a lease that it granted to the tail, from when it granted it.
     pub lease_duration: Milliseconds,
-    /// How long the tail counts on its lease, from when it asked for it. Shorter than [`Timing::lease_duration`], for clocks
-    /// that run at different rates.
+    /// How long the tail counts on its lease, from when it asked for it. Shorter than
+    /// [`Timing::lease_duration`], for clocks that run at different rates.
     pub holder_lease_duration: Milliseconds,
     /// The messages of a proposal of a view that aren't answered are sent again after this.
     pub proposal_retry_interval: Milliseconds,
     /// The vote of a voter unreachable for this long may go to a follower with another disk.
     pub voter_replacement_timeout: Milliseconds,
-    /// The most bytes of changes that are forwarded again to a successor at once, and of committed changes that
-    /// compaction keeps.
+    /// The most bytes of changes that are forwarded again to a successor at once, and of committed
+    /// changes that compaction keeps.
     pub catch_up_batch_bytes: usize,
-    /// The size of a chunk of a snapshot in bytes; also the most bytes of changes that a follower is sent at once.
+    /// The size of a chunk of a snapshot in bytes; also the most bytes of changes that a follower
+    /// is sent at once.
     pub snapshot_chunk_bytes: usize,
     /// A disk that leaves a write unsynced for this long counts as failed.
     pub disk_stall_timeout: Milliseconds,
     /// Changes that the head takes beyond the commit index; it rejects more, unchanged.
     pub max_in_flight_changes: u64,
-    /// Changes a second that the head takes in the long run. With what the state machine remembers (4,096) it bounds from
-    /// below the time in which a repeated change is known as one: 3,968 / 100 = 39.7 s, 9.9 times `ack_ms` of the users'
-    /// small sites.
+    /// Changes a second that the head takes in the long run. With what the state machine remembers
+    /// (4,096) it bounds from below the time in which a repeated change is known as one: 3,968 /
+    /// 100 = 39.7 s, 9.9 times `ack_ms` of the users' small sites.
     pub max_changes_per_second: u64,
     /// Changes that the head takes at once beyond that.
     pub max_change_burst: u64,
-    /// The log is compacted into a snapshot when it is longer than this, in bytes, and longer than twice the snapshot.
+    /// The log is compacted into a snapshot when it is longer than this, in bytes, and longer than
+    /// twice the snapshot.
     pub compaction_threshold_bytes: usize,
 }
 
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -1,28 +1,36 @@
 //! View changes: single-decree Paxos, one instance for each view number.
 //!
-//! The replicas are proposers and, if they are voters of the present view, acceptors. The instance for view `n + 1` is
-//! decided by a majority of the voters of view `n`, so two views can never both follow one.
+//! The replicas are proposers and, if they are voters of the present view, acceptors. The instance
+//! for view `n + 1` is decided by a majority of the voters of view `n`, so two views can never both
+//! follow one.
 //!
-//! 1. *Prepare* ([`Replica::drive_proposal`]): the proposer picks a [`ProposalNumber`] higher than all it has seen and sends it to
-//!    the voters. The number holds the proposer's disk id, so no two proposers share one.
-//! 2. *Promise* ([`Replica::on_prepare`]): a voter promises to accept nothing with a lower number, and reports the proposal that
-//!    it accepted before, if any. It answers only once the promise is on its disk: a voter that forgot it in a restart
-//!    could accept an older proposal, and two views could be decided for one number.
-//! 3. *Accept* ([`Replica::propose_view`]): with promises of a majority, the proposer must propose the view with the highest
-//!    number among those reported; it's free only if there is none. Otherwise it could override a view that is decided.
-//! 4. *Accepted* ([`Replica::on_accept`]): a voter accepts unless it has promised a higher number, writes that to its disk, and
-//!    answers. With a majority the view is *decided*, and the proposer announces it.
-//! 5. *Rejected* ([`Replica::on_proposal_rejected`]): a voter that promised a higher number says so. Safety doesn't need this
-//!    message: it spares the proposer its time-out.
+//! 1. *Prepare* ([`Replica::drive_proposal`]): the proposer picks a [`ProposalNumber`] higher than
+//!    all it has seen and sends it to the voters. The number holds the proposer's disk id, so no
+//!    two proposers share one.
+//! 2. *Promise* ([`Replica::on_prepare`]): a voter promises to accept nothing with a lower number,
+//!    and reports the proposal that it accepted before, if any. It answers only once the promise is
+//!    on its disk: a voter that forgot it in a restart could accept an older proposal, and two
+//!    views could be decided for one number.
+//! 3. *Accept* ([`Replica::propose_view`]): with promises of a majority, the proposer must propose
+//!    the view with the highest number among those reported; it's free only if there is none.
+//!    Otherwise it could override a view that is decided.
+//! 4. *Accepted* ([`Replica::on_accept`]): a voter accepts unless it has promised a higher number,
+//!    writes that to its disk, and answers. With a majority the view is *decided*, and the proposer
+//!    announces it.
+//! 5. *Rejected* ([`Replica::on_proposal_rejected`]): a voter that promised a higher number says
+//!    so. Safety doesn't need this message: it spares the proposer its time-out.
 //!
 //! Departures from the published form:
 //!
-//! - Fencing by the lease: a voter that has granted the tail a lease accepts no view with another tail before the lease has run
-//!   out, unless the tail itself proposes it. See [`super::lease`] for what breaks without this rule.
-//! - What is proposed is chosen when the promises are in, not when the attempt began, and the proposer waits for the heartbeat of
-//!   each chain member that promised ([`Replica::awaits_heartbeat_of_promiser`]): a view without it would rest on fewer disks than there are.
-//! - Proposers take turns and back off by a varying time, so that they don't outbid one another forever. Paxos leaves
-//!   liveness to a leader election; here the turn stands for it.
+//! - Fencing by the lease: a voter that has granted the tail a lease accepts no view with another
+//!   tail before the lease has run out, unless the tail itself proposes it. See [`super::lease`]
+//!   for what breaks without this rule.
+//! - What is proposed is chosen when the promises are in, not when the attempt began, and the
+//!   proposer waits for the heartbeat of each chain member that promised
+//!   ([`Replica::awaits_heartbeat_of_promiser`]): a view without it would rest on fewer disks than
+//!   there are.
+//! - Proposers take turns and back off by a varying time, so that they don't outbid one another
+//!   forever. Paxos leaves liveness to a leader election; here the turn stands for it.
 
 use super::{PeerState, Replica, durability::AfterSync};
 use crate::messages::{ProposalNumber, Record, ReplicationMessage, ViewProposal};
@@ -97,8 +105,8 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// Starts an attempt where the view should change and it is this replica's turn. Newcomers are admitted, and a
-    /// draining member proposes, without waiting for a turn.
+    /// Starts an attempt where the view should change and it is this replica's turn. Newcomers are
+    /// admitted, and a draining member proposes, without waiting for a turn.
     pub(super) fn start_proposal(&mut self) {
         if self.view_change.attempt.is_some()
             || self.is_stalled()
@@ -132,7 +140,8 @@
         self.drive_proposal();
     }
 
-    /// How many reachable voters come before this one in the order of turns: the chain's order, then the other voters.
+    /// How many reachable voters come before this one in the order of turns: the chain's order,
+    /// then the other voters.
     pub(super) fn proposer_rank(&self) -> u64 {
         let mut request: Vec<Voter> = self.view.chain.iter().map(|s| s.voter).collect();
         request.extend(self.view.voters.iter().filter(|v| !self.view.contains(v)));
@@ -144,7 +153,8 @@
     }
 
     /// Sends the messages of the attempt's present phase (prepare, then accept), again after
-    /// [`Timing::proposal_retry_interval`](crate::Timing), and gives the attempt up at its deadline.
+    /// [`Timing::proposal_retry_interval`](crate::Timing), and gives the attempt up at its
+    /// deadline.
     pub(super) fn drive_proposal(&mut self) {
         let Some(attempt) = &mut self.view_change.attempt else {
             return;
@@ -181,8 +191,9 @@
         }
     }
 
-    /// The backoff before the next attempt, from half to two and a half times [`Timing::proposal_retry_interval`](crate::Timing). It
-    /// differs from replica to replica and from attempt to attempt, so that two proposers don't keep outbidding one another.
+    /// The backoff before the next attempt, from half to two and a half times
+    /// [`Timing::proposal_retry_interval`](crate::Timing). It differs from replica to replica and
+    /// from attempt to attempt, so that two proposers don't keep outbidding one another.
     pub(super) fn backoff(&self) -> Milliseconds {
         let mixed = (self.me.disk.0 as u64 ^ self.view_change.highest_count)
             .wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -192,7 +203,8 @@
         )
     }
 
-    /// Prepare, at a voter: promises to accept nothing with a lower number, once that is on its disk.
+    /// Prepare, at a voter: promises to accept nothing with a lower number, once that is on its
+    /// disk.
     pub(super) fn on_prepare(
         &mut self,
         from: Address,
@@ -265,8 +277,9 @@
         self.propose_view();
     }
 
-    /// The accept phase begins once a majority has promised, this replica among them: proposes the view with the highest
-    /// number that one of them has accepted, or, if there is none, the view that should follow by now.
+    /// The accept phase begins once a majority has promised, this replica among them: proposes the
+    /// view with the highest number that one of them has accepted, or, if there is none, the view
+    /// that should follow by now.
     pub(super) fn propose_view(&mut self) {
         let is_founding = self.view.epoch == ViewNumber(0);
         let attempt = self.view_change.attempt.as_ref();
@@ -317,8 +330,8 @@
         promisers.into_iter().any(is_unheard)
     }
 
-    /// Accept, at a voter: accepts unless it has promised a higher number, the view may not follow the present one, or
-    /// a lease that it granted to the tail still fences the view off.
+    /// Accept, at a voter: accepts unless it has promised a higher number, the view may not follow
+    /// the present one, or a lease that it granted to the tail still fences the view off.
     pub(super) fn on_accept(&mut self, from: Address, proposal: ViewProposal) {
         let instance = proposal.view.epoch;
         self.view_change.highest_count = self
@@ -360,7 +373,8 @@
         self.send(from, message);
     }
 
-    /// Accepted, at the proposer: with a majority the view is decided, announced to all, and installed here.
+    /// Accepted, at the proposer: with a majority the view is decided, announced to all, and
+    /// installed here.
     pub(super) fn on_accepted(
         &mut self,
         from: Address,
@@ -420,7 +434,8 @@
         }
     }
 
-    /// Installs a decided view. Decided views may come in any order and more than once; only a newer one counts.
+    /// Installs a decided view. Decided views may come in any order and more than once; only a
+    /// newer one counts.
     pub(super) fn install_view(&mut self, view: View) {
         if view.epoch <= self.view.epoch {
             return;
@@ -461,7 +476,8 @@
         self.forwarding.successor_progress = (SequenceNumber(0), self.now);
     }
 
-    /// Takes a decided view as the present one. A proposal accepted for it or an earlier one has served its purpose.
+    /// Takes a decided view as the present one. A proposal accepted for it or an earlier one has
+    /// served its purpose.
     pub(super) fn set_view(&mut self, view: View) {
         if self
             .accepted
--- a/crates/replication/src/replica/view_planning.rs
+++ b/crates/replication/src/replica/view_planning.rs
@@ -1,8 +1,10 @@
-//! Which view should come next, as this replica sees it: who is dropped from the chain, who joins it, whose vote moves.
+//! Which view should come next, as this replica sees it: who is dropped from the chain, who joins
+//! it, whose vote moves.
 //!
-//! Nothing here decides: a planned view becomes real by Paxos, see [`super::view_change`], and each voter checks
-//! [`View::may_be_followed_by`] for itself before it accepts. What must hold for safety is there; the rules here are for
-//! availability: a failed replica must not block the chain, and one that is draining must not be its last caught-up member.
+//! Nothing here decides: a planned view becomes real by Paxos, see [`super::view_change`], and each
+//! voter checks [`View::may_be_followed_by`] for itself before it accepts. What must hold for
+//! safety is there; the rules here are for availability: a failed replica must not block the chain,
+//! and one that is draining must not be its last caught-up member.
 
 use super::Replica;
 use crate::state_machine::StateMachine;
@@ -48,8 +50,8 @@
         peer.is_some_and(|peer| peer.view == self.view.epoch && peer.is_caught_up)
     }
 
-    /// Adds followers that are nearly caught up at the end of the chain, each with a vote of its own or one that it
-    /// takes over. Only the tail does this, since it feeds them.
+    /// Adds followers that are nearly caught up at the end of the chain, each with a vote of its
+    /// own or one that it takes over. Only the tail does this, since it feeds them.
     fn admit_followers(&self, chain: &mut Vec<ChainPosition>, voters: &mut Vec<Voter>) {
         for (voter, follower) in &self.catch_up.followers {
             let is_near = follower.last.0 + ADMISSION_LAG >= self.synced.0.0;
@@ -73,8 +75,9 @@
         chain.retain(|position| voters.contains(&position.voter));
     }
 
-    /// The index of the vote that a follower with another disk may take over: that of its own address, of a voter that
-    /// is draining, or of one unreachable for [`Timing::voter_replacement_timeout`](crate::Timing).
+    /// The index of the vote that a follower with another disk may take over: that of its own
+    /// address, of a voter that is draining, or of one unreachable for
+    /// [`Timing::voter_replacement_timeout`](crate::Timing).
     pub(super) fn replaceable_vote(
         &self,
         voters: &[Voter],
@@ -123,7 +126,8 @@
         .then_some(planned_view)
     }
 
-    /// Whether a view drops no caught-up member, or still has a caught-up member that isn't draining.
+    /// Whether a view drops no caught-up member, or still has a caught-up member that isn't
+    /// draining.
     pub(super) fn keeps_lasting_member(&self, next: &View) -> bool {
         let drops_caught_up = self
             .view
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -5,8 +5,8 @@
 pub enum Preview {
     /// The proposal may enter the chain.
     Admit,
-    /// The proposal must be rejected, with this answer for its origin. The answer is true only of the state that was looked
-    /// at, and nothing of the proposal is kept.
+    /// The proposal must be rejected, with this answer for its origin. The answer is true only of
+    /// the state that was looked at, and nothing of the proposal is kept.
     Reject(Vec<u8>),
 }
 
@@ -15,11 +15,11 @@
 /// Invariant: `apply` depends on nothing but the state and the body, so all who applied the same
 /// bodies hold the same state, and `restore(snapshot())` is that state again.
 pub trait StateMachine {
-    /// Checks a proposed change against the newest state: at the head, before it enters; and at the tail, before its
-    /// origin is told that it is rejected.
+    /// Checks a proposed change against the newest state: at the head, before it enters; and at the
+    /// tail, before its origin is told that it is rejected.
     fn preview(&self, body: &[u8]) -> Preview;
-    /// Whether a change may only enter while more than half of the fleet's members, and of the members before the last change
-    /// of the membership, hold leases.
+    /// Whether a change may only enter while more than half of the fleet's members, and of the
+    /// members before the last change of the membership, hold leases.
     fn requires_member_majority(&self, _body: &[u8]) -> bool {
         false
     }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -8,7 +8,8 @@
     pub struct Voter {
         /// Where the replica listens.
         pub address: Address,
-        /// The id of its disk. A wiped disk has another id, and so is another voter: it may have forgotten a promise.
+        /// The id of its disk. A wiped disk has another id, and so is another voter: it may have
+        /// forgotten a promise.
         pub disk: DiskId,
     }
 
@@ -17,15 +18,15 @@
     pub struct ChainPosition {
         /// The replica at this position.
         pub voter: Voter,
-        /// Whether it is agreed that the member holds every change that was ever committed. A newcomer's position
-        /// becomes caught up by a later view.
+        /// Whether it is agreed that the member holds every change that was ever committed. A
+        /// newcomer's position becomes caught up by a later view.
         pub is_caught_up: bool,
     }
 
     /// Who forms the chain, in order from head to tail, and who votes on the next view.
     ///
-    /// Invariants: for each number at most one view is decided. Members that were in the view before are in the
-    /// same order. At least one of them was caught up there. Each voter that a
+    /// Invariants: for each number at most one view is decided. Members that were in the view
+    /// before are in the same order. At least one of them was caught up there. Each voter that a
     /// view admits is in its chain.
     #[derive(Eq, Hash)]
     pub struct View {
@@ -67,7 +68,8 @@
     pub fn has_voter(&self, voter: &Voter) -> bool {
         self.voters.contains(voter)
     }
-    /// The member right after this one, to which it forwards changes. `None` for the tail and outside the chain.
+    /// The member right after this one, to which it forwards changes. `None` for the tail and
+    /// outside the chain.
     pub fn successor(&self, voter: &Voter) -> Option<Voter> {
         let place = self
             .chain
@@ -93,13 +95,14 @@
     ///
     /// The rules, and what breaks without each:
     ///
-    /// - The number is the next one, and somebody votes: otherwise no instance of Paxos could decide it, or the one after.
-    /// - Members kept from this view keep their order, and newcomers come last, not caught up: a member holds every change
-    ///   that its successor holds, which a reordered chain would break.
+    /// - The number is the next one, and somebody votes: otherwise no instance of Paxos could
+    ///   decide it, or the one after.
+    /// - Members kept from this view keep their order, and newcomers come last, not caught up: a
+    ///   member holds every change that its successor holds, which a reordered chain would break.
     /// - A member that was caught up stays: otherwise committed changes are lost.
     /// - No replica has two positions.
-    /// - Who is admitted as a voter is in the chain, and who is in the chain votes: a voter that holds nothing could help
-    ///   decide a chain of such as hold nothing.
+    /// - Who is admitted as a voter is in the chain, and who is in the chain votes: a voter that
+    ///   holds nothing could help decide a chain of such as hold nothing.
     pub fn may_be_followed_by(&self, next: &View) -> bool {
         next.epoch == self.epoch.next()
             && !next.voters.is_empty()
@@ -111,12 +114,13 @@
 
     fn keeps_order_in(&self, next: &View) -> bool {
         let next_members = next.chain.iter().map(|p| p.voter);
-        let kept: Vec<Voter> = next_members.filter(|v| self.contains(v)).collect();
+        let retained: Vec<Voter> = next_members.filter(|v| self.contains(v)).collect();
         let own_members = self.chain.iter().map(|p| p.voter);
         let in_old_order: Vec<Voter> = own_members.filter(|v| next.contains(v)).collect();
-        let mut after_kept = next.chain.iter().skip(kept.len());
-        let are_newcomers_last = after_kept.all(|p| !self.contains(&p.voter) && !p.is_caught_up);
-        kept == in_old_order && are_newcomers_last
+        let mut after_retained = next.chain.iter().skip(retained.len());
+        let are_newcomers_last =
+            after_retained.all(|p| !self.contains(&p.voter) && !p.is_caught_up);
+        retained == in_old_order && are_newcomers_last
     }
 
     fn keeps_caught_up_member_in(&self, next: &View) -> bool {
--- a/crates/replication/src/view/tests.rs
+++ b/crates/replication/src/view/tests.rs
@@ -31,7 +31,7 @@
     puts_a_newcomer_first = { view(2, &[(4, false), (1, true)], &[1, 2, 4]), false },
     calls_a_newcomer_level = { view(2, &[(1, true), (4, true)], &[1, 2, 4]), false },
     has_only_newcomers = { view(2, &[(4, false)], &[1, 2, 4]), false },
-    admits_a_voter_without_a_seat = { view(2, &[(1, true)], &[1, 2, 4]), false },
+    admits_a_voter_without_a_position = { view(2, &[(1, true)], &[1, 2, 4]), false },
     has_nobody = { view(2, &[], &[1, 2, 3]), false },
 )]
 fn only_safe_views_follow(next: View, is_safe: bool) {
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Each kind of record on the disk against its golden bytes, so that builds of before and after read each other's
-//! data. `COBALTFALL_WRITE_GOLDEN=1` in the environment writes them anew.
+//! Each kind of record on the disk against its golden bytes, so that builds of before and after
+//! read each other's data. `COBALTFALL_WRITE_GOLDEN=1` in the environment writes them anew.
 
 #[path = "../../types/tests/golden_file/mod.rs"]
 mod golden_file;
--- a/crates/storage/src/checked_file.rs
+++ b/crates/storage/src/checked_file.rs
@@ -1,6 +1,7 @@
 //! Small files that are replaced at once and checked when they are read.
 //!
-//! A file holds `cbflfile`, the length of its content (8 bytes, big-endian), the content's CRC-32 (4), and the content.
+//! A file holds `cbflfile`, the length of its content (8 bytes, big-endian), the content's CRC-32
+//! (4), and the content.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -9,8 +10,8 @@
 /// The bytes that each file begins with.
 const MAGIC: [u8; 8] = *b"cbflfile";
 
-/// Writes the file `name` in `folder`, its content the parts in order, so that a crash leaves the old file or the new one,
-/// complete, and syncs it.
+/// Writes the file `name` in `folder`, its content the parts in order, so that a crash leaves the
+/// old file or the new one, complete, and syncs it.
 ///
 /// # Errors
 ///
@@ -34,7 +35,8 @@
 ///
 /// # Errors
 ///
-/// The operating system's, or one of kind [`io::ErrorKind::InvalidData`] if the file is not complete or fails its check.
+/// The operating system's, or one of kind [`io::ErrorKind::InvalidData`] if the file is not
+/// complete or fails its check.
 pub fn read_file(folder: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
     let bytes = match fs::read(folder.join(name)) {
         Ok(bytes) => bytes,
--- a/crates/storage/src/checked_file/tests.rs
+++ b/crates/storage/src/checked_file/tests.rs
@@ -9,16 +9,16 @@
         read_file(folder.path(), "checked_file").unwrap(),
         Some(b"some words".to_vec())
     );
-    let whole = fs::read(folder.path().join("checked_file")).unwrap();
-    for place in 0..whole.len() {
-        let mut bent = whole.clone();
-        bent[place] ^= 1;
-        fs::write(folder.path().join("checked_file"), &bent).unwrap();
+    let intact = fs::read(folder.path().join("checked_file")).unwrap();
+    for place in 0..intact.len() {
+        let mut damaged = intact.clone();
+        damaged[place] ^= 1;
+        fs::write(folder.path().join("checked_file"), &damaged).unwrap();
         assert!(
             read_file(folder.path(), "checked_file").is_err(),
             "byte {place} bent unnoticed"
         );
-        fs::write(folder.path().join("checked_file"), &whole[..place]).unwrap();
+        fs::write(folder.path().join("checked_file"), &intact[..place]).unwrap();
         assert!(
             read_file(folder.path(), "checked_file").is_err(),
             "torn at {place} unnoticed"
--- a/crates/storage/src/data_folder.rs
+++ b/crates/storage/src/data_folder.rs
@@ -27,10 +27,11 @@
 /// A data folder that is open for writing.
 ///
 /// Invariants: a record that [`Storage::write`] returned for is synced. Records count from the last
-/// snapshot on: each carries the snapshot's generation, and others are passed over. Entries are numbered
-/// without gaps within a generation, and one begins only after the one before is synced. Each generation has
-/// a log folder of its own, which is complete and synced before the snapshot that names it: no file of a
-/// log is ever renamed or reused. The disk id is in the folder before any record is.
+/// snapshot on: each carries the snapshot's generation, and others are passed over. Entries are
+/// numbered without gaps within a generation, and one begins only after the one before is synced.
+/// Each generation has a log folder of its own, which is complete and synced before the snapshot
+/// that names it: no file of a log is ever renamed or reused. The disk id is in the folder before
+/// any record is.
 pub struct Storage {
     folder: PathBuf,
     disk: DiskId,
@@ -50,13 +51,14 @@
 }
 
 impl Storage {
-    /// Opens a folder, which is made if there is none. One that is empty, or was wiped in part, becomes a new disk with the id
-    /// `new_id`.
+    /// Opens a folder, which is made if there is none. One that is empty, or was wiped in part,
+    /// becomes a new disk with the id `new_id`.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Io`] if the operating system refuses, [`StorageError::Damaged`] if what is there isn't what was
-    /// written. An entry at the end of the log that was torn by a loss of power is no damage: it was never acknowledged.
+    /// [`StorageError::Io`] if the operating system refuses, [`StorageError::Damaged`] if what is
+    /// there isn't what was written. An entry at the end of the log that was torn by a loss of
+    /// power is no damage: it was never acknowledged.
     pub fn open(folder: &Path, new_id: DiskId) -> Result<RecoveredStorage, StorageError> {
         fs::create_dir_all(folder).map_err(StorageError::io("make the data folder"))?;
         if has_files(&folder.join(EARLIER_LOG)) {
@@ -90,8 +92,8 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError::Io`] if the disk refuses, [`StorageError::Gone`] if the folder isn't the one that was opened or an
-    /// earlier write failed. The records may or may not be on the disk then.
+    /// [`StorageError::Io`] if the disk refuses, [`StorageError::Gone`] if the folder isn't the one
+    /// that was opened or an earlier write failed. The records may or may not be on the disk then.
     pub fn write(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let header = RecordHeader {
             generation: self.generation,
@@ -108,7 +110,8 @@
         self.check_id()
     }
 
-    /// Puts these records in place of all before, at once, and syncs: a snapshot with an empty log of the next generation.
+    /// Puts these records in place of all before, at once, and syncs: a snapshot with an empty log
+    /// of the next generation.
     ///
     /// # Errors
     ///
@@ -129,8 +132,8 @@
         self.check_id()
     }
 
-    /// Runs a write. The library panics when even taking a failed write back fails; that too is an error
-    /// of the disk. After an error the folder must be opened anew.
+    /// Runs a write. The library panics when even taking a failed write back fails; that too is an
+    /// error of the disk. After an error the folder must be opened anew.
     fn guarded(
         &mut self,
         write: impl FnOnce(&WriteAheadLog) -> io::Result<()>,
@@ -159,7 +162,8 @@
     }
 }
 
-/// The disk id, generation and snapshot's records of a folder; `None` if it's new or was wiped in part.
+/// The disk id, generation and snapshot's records of a folder; `None` if it's new or was wiped in
+/// part.
 fn read_disk(folder: &Path) -> Result<Option<(DiskId, u64, Vec<Vec<u8>>)>, StorageError> {
     let id = read_file(folder, ID).map_err(StorageError::io("read the disk id"))?;
     let snapshot = read_file(folder, SNAPSHOT)
@@ -176,7 +180,8 @@
     Ok(Some((DiskId(u128::from_be_bytes(id)), generation, records)))
 }
 
-/// Opens the log of the present generation and reads it. Logs of other generations are left over from a crash, and are removed.
+/// Opens the log of the present generation and reads it. Logs of other generations are left over
+/// from a crash, and are removed.
 fn recover_log(folder: &Path, generation: u64) -> Result<(WriteAheadLog, Recovered), StorageError> {
     remove_other_logs(folder, generation).map_err(StorageError::io("remove other logs"))?;
     let log = folder.join(log_name(generation));
--- a/crates/storage/src/data_folder/tests.rs
+++ b/crates/storage/src/data_folder/tests.rs
@@ -3,7 +3,7 @@
 use types::DiskId;
 
 fn records(words: &[&str]) -> Vec<Vec<u8>> {
-    words.iter().map(|word| word.as_bytes().to_vec()).collect()
+    words.iter().map(|text| text.as_bytes().to_vec()).collect()
 }
 
 #[test]
@@ -48,29 +48,29 @@
     let mut opened = Storage::open(folder.path(), DiskId(7)).unwrap();
     ["first", "second", "third"]
         .iter()
-        .for_each(|word| opened.storage.write(&records(&[word])).unwrap());
+        .for_each(|text| opened.storage.write(&records(&[text])).unwrap());
     drop(opened);
     let mut files = fs::read_dir(folder.path().join(log_name(FIRST))).unwrap();
     let path = files.next().unwrap().unwrap().path();
     assert!(files.next().is_none());
-    let whole = fs::read(&path).unwrap();
-    (folder, path, whole)
+    let intact = fs::read(&path).unwrap();
+    (folder, path, intact)
 }
 
 #[test]
 fn a_damaged_log_is_never_served_except_that_the_last_entry_may_look_torn() {
-    let (folder, path, whole) = three_entries();
-    let used = whole.iter().rposition(|byte| *byte != 0).unwrap() + 1;
-    let third = whole
+    let (folder, path, intact) = three_entries();
+    let used = intact.iter().rposition(|byte| *byte != 0).unwrap() + 1;
+    let third = intact
         .windows(5)
         .position(|window| window == b"third")
         .unwrap()
         - HEADER_BYTES;
     let good = records(&["first", "second", "third"]);
     for place in 0..used {
-        let mut bent = whole.clone();
-        bent[place] ^= 0x40;
-        fs::write(&path, &bent).unwrap();
+        let mut damaged = intact.clone();
+        damaged[place] ^= 0x40;
+        fs::write(&path, &damaged).unwrap();
         if let Ok(opened) = Storage::open(folder.path(), DiskId(8)) {
             let is_harmless = opened.records == good;
             // From the end of the second entry on: as if power had failed while the third was written.
@@ -88,14 +88,14 @@
 
 #[test]
 fn a_log_torn_in_its_last_entry_gives_all_before_it() {
-    let (folder, path, whole) = three_entries();
-    let third = whole
+    let (folder, path, intact) = three_entries();
+    let third = intact
         .windows(5)
         .position(|window| window == b"third")
         .unwrap();
-    for cut in third - HEADER_BYTES - 8..third + 5 {
-        let mut torn = whole.clone();
-        torn[cut..].fill(0);
+    for end in third - HEADER_BYTES - 8..third + 5 {
+        let mut torn = intact.clone();
+        torn[end..].fill(0);
         fs::write(&path, &torn).unwrap();
         let mut opened = Storage::open(folder.path(), DiskId(8)).unwrap();
         assert_eq!(
@@ -111,17 +111,17 @@
 
 #[test]
 fn a_wiped_folder_is_another_disk_even_if_wiped_in_part_or_in_use() {
-    for gone in [ID, SNAPSHOT, &log_name(FIRST)] {
+    for removed_name in [ID, SNAPSHOT, &log_name(FIRST)] {
         let folder = tempfile::tempdir().unwrap();
         let mut opened = Storage::open(folder.path(), DiskId(7)).unwrap();
         opened.storage.write(&records(&["a"])).unwrap();
-        let path = folder.path().join(gone);
+        let path = folder.path().join(removed_name);
         if path.is_dir() {
             fs::remove_dir_all(path).unwrap()
         } else {
             fs::remove_file(path).unwrap()
         }
-        if gone == ID {
+        if removed_name == ID {
             assert!(matches!(
                 opened.storage.write(&records(&["b"])),
                 Err(StorageError::Gone)
@@ -132,7 +132,7 @@
         assert_eq!(
             (opened.disk, opened.records.len()),
             (DiskId(8), 0),
-            "without {gone}"
+            "without {removed_name}"
         );
     }
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -2,10 +2,12 @@
 
 use std::io;
 
-/// Why a data folder can't be used. Nothing in it is served; after any error it must be opened anew.
+/// Why a data folder can't be used. Nothing in it is served; after any error it must be opened
+/// anew.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The operating system refused an operation. A full disk or one that hangs may recover: open the folder again later.
+    /// The operating system refused an operation. A full disk or one that hangs may recover: open
+    /// the folder again later.
     #[error("could not {action}: {source}; free or repair the disk, then open the folder again")]
     Io {
         /// What was tried.
@@ -13,11 +15,12 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// What is there isn't what was written. Opening the folder again doesn't help: move it away, and let the replica catch
-    /// up with an empty one.
+    /// What is there isn't what was written. Opening the folder again doesn't help: move it away,
+    /// and let the replica catch up with an empty one.
     #[error("the data folder is damaged: {0}; move it away and start with an empty one")]
     Damaged(#[from] Damage),
-    /// The folder was emptied or replaced while it was in use. Opening it again makes it a new disk.
+    /// The folder was emptied or replaced while it was in use. Opening it again makes it a new
+    /// disk.
     #[error("the data folder was emptied or replaced while in use; it must be opened again")]
     Gone,
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,4 +1,5 @@
-//! The data folder of a replica: a write-ahead log of records, and a snapshot that replaces everything before it.
+//! The data folder of a replica: a write-ahead log of records, and a snapshot that replaces
+//! everything before it.
 //!
 //! A folder holds:
 //!
@@ -10,12 +11,16 @@
 //!
 //! Rules, and what breaks without them:
 //!
-//! - A record is acknowledged only once it is synced: otherwise a loss of power takes back what a replica said.
-//! - Each snapshot begins a log of its own, which is complete and synced before the snapshot names it: a crash between the
-//!   two leaves the old snapshot with the old log. No file of a log is ever renamed or reused.
-//! - Each record carries its generation and entry number and a checksum, so that damage in the middle of a log is told from an entry
-//!   that was torn by a loss of power: the former must not be served, the latter was never acknowledged.
-//! - A folder without its disk id is another disk: its replica may have forgotten promises, so it must not vote as the old one.
+//! - A record is acknowledged only once it is synced: otherwise a loss of power takes back what a
+//!   replica said.
+//! - Each snapshot begins a log of its own, which is complete and synced before the snapshot names
+//!   it: a crash between the two leaves the old snapshot with the old log. No file of a log is ever
+//!   renamed or reused.
+//! - Each record carries its generation and entry number and a checksum, so that damage in the
+//!   middle of a log is told from an entry that was torn by a loss of power: the former must not be
+//!   served, the latter was never acknowledged.
+//! - A folder without its disk id is another disk: its replica may have forgotten promises, so it
+//!   must not vote as the old one.
 
 #![warn(missing_docs)]
 
--- a/crates/storage/src/record_frame.rs
+++ b/crates/storage/src/record_frame.rs
@@ -1,7 +1,7 @@
 //! The framing of records in the log: a header of 28 bytes, then the record.
 //!
-//! The header holds, each number in big-endian order: 4 bytes `cbre`, the generation (8), the entry (8), the length of the
-//! record (4), and the CRC-32 of all that and the record (4).
+//! The header holds, each number in big-endian order: 4 bytes `cbre`, the generation (8), the entry
+//! (8), the length of the record (4), and the CRC-32 of all that and the record (4).
 
 /// The length of a header in bytes.
 pub(crate) const HEADER_BYTES: usize = 28;
@@ -31,20 +31,21 @@
         bytes.extend_from_slice(record);
         bytes
     }
-    /// The record that these bytes begin with; `None` if they begin with no complete record or its check fails.
+    /// The record that these bytes begin with; `None` if they begin with no complete record or its
+    /// check fails.
     pub(crate) fn open(bytes: &[u8]) -> Option<(RecordHeader, &[u8])> {
         let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
-        let number =
+        let number64 =
             |from: usize| u64::from_be_bytes(header[from..from + 8].try_into().unwrap_or_default());
-        let word =
+        let number32 =
             |from: usize| u32::from_be_bytes(header[from..from + 4].try_into().unwrap_or_default());
-        let record = rest.get(..word(20) as usize)?;
+        let record = rest.get(..number32(20) as usize)?;
         let is_good =
-            header[..4] == MAGIC && word(24) == RecordHeader::check(&header[..24], record);
+            header[..4] == MAGIC && number32(24) == RecordHeader::check(&header[..24], record);
         is_good.then_some((
             RecordHeader {
-                generation: number(4),
-                entry: number(12),
+                generation: number64(4),
+                entry: number64(12),
             },
             record,
         ))
--- a/crates/storage/src/snapshot_file.rs
+++ b/crates/storage/src/snapshot_file.rs
@@ -1,7 +1,8 @@
 //! The snapshot file: the records that stand for everything before a generation's log.
 //!
-//! It holds the generation (8 bytes, big-endian), the number of records (8), and each record after its length (8).
-//! [`crate::write_file`] adds a checksum, and makes sure that a crash leaves the old file or the new one.
+//! It holds the generation (8 bytes, big-endian), the number of records (8), and each record after
+//! its length (8). [`crate::write_file`] adds a checksum, and makes sure that a crash leaves the
+//! old file or the new one.
 
 use crate::checked_file::write_file;
 use crate::error::Damage;
--- a/crates/types/src/delta.rs
+++ b/crates/types/src/delta.rs
@@ -3,7 +3,8 @@
 use crate::messages;
 
 messages! {
-    /// Turns one version's bytes into another's by replacing the `removed` bytes from `start` on with `inserted`.
+    /// Turns one version's bytes into another's by replacing the `removed` bytes from `start` on
+    /// with `inserted`.
     #[derive(Eq, Default)]
     pub struct Delta {
         /// The offset of the first byte that is replaced.
@@ -43,7 +44,8 @@
             .checked_add(self.removed)
             .is_some_and(|end| end <= old.len() as u64)
     }
-    /// The delta that turns the new bytes back into `old`; `None` if the range of this one is beyond the end of `old`.
+    /// The delta that turns the new bytes back into `old`; `None` if the range of this one is
+    /// beyond the end of `old`.
     pub fn reverse(&self, old: &[u8]) -> Option<Delta> {
         let start = usize::try_from(self.start).ok()?;
         let end = start.checked_add(usize::try_from(self.removed).ok()?)?;
@@ -56,7 +58,8 @@
     }
 }
 
-/// Applies deltas one after another; `None` if one doesn't fit. The bytes are copied once, however many deltas there are.
+/// Applies deltas one after another; `None` if one doesn't fit. The bytes are copied once, however
+/// many deltas there are.
 pub fn revert<'a>(bytes: &'a [u8], deltas: impl IntoIterator<Item = &'a Delta>) -> Option<Vec<u8>> {
     let mut parts: Vec<&[u8]> = vec![bytes];
     for delta in deltas {
--- a/crates/types/src/disk_id.rs
+++ b/crates/types/src/disk_id.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-/// The id of one disk's contents, 128 random bits. It is drawn when an empty data folder is first used, and lost
-/// with it.
+/// The id of one disk's contents, 128 random bits. It is drawn when an empty data folder is first
+/// used, and lost with it.
 ///
-/// Invariant: two folders that were ever empty at different times never share one, so a wiped
-/// disk can't be taken for the disk that it was.
+/// Invariant: two folders that were ever empty at different times never share one, so a wiped disk
+/// can't be taken for the disk that it was.
 #[derive(
     Debug,
     Clone,
--- a/crates/types/src/moment.rs
+++ b/crates/types/src/moment.rs
@@ -1,12 +1,14 @@
-//! Time: instants of the monotonic clock and durations, both in whole milliseconds, in forms that can be stored and sent.
+//! Time: instants of the monotonic clock and durations, both in whole milliseconds, in forms that
+//! can be stored and sent.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// An instant of this machine's monotonic clock, in milliseconds since boot; time in which the machine is suspended counts.
+/// An instant of this machine's monotonic clock, in milliseconds since boot; time in which the
+/// machine is suspended counts.
 ///
-/// Invariant: only compared with instants of the same machine since the same boot. Wall clock
-/// time is never turned into one, so a jump of the wall clock decides nothing.
+/// Invariant: only compared with instants of the same machine since the same boot. Wall clock time
+/// is never turned into one, so a jump of the wall clock decides nothing.
 #[derive(
     Debug,
     Clone,
--- a/crates/types/src/names.rs
+++ b/crates/types/src/names.rs
@@ -16,8 +16,8 @@
             pub fn as_str(&self) -> &str {
                 &self.0
             }
-            /// Whether the name may stand in a path, a log line or a configuration: 1 to 64 ASCII letters, digits,
-            /// or `-_.:`.
+            /// Whether the name may stand in a path, a log line or a configuration: 1 to 64 ASCII
+            /// letters, digits, or `-_.:`.
             pub fn is_valid(&self) -> bool {
                 let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
                 (1..=64).contains(&self.0.len()) && self.0.chars().all(is_plain)
--- a/crates/types/src/random.rs
+++ b/crates/types/src/random.rs
@@ -1,6 +1,7 @@
 //! Random bytes for ids.
 
-/// Random bytes from `/dev/urandom`, for ids that must never come twice: a disk's, an incarnation's.
+/// Random bytes from `/dev/urandom`, for ids that must never come twice: a disk's, an
+/// incarnation's.
 ///
 /// # Panics
 ///
--- a/crates/types/src/result_code.rs
+++ b/crates/types/src/result_code.rs
@@ -1,15 +1,17 @@
-//! Result codes: what became of a request, a plan or a message, as stable numbers. `docs/result-codes.md` lists them.
+//! Result codes: what became of a request, a plan or a message, as stable numbers.
+//! `docs/result-codes.md` lists them.
 
 use crate::moment::Milliseconds;
 use std::fmt;
 
 macro_rules! result_codes {
     ($($name:ident = $number:literal, $http:literal, $back:literal, $word:literal, $what:literal;)*) => {
-        /// What became of a request, a plan or a message, as a number that never changes its meaning.
+        /// What became of a request, a plan or a message, as a number that never changes its
+        /// meaning.
         ///
-        /// Invariant: 1xx means that the request never ran and never will; 2xx that it may have run;
-        /// 3xx concern operators; 4xx concern our own processes. A number that is no more
-        /// used (112) comes back for nothing else.
+        /// Invariant: 1xx means that the request never ran and never will; 2xx that it may have
+        /// run; 3xx concern operators; 4xx concern our own processes. A number that is no more used
+        /// (112) comes back for nothing else.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
         pub enum ResultCode {
@@ -27,7 +29,8 @@
             pub fn http_status(self) -> u16 {
                 match self { $(ResultCode::$name => $http),* }
             }
-            /// After how long a retry may help, if it may: sent as `retry-after` unless something later is known.
+            /// After how long a retry may help, if it may: sent as `retry-after` unless something
+            /// later is known.
             pub fn comes_back(self) -> Option<Milliseconds> {
                 let seconds = match self { $(ResultCode::$name => $back),* };
                 (seconds > 0).then(|| Milliseconds::seconds(seconds))
--- a/crates/types/src/token_key.rs
+++ b/crates/types/src/token_key.rs
@@ -2,7 +2,8 @@
 
 use std::fmt;
 
-/// The key by which the fleet's tokens are checked: drawn once, stored by the controllers, sent with each lease.
+/// The key by which the fleet's tokens are checked: drawn once, stored by the controllers, sent
+/// with each lease.
 ///
 /// Invariant: never shown, neither in logs nor in answers.
 #[derive(Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
