--- a/crates/testbed/src/world/aimed/tests.rs
+++ b/crates/simulator/src/world/aimed/tests.rs
@@ -1,4 +1,4 @@
-use crate::process_group::Deployment;
+use crate::deployment::Deployment;
 use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
 use types::Milliseconds;
 use yare::parameterized;
--- a/crates/testbed/src/world/connections/tests.rs
+++ b/crates/simulator/src/world/connections/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::process_group::Deployment;
+use crate::deployment::Deployment;
 use crate::world::{Mutant, World, WorldRules};
 use types::{Address, ConfigEpoch};
 
--- a/crates/testbed/src/world/rules.rs
+++ b/crates/simulator/src/world/rules.rs
@@ -1,7 +1,7 @@
 //! How a run goes.
 
 use super::*;
-use crate::process_group::Deployment;
+use crate::deployment::Deployment;
 use crate::schedule::ScheduleRules;
 use crate::world::{FaultKind, Mutant};
 use types::Milliseconds;
--- a/crates/testbed/src/world/tests.rs
+++ b/crates/simulator/src/world/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::process_group::Deployment;
+use crate::deployment::Deployment;
 use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
 use types::{Milliseconds, ResultCode};
 use yare::parameterized;
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,7 +1,8 @@
 use crate::fleet::{Fleet, FleetOptions, join_logs, plan_of};
-use crate::process_group::{Deployment, ProcessGroup};
-use crate::schedule::ScheduleRules;
+use crate::process_group::ProcessGroup;
 use loadgen::{Campaign, CampaignRules, Mix, Report};
+use simulator::Deployment;
+use simulator::ScheduleRules;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use types::Milliseconds;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,7 +1,7 @@
-use crate::process_group::{Deployment, Shape};
 use crate::stand_in::RunLog;
 use config::{ServicePlan, parse_plan};
 use loadgen::{Asked, Fate, Report};
+use simulator::{Deployment, Shape};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
 use std::net::TcpListener;
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,9 +1,9 @@
 //! Many nodes without clients: the routers' own control state and inner protocol, real controllers, loopback.
 
 use crate::fleet::{Fleet, FleetOptions};
-use crate::process_group::Shape;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
+use simulator::Shape;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,13 +1,14 @@
 use clap::{Parser, Subcommand};
 use loadgen::{Campaign, CampaignRules, Mix, Report};
+use model_checker::{ClusterRules, Counterexample, DeliberateFault, Limits, Walk, explore, walk};
+use simulator::{Deployment, FaultKind, Mutant, ScheduleRules, World, WorldRules};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use testbed::{
-    AnswersMutant, AnswersRules, ClusterRules, CompareRules, Counterexample, DeliberateFault,
-    Deployment, FaultKind, Fleet, FleetOptions, HollowReport, HollowRules, Limits, MeasureRules,
-    Mutant, ProcessGroup, Question, ScheduleRules, Sweep, Walk, World, WorldRules, compare,
-    explore, hollow, join_logs, measure, plan_of, play_answers, plot, serve_hollow, walk,
+    AnswersMutant, AnswersRules, CompareRules, Fleet, FleetOptions, HollowReport, HollowRules,
+    MeasureRules, ProcessGroup, Question, Sweep, compare, hollow, join_logs, measure, plan_of,
+    play_answers, plot, serve_hollow,
 };
 use types::{Milliseconds, ServiceName};
 
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,7 +1,7 @@
-use crate::process_group::Deployment;
-use crate::schedule::ScheduleRules;
-use crate::world::{Witness, World, WorldRules};
 use placement::SchedulerRules;
+use simulator::Deployment;
+use simulator::ScheduleRules;
+use simulator::{Witness, World, WorldRules};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -1,7 +1,7 @@
-use crate::schedule::{Progress, Schedule, ScheduleRules, Strike};
 use loadgen::print_of;
 use placement::PrefixHash;
 use router::{LIFE_HEADER, RunPiece, RunRequest, ServerReport};
+use simulator::{Progress, Schedule, ScheduleRules, Strike};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -2,11 +2,9 @@
 //! built: `cargo build --workspace`.
 
 use loadgen::{Asked, Campaign, CampaignRules, Fate, Mix, PlannedRequest, Report, ask};
+use simulator::{Deployment, ScheduleRules, Strike};
 use std::sync::{Arc, Mutex, MutexGuard};
-use testbed::{
-    Daemon, Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, Strike, join_logs,
-    plan_of,
-};
+use testbed::{Daemon, Fleet, FleetOptions, ProcessGroup, join_logs, plan_of};
 use types::{Address, Clock, Milliseconds, MonotonicInstant, ResultCode};
 
 const PATIENCE: Milliseconds = Milliseconds::seconds(30);
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,7 +1,8 @@
 //! A fleet of real processes on loopback. Needs the workspace to be built: `cargo build --workspace`.
 
 use loadgen::{Asked, Campaign, CampaignRules, Mix, Report};
-use testbed::{Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, join_logs, plan_of};
+use simulator::{Deployment, ScheduleRules};
+use testbed::{Fleet, FleetOptions, ProcessGroup, join_logs, plan_of};
 use types::Milliseconds;
 
 /// A fleet that serves, with its crew.
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -6,8 +6,9 @@
 mod golden_file;
 
 use serde_json::Value;
+use simulator::{Deployment, ScheduleRules};
 use std::collections::BTreeSet;
-use testbed::{Daemon, Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, plan_of};
+use testbed::{Daemon, Fleet, FleetOptions, ProcessGroup, plan_of};
 use types::Milliseconds;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_testbed");
--- a/crates/testbed/tests/interfaces.rs
+++ b/crates/testbed/tests/interfaces.rs
@@ -3,8 +3,9 @@
 
 use loadgen::{Fate, PlannedRequest, ask};
 use serde_json::Value;
+use simulator::{Deployment, ScheduleRules, Strike};
 use std::process::Command;
-use testbed::{Deployment, Fleet, FleetOptions, ProcessGroup, ScheduleRules, Strike, plan_of};
+use testbed::{Fleet, FleetOptions, ProcessGroup, plan_of};
 use transport::{http_post, read_all};
 use types::{Address, Milliseconds, RunId, ServerName, TokenKey};
 
--- a/crates/testbed/tests/lives.rs
+++ b/crates/testbed/tests/lives.rs
@@ -1,7 +1,8 @@
 //! Servers that restart in place: what was meant for a former life of theirs is refused unrun.
 
 use router::{LIFE_HEADER, RunRequest};
-use testbed::{ScheduleRules, StandIn};
+use simulator::ScheduleRules;
+use testbed::StandIn;
 use transport::{HttpRequest, read_all};
 use types::{Address, Milliseconds, RunId, ServiceName};
 use yare::parameterized;
