--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -6,5 +6,5 @@
 mod world;
 
 pub use deployment::{Deployment, Shape};
-pub use schedule::{Progress, Schedule, ScheduleRules, Strike};
+pub use schedule::{Progress, Schedule, ScheduleRules, ServerFault};
 pub use world::{FaultKind, Mutant, Witness, World, WorldRules};
--- a/crates/simulator/src/schedule.rs
+++ b/crates/simulator/src/schedule.rs
@@ -42,7 +42,7 @@
 
 /// What may be wrong with a server, on demand.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Strike {
+pub struct ServerFault {
     /// It takes requests and never answers.
     pub is_dark: bool,
     /// It refuses all requests unrun.
@@ -71,7 +71,7 @@
     uses: u64,
     imports: Vec<(MonotonicInstant, PrefixHash)>,
     /// What may be wrong.
-    pub strike: Strike,
+    pub fault: ServerFault,
 }
 
 #[derive(Debug, Clone)]
@@ -109,7 +109,7 @@
             cache: BTreeMap::new(),
             uses: 0,
             imports: vec![],
-            strike: Strike::default(),
+            fault: ServerFault::default(),
         }
     }
     /// Takes a request; `false` if it's refused unrun.
@@ -120,7 +120,7 @@
             .filter(|run| run.start > now && !run.is_cancelled)
             .count();
         if waiting >= self.rules.queue
-            || self.strike.does_refuse
+            || self.fault.does_refuse
             || self.runs.contains_key(&request.run)
         {
             return false;
@@ -136,7 +136,7 @@
             self.cache.insert(*hash, self.uses);
         }
         self.evict();
-        let slow = u64::from(self.strike.slowness.max(1));
+        let slow = u64::from(self.fault.slowness.max(1));
         let prefill =
             Milliseconds((hashes.len() - matched) as u64 * self.rules.block_micros * slow / 1000);
         let slot = (0..self.slots.len())
@@ -147,7 +147,7 @@
         let piece = Milliseconds(self.rules.piece.0 * slow);
         let pieces = u64::from(request.max_pieces);
         self.slots[slot] = first + Milliseconds(piece.0 * pieces.saturating_sub(1));
-        let breaks_after = self.strike.breaks_after;
+        let breaks_after = self.fault.breaks_after;
         let print = print_of(&request.prompt);
         let run = Run {
             print,
@@ -219,7 +219,7 @@
     }
     /// Takes an import; it's there after a while.
     pub fn import(&mut self, prefix: PrefixHash, now: MonotonicInstant) {
-        if !self.strike.loses_copies {
+        if !self.fault.loses_copies {
             self.imports.push((now + self.rules.copy, prefix));
         }
     }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -16,14 +16,12 @@
 };
 use wire::Message;
 
-mod aimed;
 mod checks;
 mod connections;
-mod disk_losses;
 mod door;
+mod event;
 mod fault_kinds;
 mod faults;
-mod happening;
 mod history;
 mod linearizability;
 mod machines;
@@ -42,7 +40,7 @@
 pub use mutants::Mutant;
 pub use rules::WorldRules;
 
-use happening::Happening;
+use event::Event;
 
 /// Many nodes in one process, on virtual time, network and disks. The same seed gives the same run.
 ///
@@ -54,7 +52,7 @@
     random: u64,
     next_number: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    events: BTreeMap<u64, Event>,
     controllers: Vec<ControllerMachine>,
     routers: Vec<RouterMachine>,
     relays: Vec<relays::RelayMachine>,
@@ -95,7 +93,7 @@
     controller: Option<Controller>,
     incarnation: u64,
     frozen_until: u64,
-    late: Vec<Happening>,
+    late: Vec<Event>,
     disk: SimDisk,
     is_gone: bool,
 }
@@ -149,7 +147,7 @@
     node: Option<Node>,
     incarnation: u64,
     frozen_until: u64,
-    late: Vec<Happening>,
+    late: Vec<Event>,
     is_cut_off: bool,
     /// Lost for good, as far as its operator knows.
     is_lost: bool,
@@ -211,7 +209,7 @@
             random: mix(rules.seed),
             next_number: 0,
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            events: BTreeMap::new(),
             controllers: vec![],
             routers: vec![],
             relays: vec![],
@@ -248,9 +246,9 @@
                 break;
             }
             self.now = at;
-            if let Some(happening) = self.happenings.remove(&number) {
+            if let Some(event) = self.events.remove(&number) {
                 self.trace = mix(self.trace ^ mix(at) ^ number);
-                self.happen(happening);
+                self.handle_event(event);
             }
         }
         self.now = end;
@@ -275,11 +273,11 @@
         self.below(100) < percent
     }
 
-    fn put(&mut self, after: u64, happening: Happening) {
+    fn put(&mut self, after: u64, event: Event) {
         self.next_number += 1;
         self.queue
             .push(Reverse((self.now + after, self.next_number)));
-        self.happenings.insert(self.next_number, happening);
+        self.events.insert(self.next_number, event);
     }
 
     fn people(&mut self) {
@@ -301,10 +299,7 @@
                 offset,
                 SimDisk::new(id, delay),
             ));
-            self.put(
-                place as u64 * 7,
-                Happening::StartController { machine: place },
-            );
+            self.put(place as u64 * 7, Event::StartController { machine: place });
         }
         for place in 0..self.rules.routers.unwrap_or(shape.routers) {
             let offset = 1_000_000 + self.below(1_000_000_000);
@@ -323,10 +318,7 @@
                 old: None,
                 touch: touch::Touch::default(),
             });
-            self.put(
-                10 + place as u64 * 3,
-                Happening::StartRouter { machine: place },
-            );
+            self.put(10 + place as u64 * 3, Event::StartRouter { machine: place });
         }
         for (pool, count) in [("model", shape.models), ("app", shape.apps)] {
             for place in 0..count {
@@ -349,9 +341,9 @@
         }
         self.place_relays();
         self.publish();
-        self.put(1500, Happening::Operate);
-        self.put(3000, Happening::Arrival);
-        self.put(500, Happening::Check);
+        self.put(1500, Event::Operate);
+        self.put(3000, Event::Arrival);
+        self.put(500, Event::Check);
         self.plan_faults();
     }
 
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -42,7 +42,7 @@
     pub back_ms: (Option<u64>, Option<u64>),
     /// After the last fault was healed: until all controllers sat in the chain, level, in one view.
     pub level_ms: Option<u64>,
-    /// What all happenings mix to.
+    /// What all events mix to.
     pub trace: u64,
     /// The faults.
     pub faults: Vec<String>,
@@ -512,7 +512,7 @@
 impl World {
     /// Now and then: whether any node believes what nobody else may.
     pub(super) fn on_check(&mut self) {
-        self.put(40, Happening::Check);
+        self.put(40, Event::Check);
         let calm_for = self.now.saturating_sub(self.witness.calm_from);
         if self.witness.calm_from > 0 && self.witness.level_ms.is_none() && self.is_core_level() {
             self.witness.level_ms = Some(calm_for);
--- a/crates/simulator/src/world/connections.rs
+++ b/crates/simulator/src/world/connections.rs
@@ -125,10 +125,7 @@
         if arrives {
             self.carry(from, to, message);
         }
-        self.put(
-            FIRST_PAUSE,
-            Happening::SendBytesAgain { key, stall: number },
-        );
+        self.put(FIRST_PAUSE, Event::SendBytesAgain { key, stall: number });
     }
 
     /// A connection's pause is over.
@@ -159,7 +156,7 @@
         if is_open {
             line.stall = None;
         } else {
-            self.put(pause, Happening::SendBytesAgain { key, stall: number });
+            self.put(pause, Event::SendBytesAgain { key, stall: number });
         }
         queue
             .into_iter()
@@ -224,7 +221,7 @@
             let again = delay + self.below(300);
             self.put(
                 again,
-                Happening::Message {
+                Event::Message {
                     to,
                     from,
                     message: message.clone(),
@@ -235,14 +232,14 @@
         {
             self.put(
                 delay + 10,
-                Happening::Message {
+                Event::Message {
                     to,
                     from,
                     message: message.clone(),
                 },
             );
         }
-        self.put(delay, Happening::Message { to, from, message });
+        self.put(delay, Event::Message { to, from, message });
     }
 
     /// For the mutant that answers twice: which operator is behind a controller's question.
--- a/crates/simulator/src/world/connections/tests.rs
+++ b/crates/simulator/src/world/connections/tests.rs
@@ -20,7 +20,7 @@
             ..WorldRules::new(Deployment::Pahana, 1)
         });
         world.queue.clear();
-        world.happenings.clear();
+        world.events.clear();
         let (from, to) = (world.controllers[0].address, world.controllers[1].address);
         Pair {
             world,
@@ -53,14 +53,14 @@
             }
             self.world.queue.pop();
             self.world.now = at;
-            match self.world.happenings.remove(&number) {
-                Some(Happening::Message {
+            match self.world.events.remove(&number) {
+                Some(Event::Message {
                     message: Message::PlanRequest { epoch, .. },
                     ..
                 }) => {
                     self.arrived.push((epoch.0, at));
                 }
-                Some(other) => self.world.happen(other),
+                Some(other) => self.world.handle_event(other),
                 None => {}
             }
         }
--- a/crates/simulator/src/world/door.rs
+++ b/crates/simulator/src/world/door.rs
@@ -19,7 +19,7 @@
 impl World {
     /// A call reaches a controller, if that is still the process that it was sent to.
     pub(super) fn on_call_reaches(&mut self, machine: usize, incarnation: u64, call: u64) {
-        let happening = Happening::CallReaches {
+        let event = Event::CallReaches {
             machine,
             incarnation,
             call,
@@ -29,7 +29,7 @@
             // Refused or reset: the operator knows at once.
             return self.on_silence(call);
         }
-        if !self.is_awake(true, machine, &happening) {
+        if !self.is_awake(true, machine, &event) {
             return;
         }
         let Some((wish, asked)) = self.asked_of(call) else {
@@ -69,7 +69,7 @@
             || !self.is_awake(
                 true,
                 machine,
-                &Happening::HangUp {
+                &Event::HangUp {
                     machine,
                     incarnation,
                     call,
--- a/crates/simulator/src/world/happening.rs
+++ b/crates/simulator/src/world/event.rs
@@ -1,13 +1,13 @@
-//! What is to happen, and who takes it.
+//! The events of the simulated world, and which part of it handles each.
 
 use super::*;
 use crate::world::World;
 use types::{Address, RequestId, RunId, ServerName, ZoneName};
 
-/// What is to happen.
+/// Something that happens at a moment of virtual time.
 #[derive(Debug, Clone)]
-#[allow(clippy::large_enum_variant)] // Most happenings are letters.
-pub(super) enum Happening {
+#[allow(clippy::large_enum_variant)] // Most events are messages.
+pub(super) enum Event {
     Message {
         to: Address,
         from: Address,
@@ -93,7 +93,7 @@
         task: u64,
     },
     /// A fault that waited for something.
-    StrikeArmed {
+    InjectArmed {
         place: usize,
         machine: usize,
     },
@@ -110,7 +110,7 @@
         zone: ZoneName,
         machine: usize,
     },
-    Strike {
+    InjectFault {
         place: usize,
     },
     Heal {
@@ -145,84 +145,84 @@
 }
 
 impl World {
-    pub(super) fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Message { to, from, message } => self.on_message(to, from, message),
-            Happening::StartRelay { machine } => self.start_relay(machine),
-            Happening::RelayTick {
+    pub(super) fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Message { to, from, message } => self.on_message(to, from, message),
+            Event::StartRelay { machine } => self.start_relay(machine),
+            Event::RelayTick {
                 machine,
                 incarnation,
             } => self.on_relay_tick(machine, incarnation),
-            Happening::ReadSettings => self.on_read_settings(),
-            Happening::Tick {
+            Event::ReadSettings => self.on_read_settings(),
+            Event::Tick {
                 machine,
                 incarnation,
             } => self.on_tick(machine, incarnation),
-            Happening::Synced {
+            Event::Synced {
                 machine,
                 incarnation,
                 id,
             } => self.on_synced(machine, incarnation, id),
-            Happening::Reopen {
+            Event::Reopen {
                 machine,
                 incarnation,
             } => self.on_reopen(machine, incarnation),
-            Happening::NodeTick {
+            Event::NodeTick {
                 machine,
                 incarnation,
             } => self.on_node_tick(machine, incarnation),
-            Happening::Polls {
+            Event::Polls {
                 machine,
                 incarnation,
             } => self.on_polls(machine, incarnation),
-            Happening::Arrival => self.on_arrival(),
-            Happening::Placed {
+            Event::Arrival => self.on_arrival(),
+            Event::Placed {
                 machine,
                 incarnation,
                 number,
                 outcome,
             } => self.on_placed(machine, incarnation, number, outcome),
-            Happening::Connected {
+            Event::Connected {
                 request,
                 server,
                 run,
             } => self.on_connected(request, server, run),
-            Happening::RunReaches {
+            Event::RunReaches {
                 request,
                 server,
                 run,
             } => self.on_run_reaches(request, server, run),
-            Happening::RunOutcome { request, failure } => self.on_run_outcome(request, failure),
-            Happening::OtherLife { request, server } => self.on_other_life(request, server),
-            Happening::Watch { request } => self.on_watch(request),
-            Happening::Resume { request } => self.on_resume(request),
-            Happening::SendBytesAgain { key, stall } => self.on_send_bytes_again(key, stall),
-            Happening::Operate => self.on_operate(),
-            Happening::CallReaches {
+            Event::RunOutcome { request, failure } => self.on_run_outcome(request, failure),
+            Event::OtherLife { request, server } => self.on_other_life(request, server),
+            Event::Watch { request } => self.on_watch(request),
+            Event::Resume { request } => self.on_resume(request),
+            Event::SendBytesAgain { key, stall } => self.on_send_bytes_again(key, stall),
+            Event::Operate => self.on_operate(),
+            Event::CallReaches {
                 machine,
                 incarnation,
                 call,
             } => self.on_call_reaches(machine, incarnation, call),
-            Happening::HangUp {
+            Event::HangUp {
                 machine,
                 incarnation,
                 call,
             } => self.on_hang_up(machine, incarnation, call),
-            Happening::Silence { call } => self.on_silence(call),
-            Happening::SendAgain { task } => self.send_call(task),
-            Happening::StrikeArmed { place, machine } => self.strike_armed(place, machine),
-            Happening::Retire { machine } => self.on_retire(machine),
-            Happening::Meet { machine } => self.on_meet(machine),
-            Happening::TakeBack { zone, machine } => self.on_take_back(zone, machine),
-            Happening::Strike { place } => self.strike(place),
-            Happening::Heal { place } => self.heal(place),
-            Happening::StartController { machine } => self.start_controller(machine),
-            Happening::StartRouter { machine } => self.start_router(machine),
-            Happening::StartServer { server } => self.start_server(server),
-            Happening::ReplaceServer { server } => self.replace_server(server),
-            Happening::Check => self.on_check(),
-            Happening::Probe => self.on_probe(),
-            Happening::Forget { place } => self.on_forget(place),
+            Event::Silence { call } => self.on_silence(call),
+            Event::SendAgain { task } => self.send_call(task),
+            Event::InjectArmed { place, machine } => self.inject_armed(place, machine),
+            Event::Retire { machine } => self.on_retire(machine),
+            Event::Meet { machine } => self.on_meet(machine),
+            Event::TakeBack { zone, machine } => self.on_take_back(zone, machine),
+            Event::InjectFault { place } => self.inject_fault(place),
+            Event::Heal { place } => self.heal(place),
+            Event::StartController { machine } => self.start_controller(machine),
+            Event::StartRouter { machine } => self.start_router(machine),
+            Event::StartServer { server } => self.start_server(server),
+            Event::ReplaceServer { server } => self.replace_server(server),
+            Event::Check => self.on_check(),
+            Event::Probe => self.on_probe(),
+            Event::Forget { place } => self.on_forget(place),
         }
     }
 }
--- a/crates/simulator/src/world/disk_losses.rs
+++ b/crates/simulator/src/world/faults/disk.rs
@@ -1,13 +1,61 @@
-//! Disks that are lost, and machines that are replaced.
+//! Faults of disks: slow, stalled, full, wiped ones; and controllers' machines that are replaced.
 
-use super::*;
-use crate::world::{FaultKind, Mutant, World};
+use super::closing::USUAL_DISK_DELAY;
+use super::{FaultEntry, FaultTarget};
+use crate::world::event::Event;
+use crate::world::{ControllerMachine, FaultKind, Mutant, SimDisk, World};
+use replication::Voter;
 use types::{Address, DiskId, ZoneName};
 
+/// The kinds of this family.
+pub(super) const FAULTS: &[FaultEntry] = &[
+    FaultEntry::healed_by(
+        FaultKind::SlowDisk,
+        World::slow_disk_down,
+        World::speed_disks_up,
+    ),
+    FaultEntry::lasting(FaultKind::StallDisk, World::stall_disk),
+    FaultEntry::lasting(FaultKind::FullDisk, World::fill_disk),
+    FaultEntry::lasting(FaultKind::WipeDisk, World::lose_disk_of_controller),
+    FaultEntry::lasting(FaultKind::ReplaceCore, World::lose_disk_of_controller),
+    FaultEntry::lasting(FaultKind::PowerLossAfterAck, World::wait_for_ack),
+    FaultEntry::lasting(FaultKind::WipeAfterAck, World::wait_for_ack),
+    FaultEntry::lasting(FaultKind::LoseBudgetAfterAck, World::wait_for_ack),
+    FaultEntry::lasting(FaultKind::LoseBudget, |world, target| {
+        world.lose_budget(target.pick, target.restart_delay);
+    }),
+];
+
 impl World {
+    fn slow_disk_down(&mut self, target: &FaultTarget) {
+        self.controllers[target.controller].disk.delay = 150 + target.pick % 400;
+    }
+
+    fn speed_disks_up(&mut self, _: &FaultTarget) {
+        for machine in &mut self.controllers {
+            machine.disk.delay = USUAL_DISK_DELAY;
+        }
+    }
+
+    fn stall_disk(&mut self, target: &FaultTarget) {
+        self.controllers[target.controller].disk.stalled_until = self.now + target.span;
+    }
+
+    fn fill_disk(&mut self, target: &FaultTarget) {
+        self.controllers[target.controller].disk.full_until = self.now + target.span;
+    }
+
+    fn lose_disk_of_controller(&mut self, target: &FaultTarget) {
+        self.lose_disk(target.controller, target.kind, target.restart_delay);
+    }
+
+    fn wait_for_ack(&mut self, target: &FaultTarget) {
+        self.armed.push(target.place);
+    }
+
     /// Whether the chain has all its seats, each of them level and taken by a controller that is up: only then may
     /// one be lost.
-    pub(super) fn is_core_whole(&self) -> bool {
+    pub(super) fn is_core_complete(&self) -> bool {
         let now = self.now;
         let controllers = self
             .controllers
@@ -41,9 +89,9 @@
                 .all(|position| position.is_caught_up && is_up(position))
     }
 
-    /// One disk at a time may be lost: only while all others hold everything.
+    /// One disk at a time may be lost: only while all others have everything.
     pub(super) fn lose_disk(&mut self, machine: usize, kind: FaultKind, back: u64) {
-        if !self.is_core_whole() {
+        if !self.is_core_complete() {
             return;
         }
         self.kill_controller(machine, true);
@@ -53,7 +101,7 @@
             let zone = self.controllers[machine].zone.clone();
             self.controllers[machine].is_gone = true;
             let machine = self.add_controller(zone);
-            self.put(back, Happening::StartController { machine });
+            self.put(back, Event::StartController { machine });
             return;
         }
         let disk = &mut self.controllers[machine].disk;
@@ -61,7 +109,7 @@
         if !does_keep_id {
             disk.id = new_id;
         }
-        self.put(back, Happening::StartController { machine });
+        self.put(back, Event::StartController { machine });
     }
 
     /// A controller's machine with an empty disk, at an address of its own.
@@ -74,13 +122,13 @@
             address,
             zone,
             offset,
-            SimDisk::new(id, 3),
+            SimDisk::new(id, USUAL_DISK_DELAY),
         ));
         self.controllers.len() - 1
     }
 
-    /// Wipes as many disks as may be lost at once and cuts all power, while each machine votes with its disk:
-    /// only then do most voters remain.
+    /// Wipes as many disks as may be lost at once and cuts all power, provided that each machine votes with its
+    /// disk: only then do most voters remain.
     pub(super) fn lose_budget(&mut self, pick: u64, back: u64) {
         let controllers = self
             .controllers
@@ -123,7 +171,7 @@
             }
             self.put(
                 back + machine as u64 * 30,
-                Happening::StartController { machine },
+                Event::StartController { machine },
             );
         }
     }
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -97,7 +97,7 @@
         let incarnation = self.controllers[machine].incarnation;
         self.put(
             1,
-            Happening::Tick {
+            Event::Tick {
                 machine,
                 incarnation,
             },
@@ -181,14 +181,14 @@
         let incarnation = m.incarnation;
         self.put(
             1,
-            Happening::NodeTick {
+            Event::NodeTick {
                 machine,
                 incarnation,
             },
         );
         self.put(
             5,
-            Happening::Polls {
+            Event::Polls {
                 machine,
                 incarnation,
             },
@@ -214,12 +214,7 @@
     }
 
     /// Whether the machine can take it now; if it's frozen, it's kept for when it wakes.
-    pub(super) fn is_awake(
-        &mut self,
-        is_controller: bool,
-        machine: usize,
-        happening: &Happening,
-    ) -> bool {
+    pub(super) fn is_awake(&mut self, is_controller: bool, machine: usize, event: &Event) -> bool {
         let now = self.now;
         let (frozen_until, late) = if is_controller {
             let m = &mut self.controllers[machine];
@@ -229,7 +224,7 @@
             (m.frozen_until, &mut m.late)
         };
         if now < frozen_until {
-            late.push(happening.clone());
+            late.push(event.clone());
             return false;
         }
         true
@@ -242,24 +237,24 @@
         } else {
             std::mem::take(&mut self.routers[machine].late)
         };
-        for happening in late {
-            self.put(0, happening);
+        for event in late {
+            self.put(0, event);
         }
     }
 
     pub(super) fn on_message(&mut self, to: Address, from: Address, mut message: Message) {
-        let happening = Happening::Message {
+        let event = Event::Message {
             to,
             from,
             message: message.clone(),
         };
         if let Some(machine) = self.controllers.iter().position(|m| m.address == to) {
-            if self.is_awake(true, machine, &happening) {
+            if self.is_awake(true, machine, &event) {
                 self.answer_twice(&message);
                 self.step_controller(machine, ControllerInput::Message { from, message });
             }
         } else if let Some(machine) = self.routers.iter().position(|m| m.address == to)
-            && self.is_awake(false, machine, &happening)
+            && self.is_awake(false, machine, &event)
         {
             self.restore_span(&mut message);
             self.spoil_grant(&mut message);
@@ -345,7 +340,7 @@
         if self.is_awake(
             true,
             machine,
-            &Happening::Tick {
+            &Event::Tick {
                 machine,
                 incarnation,
             },
@@ -358,7 +353,7 @@
             });
             self.put(
                 pause,
-                Happening::Tick {
+                Event::Tick {
                     machine,
                     incarnation,
                 },
@@ -371,7 +366,7 @@
             || !self.is_awake(
                 true,
                 machine,
-                &Happening::Synced {
+                &Event::Synced {
                     machine,
                     incarnation,
                     id,
@@ -403,7 +398,7 @@
         if now < m.disk.full_until {
             self.put(
                 500,
-                Happening::Reopen {
+                Event::Reopen {
                     machine,
                     incarnation,
                 },
@@ -464,7 +459,7 @@
             }
             self.put(
                 500,
-                Happening::Reopen {
+                Event::Reopen {
                     machine,
                     incarnation,
                 },
@@ -493,13 +488,13 @@
         }
         self.put(
             deadline,
-            Happening::Synced {
+            Event::Synced {
                 machine,
                 incarnation,
                 id,
             },
         );
-        self.strike_in_write(machine);
+        self.inject_in_write(machine);
     }
 
     pub(super) fn on_node_tick(&mut self, machine: usize, incarnation: u64) {
@@ -510,7 +505,7 @@
             && self.is_awake(
                 false,
                 machine,
-                &Happening::NodeTick {
+                &Event::NodeTick {
                     machine,
                     incarnation,
                 },
@@ -541,7 +536,7 @@
             let incarnation = m.incarnation;
             self.put(
                 deadline - self.now,
-                Happening::NodeTick {
+                Event::NodeTick {
                     machine,
                     incarnation,
                 },
@@ -557,7 +552,7 @@
         if !self.is_awake(
             false,
             machine,
-            &Happening::Polls {
+            &Event::Polls {
                 machine,
                 incarnation,
             },
@@ -566,7 +561,7 @@
         }
         self.put(
             400,
-            Happening::Polls {
+            Event::Polls {
                 machine,
                 incarnation,
             },
@@ -664,7 +659,7 @@
                 NodeOutput::Place { number, outcome } if !is_asked => {
                     self.put(
                         0,
-                        Happening::Placed {
+                        Event::Placed {
                             machine,
                             incarnation,
                             number,
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -111,7 +111,7 @@
             usual + self.below(5 * usual)
         };
         if self.now + gap + 9000 < end || self.operators.epoch == 0 {
-            self.put(gap, Happening::Operate);
+            self.put(gap, Event::Operate);
         }
         if self
             .operators
@@ -324,17 +324,17 @@
         let incarnation = self.controllers[machine].incarnation;
         self.put(
             1,
-            Happening::CallReaches {
+            Event::CallReaches {
                 machine,
                 incarnation,
                 call,
             },
         );
         if is_change {
-            self.strike_after_send(machine);
+            self.inject_after_send(machine);
         }
         if !is_patient {
-            self.put(SILENCE, Happening::Silence { call });
+            self.put(SILENCE, Event::Silence { call });
         }
     }
 
@@ -377,7 +377,7 @@
         // Where nobody was up, nothing was sent; it counts all the same.
         let pause = (FIRST_PAUSE << found.sends.min(10)).min(LONGEST_PAUSE);
         let pause = pause + self.below(pause / 2);
-        self.put(pause, Happening::SendAgain { task });
+        self.put(pause, Event::SendAgain { task });
     }
 
     /// An operator waits for this call no longer.
@@ -393,7 +393,7 @@
         let notices = 1 + self.below(HANG_UP_NOTICED);
         self.put(
             notices,
-            Happening::HangUp {
+            Event::HangUp {
                 machine,
                 incarnation,
                 call,
@@ -515,7 +515,7 @@
         }
         self.operators.epoch = self.operators.epoch.max(epoch);
         self.operators.last_actor = call.map(|call| call.machine).or(self.operators.last_actor);
-        self.strike_after_ack();
+        self.inject_after_ack();
     }
 
     fn on_read(
--- a/crates/simulator/src/world/relays.rs
+++ b/crates/simulator/src/world/relays.rs
@@ -35,10 +35,10 @@
                 relay: None,
                 incarnation: 0,
             });
-            self.put(place as u64 * 5, Happening::StartRelay { machine: place });
+            self.put(place as u64 * 5, Event::StartRelay { machine: place });
         }
         if self.rules.relays > 0 {
-            self.put(SETTINGS_PERIOD, Happening::ReadSettings);
+            self.put(SETTINGS_PERIOD, Event::ReadSettings);
         }
     }
 
@@ -105,7 +105,7 @@
         let incarnation = m.incarnation;
         self.put(
             1,
-            Happening::RelayTick {
+            Event::RelayTick {
                 machine,
                 incarnation,
             },
@@ -121,11 +121,11 @@
     }
 
     /// Kills those in this zone, or all, and starts them again after a while.
-    pub(super) fn strike_relays(&mut self, zone: Option<&ZoneName>, back: u64) {
+    pub(super) fn restart_relays(&mut self, zone: Option<&ZoneName>, back: u64) {
         for machine in 0..self.relays.len() {
             if zone.is_none_or(|zone| self.relays[machine].zone == *zone) {
                 self.kill_relay(machine);
-                self.put(back, Happening::StartRelay { machine });
+                self.put(back, Event::StartRelay { machine });
             }
         }
     }
@@ -159,7 +159,7 @@
             .map_or(250, |relay| local.until(relay.next_timer()).0.clamp(1, 250));
         self.put(
             pause,
-            Happening::RelayTick {
+            Event::RelayTick {
                 machine,
                 incarnation,
             },
@@ -193,7 +193,7 @@
 
     /// Running processes read whom their settings name: routers only while they have no lease.
     pub(super) fn on_read_settings(&mut self) {
-        self.put(SETTINGS_PERIOD, Happening::ReadSettings);
+        self.put(SETTINGS_PERIOD, Event::ReadSettings);
         self.renew_settings();
         let seeds = self.settings_seeds.clone();
         if self.is_exchanging() {
--- a/crates/simulator/src/world/streams.rs
+++ b/crates/simulator/src/world/streams.rs
@@ -53,7 +53,7 @@
         }
         if self.now < router.frozen_until {
             let wake = router.frozen_until - self.now;
-            return self.put(wake, Happening::Watch { request: id });
+            return self.put(wake, Event::Watch { request: id });
         }
         let (Some((server, run)), Some(stream)) = (request.run.clone(), &request.stream) else {
             return;
@@ -89,7 +89,7 @@
         }
         if let Some(Progress::Pieces(_, next)) = progress {
             let wait = MonotonicInstant(self.now).until(next).0.clamp(5, 200);
-            self.put(wait, Happening::Watch { request: id });
+            self.put(wait, Event::Watch { request: id });
         }
     }
 
@@ -264,7 +264,7 @@
             request.run = None;
             self.put(
                 300,
-                Happening::Resume {
+                Event::Resume {
                     request: id.clone(),
                 },
             );
@@ -331,6 +331,6 @@
             (stream.read, stream.resumed_as) = (from, Some(number));
         }
         self.witness.resumed += 1;
-        self.put(5, Happening::Watch { request: id });
+        self.put(5, Event::Watch { request: id });
     }
 }
--- a/crates/simulator/src/world/traffic.rs
+++ b/crates/simulator/src/world/traffic.rs
@@ -21,7 +21,7 @@
             let rate = self.rules.requests_a_second.max(1)
                 * if self.now < self.crowd_until { 5 } else { 1 };
             let gap = 1 + self.below(2 * 1000 / rate);
-            self.put(gap, Happening::Arrival);
+            self.put(gap, Event::Arrival);
         }
         let number = self.witness.arrivals;
         self.witness.arrivals += 1;
@@ -296,7 +296,7 @@
         let connecting = 1 + self.below(4) + if late { self.below(400) } else { 0 };
         self.put(
             connecting,
-            Happening::Connected {
+            Event::Connected {
                 request: id.clone(),
                 server,
                 run: placing.run,
@@ -314,7 +314,7 @@
             let wake = self.routers[machine].frozen_until - self.now;
             return self.put(
                 wake,
-                Happening::Connected {
+                Event::Connected {
                     request: id,
                     server,
                     run,
@@ -344,7 +344,7 @@
             .and_modify(|request| request.is_apart = is_apart);
         self.put(
             1,
-            Happening::RunReaches {
+            Event::RunReaches {
                 request: id,
                 server,
                 run,
@@ -395,7 +395,7 @@
         if !s.is_up || is_cut_off || request.asked.as_ref() != Some(&s.name) {
             self.put(
                 2,
-                Happening::RunOutcome {
+                Event::RunOutcome {
                     request: id,
                     failure: Some(Failure::Unsent),
                 },
@@ -409,7 +409,7 @@
             self.judge_tenant(&id);
             self.put(
                 2000,
-                Happening::RunOutcome {
+                Event::RunOutcome {
                     request: id,
                     failure: Some(Failure::Unknown),
                 },
@@ -424,7 +424,7 @@
             let server = s.name.clone();
             return self.put(
                 2,
-                Happening::OtherLife {
+                Event::OtherLife {
                     request: id,
                     server,
                 },
@@ -443,7 +443,7 @@
         if !is_taken {
             self.put(
                 2,
-                Happening::RunOutcome {
+                Event::RunOutcome {
                     request: id,
                     failure: Some(Failure::Refused),
                 },
@@ -467,7 +467,7 @@
         }
         self.put(
             2,
-            Happening::RunOutcome {
+            Event::RunOutcome {
                 request: id,
                 failure: None,
             },
@@ -484,7 +484,7 @@
             let wake = self.routers[machine].frozen_until - self.now;
             return self.put(
                 wake,
-                Happening::OtherLife {
+                Event::OtherLife {
                     request: id,
                     server,
                 },
@@ -511,7 +511,7 @@
             let wake = self.routers[request.router].frozen_until - self.now;
             self.put(
                 wake,
-                Happening::RunOutcome {
+                Event::RunOutcome {
                     request: id,
                     failure,
                 },
@@ -526,7 +526,7 @@
                     self.ended(&id, Outcome::Complete);
                     self.carried(&id, RequestInput::Finish);
                 } else {
-                    self.put(10, Happening::Watch { request: id });
+                    self.put(10, Event::Watch { request: id });
                 }
             }
             Some(failure) => {
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -1,7 +1,7 @@
 use loadgen::print_of;
 use placement::PrefixHash;
 use router::{LIFE_HEADER, RunPiece, RunRequest, ServerReport};
-use simulator::{Progress, Schedule, ScheduleRules, Strike};
+use simulator::{Progress, Schedule, ScheduleRules, ServerFault};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -92,12 +92,12 @@
         ServerName(self.address.to_string())
     }
     /// Sets what is wrong with it.
-    pub fn strike(&self, strike: Strike) {
+    pub fn inject_fault(&self, fault: ServerFault) {
         self.inside
             .schedule
             .lock()
             .expect("no thread panics with it")
-            .strike = strike;
+            .fault = fault;
     }
     /// Breaks off all streams and stops listening, as a crash would.
     pub fn crash(&self) {
@@ -165,12 +165,12 @@
 
     fn respond(self: Arc<Self>, request: &Request) -> Response {
         self.note_ask(request);
-        let strike = self.schedule().strike;
-        if strike.is_dark {
+        let fault = self.schedule().fault;
+        if fault.is_dark {
             let patience = Clock::now() + Milliseconds::seconds(20);
             while !self.is_crashed.load(Ordering::SeqCst)
                 && Clock::now() < patience
-                && self.schedule().strike.is_dark
+                && self.schedule().fault.is_dark
             {
                 std::thread::sleep(Duration::from_millis(50));
             }
@@ -189,7 +189,7 @@
                 let is_known = self.schedule().cancel(&RunId::from(*run), Clock::now());
                 Response::json(if is_known { 200 } else { 404 }, &serde_json::json!({}))
             }
-            ("POST", ["kv", _]) if strike.lacks_kv => Response::json(404, &serde_json::json!({})),
+            ("POST", ["kv", _]) if fault.lacks_kv => Response::json(404, &serde_json::json!({})),
             ("POST", ["kv", way]) => self.kv(way, &request.body),
             ("DELETE", ["kv", prefix]) => {
                 let prefix = prefix.parse().map(PrefixHash);
@@ -258,7 +258,7 @@
     }
 
     fn read(self: Arc<Self>, run: RunId, from: u64) -> Response {
-        if self.schedule().strike.does_refuse {
+        if self.schedule().fault.does_refuse {
             return Response::json(503, &serde_json::json!({"ran": false}));
         }
         match self.schedule().progress(&run, Clock::now()) {
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -2,7 +2,7 @@
 //! built: `cargo build --workspace`.
 
 use loadgen::{Asked, Campaign, CampaignRules, Fate, Mix, PlannedRequest, Report, ask};
-use simulator::{Deployment, ScheduleRules, Strike};
+use simulator::{Deployment, ScheduleRules, ServerFault};
 use std::sync::{Arc, Mutex, MutexGuard};
 use testbed::{Daemon, Fleet, FleetOptions, ProcessGroup, join_logs, plan_of};
 use types::{Address, Clock, Milliseconds, MonotonicInstant, ResultCode};
@@ -545,13 +545,13 @@
     let (process_group, mut fleet, _machine) = serving(deployment);
     for (place, server) in process_group.models.iter().enumerate() {
         match place {
-            0..2 => server.strike(Strike {
+            0..2 => server.inject_fault(ServerFault {
                 is_dark: true,
-                ..Strike::default()
+                ..ServerFault::default()
             }),
-            2..7 => server.strike(Strike {
+            2..7 => server.inject_fault(ServerFault {
                 does_refuse: true,
-                ..Strike::default()
+                ..ServerFault::default()
             }),
             _ => {}
         }
--- a/crates/testbed/tests/interfaces.rs
+++ b/crates/testbed/tests/interfaces.rs
@@ -3,7 +3,7 @@
 
 use loadgen::{Fate, PlannedRequest, ask};
 use serde_json::Value;
-use simulator::{Deployment, ScheduleRules, Strike};
+use simulator::{Deployment, ScheduleRules, ServerFault};
 use std::process::Command;
 use testbed::{Fleet, FleetOptions, ProcessGroup, plan_of};
 use transport::{http_post, read_all};
@@ -386,16 +386,16 @@
         .iter()
         .find(|server| server.has_run(&forged.run))
         .expect("a server has the run");
-    holder.strike(Strike {
+    holder.inject_fault(ServerFault {
         does_refuse: true,
-        ..Strike::default()
+        ..ServerFault::default()
     });
     let (status, back, lines) = resume(router_2, token, 0);
     assert_eq!(
         (status, back, &lines[0]["code"]),
         (503, Some(1), &205.into())
     );
-    holder.strike(Strike::default());
+    holder.inject_fault(ServerFault::default());
     assert_eq!(resume(router_2, token, 0).0, 200, "nothing was lost");
     holder.forget_runs();
     let (status, back, lines) = resume(router_2, token, 0);
