--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -2,8 +2,8 @@
 //! messages carried by a queue, disks that are vectors. Run it with `cargo run -p replication
 //! --example register`.
 //!
-//! An embedder does the same with its own network, disks and clock: feed [`Replica::step`], do what
-//! it returns.
+//! An embedder does the same with its own network, disks and clock:
+//! feed [`Replica::step`], do what it returns.
 
 use replication::{
     Input, Output, Preview, Record, RecoveredRecords, Replica, ReplicationMessage, StateMachine,
--- a/crates/replication/src/lease_state.rs
+++ b/crates/replication/src/lease_state.rs
@@ -4,8 +4,8 @@
 //! is out of reach and the lease has run out, it may still act while half of the members that it
 //! last knew answer its checks and none of them knows a newer configuration: a change of the
 //! configuration needs more than half of them, so none can have been accepted behind their backs.
-//! Without the rule about the newer configuration, a partitioned group could go on by one that was
-//! replaced.
+//! Without the rule about the newer configuration, a partitioned group could go on
+//! by one that was replaced.
 
 use std::collections::BTreeMap;
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant};
@@ -13,8 +13,8 @@
 /// Whether a member may take new work, and why.
 ///
 /// Invariants: `epoch` never falls. Without a lease in this incarnation nothing was ever received,
-/// so a restarted member may not act on what it knew before. A lease is counted from when it was
-/// asked for.
+/// so a restarted member may not act on what it knew before. A lease is counted
+/// from when it was asked for.
 #[derive(Debug, Clone)]
 pub struct LeaseState {
     own: Address,
@@ -38,8 +38,8 @@
 pub enum LeaseStatus {
     /// The member holds a lease.
     Leased,
-    /// The chain is out of reach, but half of the members answer checks and none knows a newer
-    /// configuration.
+    /// The chain is out of reach, but half of the members answer checks and
+    /// none knows a newer configuration.
     PeerQuorum,
     /// The member has not held a lease in this incarnation.
     NeverLeased,
@@ -99,8 +99,8 @@
         );
         self.update_members(epoch, members);
     }
-    /// Members of a configuration came by way of a peer. Those of an older epoch than the known one
-    /// change nothing.
+    /// Members of a configuration came by way of a peer. Those of an older epoch
+    /// than the known one change nothing.
     pub fn update_members(&mut self, epoch: ConfigEpoch, members: Vec<Address>) {
         if epoch >= self.epoch {
             self.epoch = epoch;
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Whether somebody knows a newer configuration: a member, a node that became one since, or the
-    /// chain.
+    /// Whether somebody knows a newer configuration: a member, a node that became
+    /// one since, or the chain.
     fn is_outdated(&self, now: MonotonicInstant) -> bool {
         let (announced, deadline) = self.announced;
         self.peers.values().any(|peer| peer.epoch > self.epoch)
--- a/crates/replication/src/lease_state/tests.rs
+++ b/crates/replication/src/lease_state/tests.rs
@@ -65,8 +65,8 @@
     );
 }
 
-/// Without a lease, whoever knows more stops it: one that asks, one that became a member since, the
-/// core.
+/// Without a lease, whoever knows more stops it: one that asks, one that became
+/// a member since, the core.
 #[test]
 fn whoever_knows_more_stops_a_group_without_leases() {
     let members: Vec<Address> = (1..=3).map(Address::loopback).collect();
--- a/crates/replication/src/leases.rs
+++ b/crates/replication/src/leases.rs
@@ -1,5 +1,5 @@
-//! The leases of the fleet's members, as the tail keeps them, and the membership as the chain
-//! replicates it.
+//! The leases of the fleet's members, as the tail keeps them, and the
+//! membership as the chain replicates it.
 //!
 //! A membership changes in one step, unlike Raft's joint consensus; what joint consensus does is
 //! done by `previous`: until more than half of the members before the last change know the present
@@ -25,8 +25,8 @@
     }
 }
 
-/// The leases that the tail has granted. They are kept in memory: a new tail learns them from the
-/// next requests.
+/// The leases that the tail has granted. They are kept in memory: a new tail
+/// learns them from the next requests.
 ///
 /// Invariant: here a lease runs from when the request came, and at its holder from when it was
 /// sent, so the holder's never ends later than the one here.
@@ -64,8 +64,8 @@
         holds_for_majority(&membership.members, is_notified)
             && holds_for_majority(&membership.previous, is_notified)
     }
-    /// Whether each holder of a lease at `now` is known to know `epoch`, also one that is no member
-    /// any more.
+    /// Whether each holder of a lease at `now` is known to know `epoch`, also one
+    /// that is no member any more.
     pub fn is_known_to_holders(&self, epoch: ConfigEpoch, now: MonotonicInstant) -> bool {
         self.leases
             .values()
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,5 +1,5 @@
-//! A replicated state machine for the controllers: chain replication, with a view that Paxos
-//! decides.
+//! A replicated state machine for the controllers: chain replication, with
+//! a view that Paxos decides.
 //!
 //! The algorithms, and where each is:
 //!
--- a/crates/replication/src/messages.rs
+++ b/crates/replication/src/messages.rs
@@ -30,8 +30,8 @@
     pub struct ChangeRequestId {
         /// The process that made the request and waits for the answer.
         pub origin: Address,
-        /// The origin's own number for it, which no other request of the origin has, in any of its
-        /// incarnations.
+        /// The origin's own number for it, which no other request of the origin has,
+        /// in any of its incarnations.
         pub number: u64,
     }
 
@@ -71,8 +71,8 @@
             is_caught_up: bool,
             /// Whether the sender's disk takes writes and most of the voters are reachable from it.
             is_healthy: bool,
-            /// Whether more than half of the fleet's members hold leases. Only the tail's heartbeat
-            /// counts.
+            /// Whether more than half of the fleet's members hold leases.
+            /// Only the tail's heartbeat counts.
             has_member_majority: bool,
         },
         /// Paxos phase 1, proposer to voters: asks for a promise.
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Hands a message to the part that it concerns. A replica whose disk failed takes part in
-    /// nothing.
+    /// Hands a message to the part that it concerns. A replica whose disk
+    /// failed takes part in nothing.
     fn on_message(&mut self, from: Address, message: ReplicationMessage) {
         use ReplicationMessage as M;
         if !self.is_healthy {
--- a/crates/replication/src/replica/catch_up.rs
+++ b/crates/replication/src/replica/catch_up.rs
@@ -55,8 +55,8 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// At a follower: asks the tail for what it lacks, and again for the chunk of a snapshot that
-    /// is overdue.
+    /// At a follower: asks the tail for what it lacks, and again for the chunk
+    /// of a snapshot that is overdue.
     pub(super) fn request_catch_up(&mut self) {
         let Some(tail) = self.view.tail() else { return };
         if self.view.contains(&self.me)
@@ -172,8 +172,8 @@
         self.view.tail().is_some_and(|tail| tail.address == from)
     }
 
-    /// At a follower: appends a batch of changes that continues its log, and asks for the next one
-    /// at once.
+    /// At a follower: appends a batch of changes that continues its log, and asks
+    /// for the next one at once.
     pub(super) fn on_catch_up_batch(&mut self, from: Address, changes: Vec<Change>) {
         let is_fetching = self
             .catch_up
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -1,5 +1,5 @@
-//! Chain replication: changes enter at the head, are forwarded down the chain, and commit at the
-//! tail.
+//! Chain replication: changes enter at the head, are forwarded down the chain,
+//! and commit at the tail.
 //!
 //! The steps, with the names of van Renesse and Schneider's paper:
 //!
@@ -237,8 +237,8 @@
         }
     }
 
-    /// A change from the predecessor: appended in order; what came too early waits for those before
-    /// it.
+    /// A change from the predecessor: appended in order; what came too early
+    /// waits for those before it.
     pub(super) fn on_forward(&mut self, from: Address, view: ViewNumber, change: Change) {
         let is_from_predecessor = self
             .view
--- a/crates/replication/src/replica/founding.rs
+++ b/crates/replication/src/replica/founding.rs
@@ -9,8 +9,8 @@
 //! - The founder writes a promise of the lowest proposal number before anything else, which marks
 //!   its disk for good.
 //! - A majority of the founders suffices. The place of a founder that didn't promise is kept for
-//!   its address with disk id 0: a vote that nobody can cast, until a replica at that address takes
-//!   it over.
+//!   its address with disk id 0: a vote that nobody can cast, until a replica
+//!   at that address takes it over.
 
 use super::view_change::ProposalAttempt;
 use super::{PeerState, Replica};
--- a/crates/replication/src/replica/heartbeat.rs
+++ b/crates/replication/src/replica/heartbeat.rs
@@ -1,10 +1,10 @@
-//! Heartbeats: how replicas know who is reachable and how far each is, and what is done at each
-//! tick.
+//! Heartbeats: how replicas know who is reachable and how far each is, and what
+//! is done at each tick.
 //!
 //! Chain replication's paper assumes that failures are detected for certain. Here a replica that is
 //! silent for [`Timing::suspect_timeout`](crate::Timing) is merely suspected: dropping it from the
-//! chain is safe though it may still run, since a view must be decided and the tail's lease run out
-//! first.
+//! chain is safe though it may still run, since a view must be decided and the
+//! tail's lease run out first.
 
 use crate::messages::ReplicationMessage;
 use crate::replica::{Output, Replica};
--- a/crates/replication/src/replica/interface.rs
+++ b/crates/replication/src/replica/interface.rs
@@ -17,8 +17,8 @@
         /// The message itself.
         message: ReplicationMessage,
     },
-    /// This process proposes a change; the answer comes as [`Output::Response`] with the same
-    /// number.
+    /// This process proposes a change; the answer comes as
+    /// [`Output::Response`] with the same number.
     Propose {
         /// The number of the proposal. No other proposal of this process may have it, nor one of an
         /// earlier incarnation: responses may come late.
--- a/crates/replication/src/replica/lease.rs
+++ b/crates/replication/src/replica/lease.rs
@@ -14,8 +14,8 @@
 //!   granted the lease, so no new tail can commit while the old one may still answer.
 //! - A voter that has just started may have granted a lease before, which it doesn't keep on disk:
 //!   it behaves as if it had granted one at its start.
-//! - A voter that holds a new view back grants no further lease meanwhile, or the old tail could
-//!   renew forever.
+//! - A voter that holds a new view back grants no further lease meanwhile, or
+//!   the old tail could renew forever.
 //! - A voter that has accepted a view with another tail grants none either: that view may be
 //!   decided at any moment.
 //! - A tail that itself proposes another tail gives its lease up first, for good in that view, so
@@ -99,8 +99,8 @@
         }
     }
 
-    /// At a voter: grants the tail of the present view a lease, unless it backs a view with another
-    /// tail.
+    /// At a voter: grants the tail of the present view a lease, unless it backs
+    /// a view with another tail.
     pub(super) fn on_lease_request(
         &mut self,
         from: Address,
--- a/crates/replication/src/replica/recovery.rs
+++ b/crates/replication/src/replica/recovery.rs
@@ -126,8 +126,8 @@
         }
     }
 
-    /// A disk that bears a founder's promise makes its replica a founder, whatever the settings say
-    /// now.
+    /// A disk that bears a founder's promise makes its replica a founder,
+    /// whatever the settings say now.
     fn restore_founders(&mut self) {
         if self.view.epoch == ViewNumber(0) && self.promised.0 == ViewNumber(1) {
             self.founders.push(self.me.address);
--- a/crates/replication/src/replica/snapshot.rs
+++ b/crates/replication/src/replica/snapshot.rs
@@ -8,8 +8,8 @@
 //!   ([`CatchUp::snapshot_write`]); before that, a restart gives back its old log, which may hold a
 //!   change that was never committed.
 //! - Compaction keeps changes that aren't committed, and some before them, for the successor. While
-//!   a follower fetches a snapshot, the log may grow longer, so that the follower finds all changes
-//!   since.
+//!   a follower fetches a snapshot, the log may grow longer, so that the
+//!   follower finds all changes since.
 //!
 //! [`CatchUp::snapshot_write`]: super::catch_up::CatchUp
 
@@ -19,8 +19,8 @@
 use crate::state_machine::StateMachine;
 use types::{Address, Milliseconds, MonotonicInstant, SequenceNumber, ViewNumber};
 
-/// While a snapshot is fetched, the log may grow to so many times the length at which it is
-/// compacted otherwise.
+/// While a snapshot is fetched, the log may grow to so many times the length
+/// at which it is compacted otherwise.
 const FETCH_LOG_FACTOR: usize = 4;
 
 /// A snapshot that was not asked for in so many times [`Timing::suspect_timeout`](crate::Timing) is
@@ -65,8 +65,8 @@
 }
 
 impl<C: StateMachine> Replica<C> {
-    /// At the tail: offers a follower a snapshot, a new one if the last one ends before the log
-    /// begins.
+    /// At the tail: offers a follower a snapshot, a new one if the last one
+    /// ends before the log begins.
     pub(super) fn offer_snapshot(&mut self, to: Address, first_in_log: SequenceNumber) {
         let offered = self.catch_up.offered_snapshot.as_ref();
         if offered.is_none_or(|offered| offered.last.next() < first_in_log) {
@@ -160,8 +160,8 @@
         self.send(from, message);
     }
 
-    /// At a follower: takes the next chunk, and asks for the one after it or installs the complete
-    /// snapshot.
+    /// At a follower: takes the next chunk, and asks for the one after it
+    /// or installs the complete snapshot.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         from: Address,
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -495,8 +495,8 @@
     );
 }
 
-/// A tail counts its lease from when it asked: a grant to an earlier life of its own is older than
-/// that.
+/// A tail counts its lease from when it asked: a grant to an earlier life of its
+/// own is older than that.
 #[test]
 fn a_lease_grant_to_an_earlier_incarnation_is_not_counted() {
     let records = vec![Record::View {
@@ -606,8 +606,8 @@
         self.disks[place] = DiskId(self.disks[place].0 + 100);
         self.records[place].clear();
     }
-    /// Plays for so long; gives the last response to a proposal made here at the start, if any
-    /// came.
+    /// Plays for so long; gives the last response to a proposal made here at
+    /// the start, if any came.
     fn play(&mut self, span: u64, proposer: Option<(u16, u64)>) -> Option<bool> {
         let mut inputs: VecDeque<(usize, Input)> = VecDeque::new();
         if let Some((n, number)) = proposer {
@@ -666,8 +666,8 @@
         }
         last_response
     }
-    /// Where a replica may respond: who votes and who sits in the chain there, and how many changes
-    /// it holds.
+    /// Where a replica may respond: who votes and who sits in the chain there,
+    /// and how many changes it holds.
     fn cluster(&self) -> Option<(Vec<u16>, Vec<u16>, u64)> {
         let may_respond =
             |replica: &&Replica<Counter>| replica.may_respond(MonotonicInstant(self.at));
--- a/crates/replication/src/replica/tests/draining.rs
+++ b/crates/replication/src/replica/tests/draining.rs
@@ -5,8 +5,8 @@
 use crate::replica::{Input, Replica};
 use types::{MonotonicInstant, ViewNumber};
 
-/// The next view is decided by its own voters: most of them may never have given the tail their
-/// word.
+/// The next view is decided by its own voters: most of them may never have
+/// given the tail their word.
 #[test]
 fn a_lease_granted_by_other_voters_is_not_counted() {
     let mut tail = replica(
@@ -143,8 +143,8 @@
     );
 }
 
-/// A tail that hears nobody can't renew its lease; while its beats still come, nobody would miss
-/// it.
+/// A tail that hears nobody can't renew its lease; while its beats still
+/// come, nobody would miss it.
 #[test]
 fn an_isolated_member_says_so_and_is_dropped() {
     let mut cluster = cluster_of_three(3);
--- a/crates/replication/src/replica/tests/member_majority.rs
+++ b/crates/replication/src/replica/tests/member_majority.rs
@@ -105,8 +105,8 @@
     );
 }
 
-/// What the head, with a tail at another machine, goes by: the tail's own heartbeat, and a recent
-/// one.
+/// What the head, with a tail at another machine, goes by: the tail's own
+/// heartbeat, and a recent one.
 #[parameterized(
     tail_sees_a_majority = { 2, 2, true, 10_200, true },
     tail_sees_none = { 2, 2, false, 10_200, false },
--- a/crates/replication/src/replica/tests/proposals.rs
+++ b/crates/replication/src/replica/tests/proposals.rs
@@ -1,5 +1,5 @@
-//! What a ballot proposes: what the view should be once most have promised, not what it should have
-//! been before.
+//! What a ballot proposes: what the view should be once most have promised, not
+//! what it should have been before.
 
 use super::*;
 use crate::messages::{ProposalNumber, Record, ReplicationMessage, ViewProposal};
@@ -32,8 +32,8 @@
     accepts.collect()
 }
 
-/// Replica 1 of three after a restart of all, at the moment when it has begun a ballot since it
-/// heard nobody.
+/// Replica 1 of three after a restart of all, at the moment when it has begun
+/// a ballot since it heard nobody.
 fn isolated_with_a_proposal() -> (Replica<Counter>, ProposalNumber, u64) {
     let mut replica = replica(
         1,
--- a/crates/replication/src/replica/tests/rate_limit.rs
+++ b/crates/replication/src/replica/tests/rate_limit.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::replica::Timing;
 
-/// What the state machine remembers must not be used up within a few of the users' waits for an
-/// answer.
+/// What the state machine remembers must not be used up within a few of the
+/// users' waits for an answer.
 #[test]
 fn the_head_takes_no_more_changes_than_its_rate_limit() {
     let mut cluster = Cluster::new(3, 3, 3);
--- a/crates/replication/src/replica/timing.rs
+++ b/crates/replication/src/replica/timing.rs
@@ -8,8 +8,8 @@
     /// Disks that a change must be on before it is committed: changes are taken only while the
     /// chain has as many members.
     pub min_chain_length: usize,
-    /// Voters wanted: followers get a vote while there are fewer. Votes are moved, but their number
-    /// never falls.
+    /// Voters wanted: followers get a vote while there are fewer. Votes are
+    /// moved, but their number never falls.
     pub target_voters: usize,
     /// Time between two heartbeats of a replica.
     pub heartbeat_interval: Milliseconds,
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -1,8 +1,8 @@
 //! View changes: single-decree Paxos, one instance for each view number.
 //!
 //! The replicas are proposers and, if they are voters of the present view, acceptors. The instance
-//! for view `n + 1` is decided by a majority of the voters of view `n`, so two views can never both
-//! follow one.
+//! for view `n + 1` is decided by a majority of the voters of view `n`, so two
+//! views can never both follow one.
 //!
 //! 1. *Prepare* ([`Replica::drive_proposal`]): the proposer picks a [`ProposalNumber`] higher than
 //!    all it has seen and sends it to the voters. The number holds the proposer's disk id, so no
@@ -15,8 +15,8 @@
 //!    the view with the highest number among those reported; it's free only if there is none.
 //!    Otherwise it could override a view that is decided.
 //! 4. *Accepted* ([`Replica::on_accept`]): a voter accepts unless it has promised a higher number,
-//!    writes that to its disk, and answers. With a majority the view is *decided*, and the proposer
-//!    announces it.
+//!    writes that to its disk, and answers. With a majority the view is
+//!    *decided*, and the proposer announces it.
 //! 5. *Rejected* ([`Replica::on_proposal_rejected`]): a voter that promised a higher number says
 //!    so. Safety doesn't need this message: it spares the proposer its time-out.
 //!
@@ -27,8 +27,8 @@
 //!   for what breaks without this rule.
 //! - What is proposed is chosen when the promises are in, not when the attempt began, and the
 //!   proposer waits for the heartbeat of each chain member that promised
-//!   ([`Replica::awaits_heartbeat_of_promiser`]): a view without it would rest on fewer disks than
-//!   there are.
+//!   ([`Replica::awaits_heartbeat_of_promiser`]): a view without it would rest
+//!   on fewer disks than there are.
 //! - Proposers take turns and back off by a varying time, so that they don't outbid one another
 //!   forever. Paxos leaves liveness to a leader election; here the turn stands for it.
 
@@ -153,8 +153,8 @@
     }
 
     /// Sends the messages of the attempt's present phase (prepare, then accept), again after
-    /// [`Timing::proposal_retry_interval`](crate::Timing), and gives the attempt up at its
-    /// deadline.
+    /// [`Timing::proposal_retry_interval`](crate::Timing), and gives the
+    /// attempt up at its deadline.
     pub(super) fn drive_proposal(&mut self) {
         let Some(attempt) = &mut self.view_change.attempt else {
             return;
@@ -203,8 +203,8 @@
         )
     }
 
-    /// Prepare, at a voter: promises to accept nothing with a lower number, once that is on its
-    /// disk.
+    /// Prepare, at a voter: promises to accept nothing with a lower number, once
+    /// that is on its disk.
     pub(super) fn on_prepare(
         &mut self,
         from: Address,
@@ -373,8 +373,8 @@
         self.send(from, message);
     }
 
-    /// Accepted, at the proposer: with a majority the view is decided, announced to all, and
-    /// installed here.
+    /// Accepted, at the proposer: with a majority the view is decided,
+    /// announced to all, and installed here.
     pub(super) fn on_accepted(
         &mut self,
         from: Address,
--- a/crates/replication/src/replica/view_planning.rs
+++ b/crates/replication/src/replica/view_planning.rs
@@ -126,8 +126,8 @@
         .then_some(planned_view)
     }
 
-    /// Whether a view drops no caught-up member, or still has a caught-up member that isn't
-    /// draining.
+    /// Whether a view drops no caught-up member, or still has a
+    /// caught-up member that isn't draining.
     pub(super) fn keeps_lasting_member(&self, next: &View) -> bool {
         let drops_caught_up = self
             .view
--- a/crates/storage/src/data_folder.rs
+++ b/crates/storage/src/data_folder.rs
@@ -162,8 +162,8 @@
     }
 }
 
-/// The disk id, generation and snapshot's records of a folder; `None` if it's new or was wiped in
-/// part.
+/// The disk id, generation and snapshot's records of a folder; `None` if it's new
+/// or was wiped in part.
 fn read_disk(folder: &Path) -> Result<Option<(DiskId, u64, Vec<Vec<u8>>)>, StorageError> {
     let id = read_file(folder, ID).map_err(StorageError::io("read the disk id"))?;
     let snapshot = read_file(folder, SNAPSHOT)
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -2,8 +2,8 @@
 
 use std::io;
 
-/// Why a data folder can't be used. Nothing in it is served; after any error it must be opened
-/// anew.
+/// Why a data folder can't be used. Nothing in it is served; after any error
+/// it must be opened anew.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// The operating system refused an operation. A full disk or one that hangs may recover: open
@@ -19,8 +19,8 @@
     /// and let the replica catch up with an empty one.
     #[error("the data folder is damaged: {0}; move it away and start with an empty one")]
     Damaged(#[from] Damage),
-    /// The folder was emptied or replaced while it was in use. Opening it again makes it a new
-    /// disk.
+    /// The folder was emptied or replaced while it was in use. Opening it again
+    /// makes it a new disk.
     #[error("the data folder was emptied or replaced while in use; it must be opened again")]
     Gone,
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -11,8 +11,8 @@
 //!
 //! Rules, and what breaks without them:
 //!
-//! - A record is acknowledged only once it is synced: otherwise a loss of power takes back what a
-//!   replica said.
+//! - A record is acknowledged only once it is synced: otherwise a loss of power
+//!   takes back what a replica said.
 //! - Each snapshot begins a log of its own, which is complete and synced before the snapshot names
 //!   it: a crash between the two leaves the old snapshot with the old log. No file of a log is ever
 //!   renamed or reused.
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,8 +1,8 @@
 //! The write-ahead log of one generation: its folder, and how it is read back.
 //!
 //! The log is written and read by the library `okaywal`. Its reading ends at the first entry that
-//! it can't read, as if a loss of power had torn that entry; [`has_later_entry`] tells damage from
-//! that.
+//! it can't read, as if a loss of power had torn that entry;
+//! [`has_later_entry`] tells damage from that.
 
 use crate::error::Damage;
 use crate::record_frame::{MAGIC, RecordHeader};
@@ -51,8 +51,8 @@
     Ok(())
 }
 
-/// Opens the log in this folder, and makes it if there is none. What it gives is synced, whoever
-/// wrote it.
+/// Opens the log in this folder, and makes it if there is none. What it
+/// gives is synced, whoever wrote it.
 pub(crate) fn open_log(log: &Path, recovered: Recovered) -> io::Result<(WriteAheadLog, Recovered)> {
     let shared = Arc::new(Mutex::new(recovered));
     // The library's own way with long logs renames segments; a snapshot begins a new log instead.
@@ -150,8 +150,8 @@
         Ok(())
     }
 
-    /// Only called for a segment that is followed by another: there is one, as the log is never
-    /// cut.
+    /// Only called for a segment that is followed by another: there is one, as
+    /// the log is never cut.
     fn checkpoint_to(
         &mut self,
         _: EntryId,
--- a/crates/storage/src/record_frame.rs
+++ b/crates/storage/src/record_frame.rs
@@ -31,8 +31,8 @@
         bytes.extend_from_slice(record);
         bytes
     }
-    /// The record that these bytes begin with; `None` if they begin with no complete record or its
-    /// check fails.
+    /// The record that these bytes begin with; `None` if they begin with no
+    /// complete record or its check fails.
     pub(crate) fn open(bytes: &[u8]) -> Option<(RecordHeader, &[u8])> {
         let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
         let number64 =
--- a/crates/types/src/epoch.rs
+++ b/crates/types/src/epoch.rs
@@ -30,8 +30,8 @@
 counters! {
     /// The number of a configuration, which is what operators had accepted; 0 before the first one.
     ///
-    /// Invariant: grows by one with each accepted change, and a node never goes back to an earlier
-    /// one.
+    /// Invariant: grows by one with each accepted change, and a node never goes
+    /// back to an earlier one.
     ConfigEpoch
     /// The number of a view of the controllers' chain; 0 before the founding.
     ///
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
 //! The types that all packages of cobaltfall share: ids, epochs, instants, result codes.
 //!
-//! Many of them are archived with `rkyv` and stored or sent: the order of fields and variants must
-//! never change.
+//! Many of them are archived with `rkyv` and stored or sent: the order of
+//! fields and variants must never change.
 
 #![warn(missing_docs)]
 
--- a/crates/types/src/result_code.rs
+++ b/crates/types/src/result_code.rs
@@ -6,8 +6,8 @@
 
 macro_rules! result_codes {
     ($($name:ident = $number:literal, $http:literal, $back:literal, $word:literal, $what:literal;)*) => {
-        /// What became of a request, a plan or a message, as a number that never changes its
-        /// meaning.
+        /// What became of a request, a plan or a message, as a number
+        /// that never changes its meaning.
         ///
         /// Invariant: 1xx means that the request never ran and never will; 2xx that it may have
         /// run; 3xx concern operators; 4xx concern our own processes. A number that is no more used
--- a/crates/types/tests/golden_file/mod.rs
+++ b/crates/types/tests/golden_file/mod.rs
@@ -1,5 +1,5 @@
-//! Golden files: what the product stored, sent or printed when they were written, which tests compare with what it
-//! does now.
+//! Golden files: what the product stored, sent or printed when they were written, which tests
+//! compare with what it does now.
 //!
 //! They lie below `tests/golden/` of the package whose test compares them. A test that is run with
 //! `COBALTFALL_WRITE_GOLDEN=1` in its environment writes them anew instead of comparing; do this only when a change
