--- a/crates/config/src/dialect.rs
+++ b/crates/config/src/dialect.rs
@@ -1,25 +1,35 @@
-use crate::plan::{Fault, Plan, merge_change, parse_plan};
+use crate::plan::{Plan, PlanError, merge_change, parse_plan};
 
-/// How operators write plans and changes to them.
+/// The format in which operators write plans and changes to them.
 ///
-/// Invariants: a plan that `parse` gives has no [`Plan::faults`]; what `merge` gives is a document that
-/// `parse` reads or finds faults in.
+/// Invariants: a plan that `parse` returns has no [`Plan::validation_errors`]; a document that `merge` returns
+/// is one that `parse` accepts or rejects with errors.
 pub trait PlanDialect: Send + Sync {
-    /// Reads a document; gives every fault that was found.
-    fn parse(&self, bytes: &[u8]) -> Result<Plan, Vec<Fault>>;
-    /// The document that a change makes of another.
-    fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<Fault>>;
+    /// Parses and validates a document.
+    ///
+    /// # Errors
+    ///
+    /// All errors that were found, each with the path of its field.
+    fn parse(&self, bytes: &[u8]) -> Result<Plan, Vec<PlanError>>;
+
+    /// Applies a change to a plan and returns the changed document.
+    ///
+    /// # Errors
+    ///
+    /// The plan or the change is malformed.
+    fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<PlanError>>;
 }
 
-/// The product's own: JSON as [`Plan`] describes it, changed by JSON merge patches.
+/// The product's own dialect: JSON with the keys of [`Plan`], changed by JSON merge patches (RFC 7396).
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OwnPlans;
 
 impl PlanDialect for OwnPlans {
-    fn parse(&self, bytes: &[u8]) -> Result<Plan, Vec<Fault>> {
+    fn parse(&self, bytes: &[u8]) -> Result<Plan, Vec<PlanError>> {
         parse_plan(bytes)
     }
-    fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<Fault>> {
+
+    fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<PlanError>> {
         merge_change(plan, change)
     }
 }
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -1,401 +1,237 @@
-//! What is kept of accepted changes: a bounded span, the newest ones.
+//! The history: the newest accepted commands of operators, within fixed bounds.
 
-use crate::state_machine::{Command, Proposal};
+mod compaction;
+mod entry;
+
+use crate::command::{Command, Proposal};
 use std::collections::{BTreeMap, VecDeque};
 use types::{Address, ConfigEpoch, Delta, ZoneName, messages, revert};
 
-/// Operators' changes of which the id, and so the fate, is known: the newest so many. The users' days
-/// have some hundreds, their years about 1,200 a day. [`replication::Timing::max_changes_per_second`]
-/// bounds how fast they can be used up.
-pub const REMEMBERED_CHANGES: usize = 4096;
-
-/// Bytes that may be read back as they were sent, of all remembered changes together.
-pub const REMEMBERED_BYTES: usize = 4 << 20;
-
-messages! {
-    /// What is kept of an accepted change: enough to tell a repeat from another change under its id. The
-    /// bytes of plans and changes are in [`History`], as long as there is room.
-    #[derive(Eq)]
-    pub enum KeptCommand {
-        /// A whole plan.
-        Plan {
-            /// Of its bytes.
-            hash: [u8; 32],
-        },
-        /// A change.
-        Change {
-            /// Of its bytes.
-            hash: [u8; 32],
-        },
-        /// A zone gets no new work.
-        Withdraw {
-            /// The zone.
-            zone: ZoneName,
-        },
-        /// A zone gets work again.
-        Restore {
-            /// The zone.
-            zone: ZoneName,
-        },
-        /// Members that are lost.
-        Forget {
-            /// Who.
-            members: Vec<Address>,
-        },
-    }
-
-    /// A command of an operator that was accepted.
-    #[derive(Eq)]
-    pub struct Entry {
-        /// As this epoch.
-        pub epoch: ConfigEpoch,
-        /// The operator's id for it.
-        pub id: String,
-        /// What it built on.
-        pub builds_on: Option<ConfigEpoch>,
-        /// By the operators' own count, the number that it built on, if it is a plan or a change.
-        pub base_revision: Option<u64>,
-        /// What.
-        pub command: KeptCommand,
-    }
+pub use entry::{CompactionPoint, Entry, OriginalChange, RecordedCommand, ReverseDelta};
 
-    /// What leads from a plan back to the one before.
-    #[derive(Eq)]
-    pub struct Undo {
-        /// From the plan of this epoch.
-        pub epoch: ConfigEpoch,
-        /// By this.
-        pub delta: Delta,
-    }
+/// The number of accepted commands whose ids, and so whose status, are known. Operators send some hundreds a
+/// day, and about 1,200 a day over years. [`replication::Timing::max_changes_per_second`] limits how fast the entries
+/// can be used up.
+pub const MAX_HISTORY_ENTRIES: usize = 4096;
 
-    /// A change as it was sent.
-    #[derive(Eq)]
-    pub struct SentChange {
-        /// Accepted as this epoch.
-        pub epoch: ConfigEpoch,
-        /// Its bytes.
-        pub bytes: Vec<u8>,
-    }
+/// The size limit of all plans and changes together that can be read back as they were sent, in bytes.
+pub const MAX_HISTORY_BYTES: usize = 4 << 20;
 
-    /// What was forgotten, as far as it must still be known.
-    #[derive(Default, Copy, Eq)]
-    pub struct Forgotten {
-        /// The epoch of the newest entry that was.
-        pub epoch: ConfigEpoch,
-        /// The newest number of the operators' own that a forgotten plan or change built on.
-        pub base_revision: Option<u64>,
-    }
-
-    /// The newest accepted changes of operators.
+messages! {
+    /// The newest accepted commands of operators.
     ///
-    /// Invariants: `entries` are in order of epochs, at most `span`, and whatever was
-    /// accepted after `forgotten.epoch` is among them; ids are unique in them, and `ids` names each.
-    /// `undos` lead from the plan in force back, one for each plan and change, without a gap; `changes`
-    /// are in order of epochs. Both are the newest ones, and hold at most [`REMEMBERED_BYTES`] together.
-    /// What is forgotten depends only on what was taken in, in which order: all who applied the same
-    /// changes remember the same ones. No clock decides.
+    /// Invariants: `entries` are in the order of their epochs, at most `span`, and every command of operators
+    /// accepted after `compacted.epoch` is among them. Their ids are unique, and `ids` has each of them.
+    /// `reverse_deltas` lead back from the plan in force, one for each plan and change, without a gap; `changes`
+    /// are in the order of their epochs. Both are the newest ones and hold at most [`MAX_HISTORY_BYTES`] together.
+    /// What is compacted depends only on the commands and their order, not on a clock: all replicas that applied
+    /// the same commands have the same history.
     #[derive(Eq)]
     pub struct History {
-        /// How many entries are remembered; the same for all who hold the state, as it's part of it.
+        /// The largest number of entries. As a part of the state, it is the same at all replicas.
         span: u32,
-        /// What operators had accepted.
+        /// The accepted commands.
         pub entries: VecDeque<Entry>,
-        /// Their epochs by their ids. Made of the entries, not archived.
+        /// The epochs of the entries by their ids. Not archived, but rebuilt from the entries.
         #[rkyv(with = rkyv::with::Skip)]
         ids: BTreeMap<String, ConfigEpoch>,
-        /// From the plan in force back.
-        undos: VecDeque<Undo>,
-        /// As they were sent.
-        changes: VecDeque<SentChange>,
-        /// What is no longer here.
-        pub forgotten: Forgotten,
+        /// The deltas that lead back from the plan in force.
+        reverse_deltas: VecDeque<ReverseDelta>,
+        /// The changes as they were sent.
+        changes: VecDeque<OriginalChange>,
+        /// Where the history begins.
+        pub compacted: CompactionPoint,
     }
 }
 
 /// An accepted command as its operator sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AsSent {
-    /// A plan or a change, byte for byte.
+pub enum OriginalCommand {
+    /// The bytes of a plan or of a change.
     Body(Vec<u8>),
-    /// A zone gets no new work.
+    /// The withdrawal of a zone.
     Withdraw(ZoneName),
-    /// A zone gets work again.
+    /// The restoration of a zone.
     Restore(ZoneName),
-    /// Members that are lost.
-    Forget(Vec<Address>),
+    /// The removal of lost members.
+    ForceRemove(Vec<Address>),
 }
 
-/// Why an epoch can't be given as it was sent.
+/// Why an accepted command cannot be read back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NotKept {
-    /// No operator's change was accepted as this epoch.
+pub enum HistoryError {
+    /// No command of operators was accepted as this epoch.
     #[error("no operator's change was accepted as this epoch")]
-    Never,
-    /// It's older than what is kept, or its bytes had no room any more.
+    NotAccepted,
+    /// The command is older than the history, or there was no room for its bytes any more.
     #[error("it is no longer kept")]
-    NoLonger,
+    Compacted,
 }
 
-/// What became of a change, as far as the history tells.
+/// The status of a command, as far as the history shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It was accepted as this epoch.
+pub enum CommandStatus {
+    /// The command was accepted as this epoch.
     Accepted(ConfigEpoch),
-    /// It was not accepted so far: nothing has been forgotten yet.
+    /// The command was not accepted so far. The history is complete.
     NotAccepted,
-    /// It's not among those that are remembered. Whether it was accepted before them isn't known.
+    /// The command is not in the history. Whether it was accepted before the oldest entry is unknown.
     TooOldToKnow,
 }
 
-impl KeptCommand {
-    /// What is kept of an operator's command; `None` of one that is not an operator's.
-    pub(crate) fn of(command: &Command) -> Option<KeptCommand> {
-        Some(match command {
-            Command::Plan { bytes, .. } => KeptCommand::Plan {
-                hash: *blake3::hash(bytes).as_bytes(),
-            },
-            Command::Change { bytes, .. } => KeptCommand::Change {
-                hash: *blake3::hash(bytes).as_bytes(),
-            },
-            Command::Withdraw { zone } => KeptCommand::Withdraw { zone: zone.clone() },
-            Command::Restore { zone } => KeptCommand::Restore { zone: zone.clone() },
-            Command::Forget { members } => KeptCommand::Forget {
-                members: members.clone(),
-            },
-            Command::Join { .. }
-            | Command::Retire { .. }
-            | Command::Settle { .. }
-            | Command::Key { .. } => {
-                return None;
-            }
-        })
-    }
-}
-
-impl Entry {
-    /// Whether a proposal says the same. A change merged anew may come to another whole.
-    pub(crate) fn is_repeated_by(&self, other: &Proposal) -> bool {
-        let is_same_command =
-            KeptCommand::of(&other.command).is_some_and(|command| command == self.command);
-        is_same_command && self.id == other.id && self.builds_on == other.builds_on
-    }
-}
-
-/// By the operators' own count, the number that a command builds on.
-fn base_revision(command: &Command) -> Option<u64> {
-    match command {
-        Command::Plan { revisions, .. } | Command::Change { revisions, .. } => {
-            (revisions.own > 0).then_some(revisions.base)
-        }
-        _ => None,
-    }
-}
-
 impl Default for History {
     fn default() -> Self {
-        History::of_span(REMEMBERED_CHANGES)
+        History::with_max_entries(MAX_HISTORY_ENTRIES)
     }
 }
 
 impl History {
-    /// An empty one that remembers so many entries.
-    pub fn of_span(span: usize) -> History {
+    /// An empty history of at most `max_entries` entries.
+    pub fn with_max_entries(max_entries: usize) -> History {
         History {
-            span: span.try_into().unwrap_or(u32::MAX),
+            span: max_entries.try_into().unwrap_or(u32::MAX),
             entries: VecDeque::new(),
             ids: BTreeMap::new(),
-            undos: VecDeque::new(),
+            reverse_deltas: VecDeque::new(),
             changes: VecDeque::new(),
-            forgotten: Forgotten::default(),
+            compacted: CompactionPoint::default(),
         }
     }
 
-    /// The accepted change with this id, if it's remembered.
+    /// The accepted command with this id, if it is in the history.
     pub fn entry_by_id(&self, id: &str) -> Option<&Entry> {
         self.entry(*self.ids.get(id)?)
     }
 
-    /// What was accepted as this epoch, if it's remembered.
+    /// The command that was accepted as this epoch, if it is in the history.
     pub fn entry(&self, epoch: ConfigEpoch) -> Option<&Entry> {
-        let place = self
+        let index = self
             .entries
             .binary_search_by_key(&epoch, |entry| entry.epoch)
             .ok()?;
-        self.entries.get(place)
+        self.entries.get(index)
     }
 
-    /// What became of the change with this id.
-    pub fn fate(&self, id: &str) -> Fate {
+    /// The status of the command with this id.
+    pub fn command_status(&self, id: &str) -> CommandStatus {
         match self.entry_by_id(id) {
-            Some(entry) => Fate::Accepted(entry.epoch),
-            None if self.forgotten.epoch == ConfigEpoch(0) => Fate::NotAccepted,
-            None => Fate::TooOldToKnow,
+            Some(entry) => CommandStatus::Accepted(entry.epoch),
+            None if self.compacted.epoch == ConfigEpoch(0) => CommandStatus::NotAccepted,
+            None => CommandStatus::TooOldToKnow,
         }
     }
 
-    /// Whether a proposal that isn't remembered may be one that was accepted and forgotten.
-    ///
-    /// An accepted one builds on what came before it: its `builds_on` is below its own epoch, and the number
-    /// that it builds on is that of the plan before it. So one that builds on the newest forgotten epoch or a
-    /// later one, or on a newer number than any forgotten one, was never accepted before. One that names
-    /// neither can't be told from a new one.
-    pub(crate) fn may_have_forgotten(&self, proposal: &Proposal) -> bool {
-        if self.forgotten.epoch == ConfigEpoch(0) {
-            return false;
-        }
-        match (base_revision(&proposal.command), proposal.builds_on) {
-            (Some(base), _) => self
-                .forgotten
-                .base_revision
-                .is_some_and(|forgotten| base <= forgotten),
-            (None, Some(builds_on)) => builds_on < self.forgotten.epoch,
-            (None, None) => false,
-        }
-    }
-
-    /// What was accepted as this epoch, as it was sent; `plan` is the one in force.
-    pub(crate) fn as_sent(&self, epoch: ConfigEpoch, plan: &[u8]) -> Result<AsSent, NotKept> {
+    /// The command that was accepted as this epoch, as its operator sent it; `plan` is the one in force.
+    pub(crate) fn original_command(
+        &self,
+        epoch: ConfigEpoch,
+        plan: &[u8],
+    ) -> Result<OriginalCommand, HistoryError> {
         let Some(entry) = self.entry(epoch) else {
-            let is_forgotten = epoch > ConfigEpoch(0) && epoch <= self.forgotten.epoch;
-            return Err(if is_forgotten {
-                NotKept::NoLonger
+            let is_compacted = epoch > ConfigEpoch(0) && epoch <= self.compacted.epoch;
+            return Err(if is_compacted {
+                HistoryError::Compacted
             } else {
-                NotKept::Never
+                HistoryError::NotAccepted
             });
         };
         match &entry.command {
-            KeptCommand::Plan { hash } => self.plan_as_sent(epoch, plan, hash),
-            KeptCommand::Change { .. } => self.change_as_sent(epoch),
-            KeptCommand::Withdraw { zone } => Ok(AsSent::Withdraw(zone.clone())),
-            KeptCommand::Restore { zone } => Ok(AsSent::Restore(zone.clone())),
-            KeptCommand::Forget { members } => Ok(AsSent::Forget(members.clone())),
+            RecordedCommand::Plan { hash } => self.original_plan(epoch, plan, hash),
+            RecordedCommand::Change { .. } => self.original_change(epoch),
+            RecordedCommand::Withdraw { zone } => Ok(OriginalCommand::Withdraw(zone.clone())),
+            RecordedCommand::Restore { zone } => Ok(OriginalCommand::Restore(zone.clone())),
+            RecordedCommand::ForceRemove { members } => {
+                Ok(OriginalCommand::ForceRemove(members.clone()))
+            }
         }
     }
 
-    /// A plan comes back from the one in force by what undoes those after it.
-    fn plan_as_sent(
+    /// Reverts the plan in force to that of an epoch, by the deltas of the later ones.
+    fn original_plan(
         &self,
         epoch: ConfigEpoch,
         plan: &[u8],
         hash: &[u8; 32],
-    ) -> Result<AsSent, NotKept> {
+    ) -> Result<OriginalCommand, HistoryError> {
         let later = self
-            .undos
+            .reverse_deltas
             .iter()
             .rev()
-            .take_while(|undo| undo.epoch > epoch);
-        let bytes = revert(plan, later.map(|undo| &undo.delta)).ok_or(NotKept::NoLonger)?;
+            .take_while(|delta| delta.epoch > epoch);
+        let bytes = revert(plan, later.map(|delta| &delta.delta)).ok_or(HistoryError::Compacted)?;
         if blake3::hash(&bytes) == *hash {
-            Ok(AsSent::Body(bytes))
+            Ok(OriginalCommand::Body(bytes))
         } else {
-            Err(NotKept::NoLonger)
+            Err(HistoryError::Compacted)
         }
     }
 
-    fn change_as_sent(&self, epoch: ConfigEpoch) -> Result<AsSent, NotKept> {
-        let place = self
+    fn original_change(&self, epoch: ConfigEpoch) -> Result<OriginalCommand, HistoryError> {
+        let index = self
             .changes
-            .binary_search_by_key(&epoch, |change| change.epoch);
-        let place = place.map_err(|_| NotKept::NoLonger)?;
-        Ok(AsSent::Body(self.changes[place].bytes.clone()))
+            .binary_search_by_key(&epoch, |change| change.epoch)
+            .map_err(|_| HistoryError::Compacted)?;
+        Ok(OriginalCommand::Body(self.changes[index].bytes.clone()))
     }
 
-    /// Takes in what leads from a new plan back to the one before.
-    pub(crate) fn remember_undo(&mut self, epoch: ConfigEpoch, delta: Delta) {
-        self.undos.push_back(Undo { epoch, delta });
+    /// Records the delta from a new plan back to the previous one.
+    pub(crate) fn record_reverse_delta(&mut self, epoch: ConfigEpoch, delta: Delta) {
+        self.reverse_deltas.push_back(ReverseDelta { epoch, delta });
     }
 
-    /// Takes an accepted proposal in, and forgets what is beyond the bounds.
-    pub(crate) fn remember(&mut self, epoch: ConfigEpoch, proposal: Proposal) {
-        if let Some(command) = KeptCommand::of(&proposal.command) {
-            let base_revision = base_revision(&proposal.command);
+    /// Records an accepted proposal, and compacts what exceeds the bounds.
+    pub(crate) fn record(&mut self, epoch: ConfigEpoch, proposal: Proposal) {
+        if let Some(command) = RecordedCommand::new(&proposal.command) {
             self.ids.insert(proposal.id.clone(), epoch);
-            let (id, builds_on) = (proposal.id, proposal.builds_on);
             self.entries.push_back(Entry {
                 epoch,
-                id,
-                builds_on,
-                base_revision,
+                id: proposal.id,
+                builds_on: proposal.builds_on,
+                base_revision: proposal.command.base_revision(),
                 command,
             });
         }
         if let Command::Change { bytes, .. } = proposal.command {
-            self.changes.push_back(SentChange { epoch, bytes });
+            self.changes.push_back(OriginalChange { epoch, bytes });
         }
-        self.forget_oldest_entries();
-        self.forget_oldest_bytes();
+        self.compact_entries();
+        self.compact_bytes();
     }
 
-    fn forget_oldest_entries(&mut self) {
-        while self.entries.len() > self.span as usize {
-            let Some(oldest) = self.entries.pop_front() else {
-                break;
-            };
-            self.ids.remove(&oldest.id);
-            self.forgotten.epoch = oldest.epoch;
-            self.forgotten.base_revision = self.forgotten.base_revision.max(oldest.base_revision);
-        }
-    }
-
-    /// Drops the oldest bytes until the rest is within the bound, and those of forgotten entries.
-    fn forget_oldest_bytes(&mut self) {
-        let mut bytes = self.byte_count();
-        loop {
-            let oldest_undo = self.undos.front().map(|undo| undo.epoch);
-            let oldest_change = self.changes.front().map(|change| change.epoch);
-            let Some(oldest) = oldest_undo.into_iter().chain(oldest_change).min() else {
-                break;
-            };
-            if bytes <= REMEMBERED_BYTES && oldest > self.forgotten.epoch {
-                break;
-            }
-            if oldest_undo == Some(oldest) {
-                bytes -= self
-                    .undos
-                    .pop_front()
-                    .map_or(0, |undo| undo.delta.inserted.len());
-            }
-            if oldest_change == Some(oldest) {
-                bytes -= self
-                    .changes
-                    .pop_front()
-                    .map_or(0, |change| change.bytes.len());
-            }
-        }
-    }
-
-    /// Bytes kept so that changes can be read back.
-    pub fn byte_count(&self) -> usize {
-        let undos: usize = self
-            .undos
+    /// Completes a history that was read from an archive: builds the index. `None` if the invariants do not hold;
+    /// `newest` is the newest epoch.
+    pub(crate) fn indexed(mut self, newest: ConfigEpoch) -> Option<History> {
+        let ids = self
+            .entries
             .iter()
-            .map(|undo| undo.delta.inserted.len())
-            .sum();
-        let changes: usize = self.changes.iter().map(|change| change.bytes.len()).sum();
-        undos + changes
+            .map(|entry| (entry.id.clone(), entry.epoch));
+        self.ids = ids.collect();
+        let is_valid = self.are_epochs_rising(newest) && self.is_within_bounds();
+        let are_ids_unique = self.ids.len() == self.entries.len();
+        (is_valid && are_ids_unique).then_some(self)
     }
 
-    /// After it was read: makes the index; `None` if the invariants don't hold.
-    pub(crate) fn indexed(mut self, newest: ConfigEpoch) -> Option<History> {
-        self.ids = self
-            .entries
+    /// Whether entries, deltas and changes are in the order of their epochs, up to `newest`, and all entries
+    /// after the compaction point.
+    fn are_epochs_rising(&self, newest: ConfigEpoch) -> bool {
+        let entries: Vec<ConfigEpoch> = self.entries.iter().map(|entry| entry.epoch).collect();
+        let deltas: Vec<ConfigEpoch> = self
+            .reverse_deltas
             .iter()
-            .map(|entry| (entry.id.clone(), entry.epoch))
+            .map(|delta| delta.epoch)
             .collect();
-        let epochs: Vec<ConfigEpoch> = self.entries.iter().map(|entry| entry.epoch).collect();
-        let undone: Vec<ConfigEpoch> = self.undos.iter().map(|undo| undo.epoch).collect();
-        let sent: Vec<ConfigEpoch> = self.changes.iter().map(|change| change.epoch).collect();
+        let changes: Vec<ConfigEpoch> = self.changes.iter().map(|change| change.epoch).collect();
         let is_rising = |epochs: &[ConfigEpoch]| {
             epochs.is_sorted_by(|one, next| one < next)
                 && epochs.last().is_none_or(|last| *last <= newest)
         };
-        let are_rising = is_rising(&epochs) && is_rising(&undone) && is_rising(&sent);
-        let is_after_forgotten = epochs
+        let is_after_compaction = entries
             .first()
-            .is_none_or(|first| *first > self.forgotten.epoch);
-        let is_bounded =
-            epochs.len() <= self.span as usize && self.byte_count() <= REMEMBERED_BYTES;
-        let are_ids_unique = self.ids.len() == self.entries.len();
-        (are_rising && is_after_forgotten && is_bounded && are_ids_unique).then_some(self)
+            .is_none_or(|first| *first > self.compacted.epoch);
+        is_rising(&entries) && is_rising(&deltas) && is_rising(&changes) && is_after_compaction
+    }
+
+    fn is_within_bounds(&self) -> bool {
+        self.entries.len() <= self.span as usize && self.byte_count() <= MAX_HISTORY_BYTES
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,49 +1,88 @@
-use crate::plan::{Fault, faults_of};
+//! Settings files of the daemons, and validators for settings and plans.
+
+use crate::schema_errors::{InvalidField, invalid_fields};
 use schematic::{Config, ConfigLoader, ValidateError, ValidateResult};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use types::{Address, ZoneName};
 
-/// Why settings can't be used: each fault with its field.
+/// Why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
-#[error("{}", .0.iter().map(|fault| format!("settings: {}: {}", fault.path, fault.why)).collect::<Vec<_>>().join("\n"))]
-pub struct SettingsError(pub Vec<Fault>);
+pub enum SettingsError {
+    /// The file cannot be read.
+    #[error("settings: {}: can't be read: {source}", path.display())]
+    Unreadable {
+        /// The path of the file.
+        path: PathBuf,
+        /// The error of the operating system.
+        source: std::io::Error,
+    },
+    /// The file is no TOML, or fields are unknown or invalid: a line of the message for each field.
+    #[error("{}", lines(.0))]
+    Invalid(Vec<InvalidField>),
+}
+
+fn lines(fields: &[InvalidField]) -> String {
+    let lines: Vec<String> = fields
+        .iter()
+        .map(|field| format!("settings: {field}"))
+        .collect();
+    lines.join("\n")
+}
 
-/// Reads a daemon's settings file (TOML), unknown fields being faults.
+/// Reads a daemon's settings file (TOML). Without a file, all settings have their defaults.
+///
+/// # Errors
+///
+/// The file cannot be read, is malformed, or has unknown or invalid fields.
 pub fn read_settings<T: Config>(file: Option<&Path>) -> Result<T, SettingsError> {
     let mut loader = ConfigLoader::<T>::new();
-    if let Some(file) = file {
-        let text = std::fs::read_to_string(file).map_err(|fault| {
-            let path = file.display().to_string();
-            SettingsError(vec![Fault {
-                path,
-                why: format!("can't be read: {fault}"),
-            }])
+    if let Some(path) = file {
+        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
+            path: path.to_owned(),
+            source,
         })?;
         loader
             .code(text, "settings.toml")
-            .map_err(|fault| SettingsError(faults_of(&fault)))?;
+            .map_err(|error| SettingsError::Invalid(invalid_fields(&error)))?;
     }
     loader
         .load()
         .map(|loaded| loaded.config)
-        .map_err(|fault| SettingsError(faults_of(&fault)))
+        .map_err(|error| SettingsError::Invalid(invalid_fields(&error)))
 }
 
-/// A setting that is an IP number with a port.
-pub fn an_address<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
+/// Validates a setting that is an IPv4 address with a port.
+///
+/// # Errors
+///
+/// The text is no such address.
+pub fn validate_address<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
     text.parse::<Address>()
         .map(drop)
         .map_err(|error| ValidateError::new(error.to_string()))
 }
 
-/// A setting that is a list of such.
-pub fn addresses<D, C>(list: &[String], data: &D, context: &C, is_final: bool) -> ValidateResult {
+/// Validates a setting that is a list of addresses; see [`validate_address`].
+///
+/// # Errors
+///
+/// An entry of the list is no address.
+pub fn validate_addresses<D, C>(
+    list: &[String],
+    data: &D,
+    context: &C,
+    is_final: bool,
+) -> ValidateResult {
     list.iter()
-        .try_for_each(|text| an_address(text, data, context, is_final))
+        .try_for_each(|text| validate_address(text, data, context, is_final))
 }
 
-/// A setting that is a plain name.
-pub fn a_name<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
+/// Validates a setting that is a name: 1 to 64 letters, digits or any of `-_.:`.
+///
+/// # Errors
+///
+/// The text is no such name.
+pub fn validate_name<D, C>(text: &str, _: &D, _: &C, _: bool) -> ValidateResult {
     if ZoneName::from(text).is_valid() {
         Ok(())
     } else {
@@ -53,20 +92,23 @@
     }
 }
 
-/// A setting that is a number within bounds.
-pub fn within<D, C>(least: u64, most: u64) -> impl FnOnce(&u64, &D, &C, bool) -> ValidateResult {
+/// A validator of a setting that is a number from `min` to `max`, both included.
+pub fn validate_range<D, C>(
+    min: u64,
+    max: u64,
+) -> impl FnOnce(&u64, &D, &C, bool) -> ValidateResult {
     move |value, _, _, _| {
-        if (least..=most).contains(value) {
+        if (min..=max).contains(value) {
             Ok(())
         } else {
             Err(ValidateError::new(format!(
-                "{value} is not within {least} to {most}"
+                "{value} is not within {min} to {max}"
             )))
         }
     }
 }
 
-/// Addresses out of a list that was checked when the settings were read.
+/// Parses a list of addresses that [`validate_addresses`] accepted. Entries that are no addresses are left out.
 pub fn parse_addresses(list: &[String]) -> Vec<Address> {
     list.iter().filter_map(|text| text.parse().ok()).collect()
 }
--- a/crates/config/src/state_machine/tests.rs
+++ b/crates/config/src/state_machine/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
-use crate::history::AsSent;
-use crate::state_machine::{Command, ConfigStateMachine, Proposal};
+use crate::command::{Command, Proposal};
+use crate::history::OriginalCommand;
+use crate::state_machine::ConfigStateMachine;
 use types::{Address, ConfigEpoch, TokenKey, ZoneName};
 
 fn plan(id: &str, builds_on: u64, slots: u32) -> Proposal {
@@ -81,8 +82,8 @@
     let config_state = ConfigStateMachine::restore(&config_state.snapshot()).expect("a ledger");
     for (place, body) in bodies.into_iter().enumerate() {
         assert_eq!(
-            config_state.as_sent(ConfigEpoch(place as u64 + 1)),
-            Ok(AsSent::Body(body)),
+            config_state.original_command(ConfigEpoch(place as u64 + 1)),
+            Ok(OriginalCommand::Body(body)),
             "epoch {}",
             place + 1
         );
@@ -113,7 +114,7 @@
         id: id.into(),
         builds_on: None,
         seen: ConfigEpoch(0),
-        command: Command::Forget {
+        command: Command::ForceRemove {
             members: ports.iter().map(|port| Address::loopback(*port)).collect(),
         },
     };
@@ -170,7 +171,7 @@
     assert_eq!(
         take(
             &mut config_state,
-            &inner(Command::Settle {
+            &inner(Command::FinalizeMembership {
                 since: ConfigEpoch(1)
             })
         )["code"],
@@ -179,7 +180,7 @@
     assert_eq!(
         take(
             &mut config_state,
-            &inner(Command::Settle {
+            &inner(Command::FinalizeMembership {
                 since: ConfigEpoch(2)
             })
         )["code"],
@@ -198,7 +199,7 @@
         id: String::new(),
         builds_on: None,
         seen: ConfigEpoch(0),
-        command: Command::Key {
+        command: Command::SetTokenKey {
             key: TokenKey([byte; 32]),
         },
     };
--- a/crates/config/src/tenants.rs
+++ b/crates/config/src/tenants.rs
@@ -1,96 +1,53 @@
-//! Tenants: who may send requests, by which API keys, and how many.
+//! Tenants: who may send requests, identified by API keys, and at what rate.
 
-use crate::plan::Fault;
 use schematic::{Config, ConfigEnum};
 use std::collections::HashMap;
-use types::{ApiKey, ApiKeys, TenantName, random_bytes};
+use types::{ApiKey, ApiKeys, random_bytes};
 
-/// What a tenant's quota counts.
+/// The unit of a tenant's quota.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, ConfigEnum, Default, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaUnit {
-    /// Requests.
+    /// A request.
     #[default]
     Request,
-    /// Tokens of the prompt and the most that come out.
+    /// A token: those of the prompt and the largest number that may be generated.
     Token,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Debug, Clone, Config)]
 pub struct TenantPlan {
-    /// Its own among the plan's.
+    /// The name, unique within the plan.
     #[setting(required)]
     pub name: String,
-    /// Each names it alone. A tenant without keys sends nothing.
+    /// The API keys, each of which belongs to this tenant alone. A tenant without keys cannot send requests.
     pub api_keys: ApiKeys,
-    /// Goes before the route's: 0 goes first. Left out: the route's alone counts.
+    /// The priority, which goes before that of the route; 0 goes first. If absent, the route's applies.
     pub priority: Option<u64>,
-    /// What `rate_per_s` and `burst` count.
+    /// The unit of `rate_per_s` and `burst`.
     pub quota_unit: QuotaUnit,
-    /// Units a second over the whole fleet; 0: no limit.
+    /// The rate limit over the whole fleet, in units per second; 0 stands for no limit.
     pub rate_per_s: f64,
-    /// Units above that at once.
+    /// The units allowed at once beyond the rate.
     pub burst: f64,
-    /// Tokens that a request counts which does not tell how many it has.
+    /// The number of tokens that a request is counted with if it does not say how many it has.
     pub untold_tokens: u64,
 }
 
-/// No quota is larger: its thousandths still fit 63 bits many times over.
-const MOST_UNITS: f64 = 1e12;
+/// The upper bound of a tenant's rate and burst, in units. Their thousandths fit 63 bits many times over.
+pub(crate) const MAX_QUOTA_UNITS: f64 = 1e12;
 
 impl TenantPlan {
-    /// Whether it may send only so much.
+    /// Whether the tenant has a rate limit.
     pub fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
 }
 
-/// What is wrong with the tenants of a plan. No fault shows a key.
-pub(crate) fn tenant_faults(tenants: &[TenantPlan]) -> Vec<Fault> {
-    let mut faults = vec![];
-    let mut names: HashMap<&str, usize> = HashMap::new();
-    let mut owners: HashMap<&ApiKey, usize> = HashMap::new();
-    for (place, tenant) in tenants.iter().enumerate() {
-        let mut say = |field: &str, why: String| {
-            faults.push(Fault {
-                path: format!("tenants[{place}].{field}"),
-                why,
-            });
-        };
-        if !TenantName::from(tenant.name.as_str()).is_valid() {
-            say(
-                "name",
-                "a name is 1 to 64 letters, digits or any of -_.:".into(),
-            );
-        }
-        if let Some(other) = names.insert(&tenant.name, place) {
-            say("name", format!("tenants[{other}] has the same name"));
-        }
-        for (number, key) in tenant.api_keys.0.iter().enumerate() {
-            let field = format!("api_keys[{number}]");
-            if key.is_empty() {
-                say(&field, "a key is not empty".into());
-            }
-            match owners.insert(key, place) {
-                Some(other) if other != place => {
-                    say(&field, format!("tenants[{other}] has the same key"))
-                }
-                _ => {}
-            }
-        }
-        for (field, units) in [("rate_per_s", tenant.rate_per_s), ("burst", tenant.burst)] {
-            if !(0.0..=MOST_UNITS).contains(&units) {
-                say(field, format!("it is not within 0 to {MOST_UNITS:e}"));
-            }
-        }
-    }
-    faults
-}
-
-/// Hashes keys so that no two of them are ever compared byte by byte.
+/// Hashes API keys with a secret of the process, so that keys are never compared byte by byte.
 #[derive(Clone)]
 pub struct KeyHasher([u8; 32]);
 
@@ -100,22 +57,23 @@
     }
 }
 
-/// What stands for a key inside a process. It means nothing in any other.
+/// The digest of an API key. It has a meaning only in the process that computed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyHasher {
-    /// One for this process, drawn at random.
+    /// A hasher with a random secret.
     pub fn draw() -> Self {
         KeyHasher(random_bytes())
     }
-    /// What stands for a key.
+
+    /// The digest of a key.
     pub fn digest(&self, key: &ApiKey) -> KeyDigest {
         KeyDigest(*blake3::keyed_hash(&self.0, key.as_bytes()).as_bytes())
     }
 }
 
-/// Finds the tenant of a key.
+/// The tenants of a plan, by the digests of their API keys.
 #[derive(Debug, Clone)]
 pub struct TenantTable {
     hasher: KeyHasher,
@@ -124,19 +82,14 @@
 }
 
 impl TenantTable {
-    /// Of a plan's tenants.
+    /// The table of a plan's tenants. The table keeps digests of the keys, not the keys.
     pub fn new(tenants: &[TenantPlan], hasher: KeyHasher) -> Self {
-        let keys = |(place, tenant): (usize, &TenantPlan)| {
-            let digests: Vec<(KeyDigest, usize)> = tenant
-                .api_keys
-                .0
-                .iter()
-                .map(|key| (hasher.digest(key), place))
-                .collect();
-            digests
-        };
-        let by_key = tenants.iter().enumerate().flat_map(keys).collect();
-        // Only digests are needed from here on.
+        let mut by_key = HashMap::new();
+        for (index, tenant) in tenants.iter().enumerate() {
+            for key in &tenant.api_keys.0 {
+                by_key.insert(hasher.digest(key), index);
+            }
+        }
         let without_keys = |tenant: &TenantPlan| TenantPlan {
             api_keys: ApiKeys::default(),
             ..tenant.clone()
@@ -147,19 +100,23 @@
             hasher,
         }
     }
-    /// Whether requests need no key.
+
+    /// Whether there are no tenants, so that requests need no API key.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
-    /// What stands for a key here.
+
+    /// The digest of a key, as [`TenantTable::tenant`] takes it.
     pub fn digest(&self, key: &ApiKey) -> KeyDigest {
         self.hasher.digest(key)
     }
-    /// Whose key it is.
+
+    /// The tenant that a key belongs to, if any.
     pub fn tenant(&self, key: &KeyDigest) -> Option<&TenantPlan> {
         self.tenants.get(*self.by_key.get(key)?)
     }
-    /// All of them.
+
+    /// All tenants, without their API keys.
     pub fn tenants(&self) -> &[TenantPlan] {
         &self.tenants
     }
--- a/crates/config/tests/fuzz.rs
+++ b/crates/config/tests/fuzz.rs
@@ -33,7 +33,7 @@
 
 fn config_state() -> ConfigStateMachine {
     let mut config_state = ConfigStateMachine {
-        history: History::of_span(6),
+        history: History::with_max_entries(6),
         ..ConfigStateMachine::default()
     };
     (0..10).for_each(|n| drop(config_state.apply(&plan(n).to_bytes())));
@@ -92,10 +92,10 @@
                 .history
                 .entries
                 .iter()
-                .all(|entry| entry.epoch > config_state.history.forgotten.epoch)
+                .all(|entry| entry.epoch > config_state.history.compacted.epoch)
         );
         for epoch in 0..14 {
-            let _ = config_state.as_sent(ConfigEpoch(epoch));
+            let _ = config_state.original_command(ConfigEpoch(epoch));
         }
         config_state.apply(&plan(9).to_bytes());
         config_state.apply(&plan(10).to_bytes());
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -6,8 +6,8 @@
 mod golden_file;
 
 use config::{
-    AsSent, Command, CommandOutcome, ConfigStateMachine, Fault, Forgotten, History, KeptCommand,
-    NotKept, Proposal, Revisions, parse_plan,
+    Command, CommandOutcome, CompactionPoint, ConfigStateMachine, History, HistoryError,
+    OriginalCommand, PlanError, Proposal, RecordedCommand, Revisions, parse_plan,
 };
 use replication::StateMachine;
 use types::{Address, ConfigEpoch, Delta, TokenKey, ZoneName};
@@ -19,17 +19,17 @@
     Command::Restore { .. } => "Restore",
     Command::Join { .. } => "Join",
     Command::Retire { .. } => "Retire",
-    Command::Forget { .. } => "Forget",
-    Command::Settle { .. } => "Settle",
-    Command::Key { .. } => "Key",
+    Command::ForceRemove { .. } => "Forget",
+    Command::FinalizeMembership { .. } => "Settle",
+    Command::SetTokenKey { .. } => "Key",
 });
 
-variant_names!(ALL_KEPT_COMMANDS, kept_command_name(KeptCommand) {
-    KeptCommand::Plan { .. } => "Plan",
-    KeptCommand::Change { .. } => "Change",
-    KeptCommand::Withdraw { .. } => "Withdraw",
-    KeptCommand::Restore { .. } => "Restore",
-    KeptCommand::Forget { .. } => "Forget",
+variant_names!(ALL_KEPT_COMMANDS, kept_command_name(RecordedCommand) {
+    RecordedCommand::Plan { .. } => "Plan",
+    RecordedCommand::Change { .. } => "Change",
+    RecordedCommand::Withdraw { .. } => "Withdraw",
+    RecordedCommand::Restore { .. } => "Restore",
+    RecordedCommand::ForceRemove { .. } => "Forget",
 });
 
 const PLAN: &[u8] = br#"{"services":{"drafts":{"slots":4,"zones":["north","south","centre"]}},"tenants":[{"name":"acme","api_keys":["k-1"],"rate_per_s":5.0,"burst":10.0}],"note":"one"}"#;
@@ -76,7 +76,7 @@
     let key = TokenKey([0x5a; 32]);
     let (north, south) = ("north".into(), "south".into());
     vec![
-        proposal("", None, 0, Command::Key { key }),
+        proposal("", None, 0, Command::SetTokenKey { key }),
         proposal("", None, 0, Command::Join { members: joining }),
         proposal("plan-1", Some(2), 0, plan),
         proposal("change-1", Some(3), 0, change_of_slots()),
@@ -94,7 +94,7 @@
             "",
             None,
             0,
-            Command::Settle {
+            Command::FinalizeMembership {
                 since: ConfigEpoch(2),
             },
         ),
@@ -110,7 +110,7 @@
             "f-1",
             None,
             9,
-            Command::Forget {
+            Command::ForceRemove {
                 members: vec![member(7203)],
             },
         ),
@@ -132,7 +132,7 @@
 
 fn ledger_of(span: usize, proposals: &[Proposal]) -> ConfigStateMachine {
     let mut config_state = ConfigStateMachine {
-        history: History::of_span(span),
+        history: History::with_max_entries(span),
         ..ConfigStateMachine::default()
     };
     for (place, proposal) in proposals.iter().enumerate() {
@@ -221,34 +221,40 @@
     let newest = Delta::between(PLAN, NEXT_PLAN);
     assert_eq!(whole.newest, Some((ConfigEpoch(3), newest)));
     assert_eq!(
-        whole.as_sent(ConfigEpoch(3)),
-        Ok(AsSent::Body(PLAN.to_vec()))
+        whole.original_command(ConfigEpoch(3)),
+        Ok(OriginalCommand::Body(PLAN.to_vec()))
     );
     let change = br#"{"services":{"drafts":{"slots":5}}}"#.to_vec();
-    assert_eq!(whole.as_sent(ConfigEpoch(4)), Ok(AsSent::Body(change)));
-    assert_eq!(whole.as_sent(ConfigEpoch(2)), Err(NotKept::Never));
-    assert_eq!(short.as_sent(ConfigEpoch(4)), Err(NotKept::NoLonger));
-    let forgotten = Forgotten {
+    assert_eq!(
+        whole.original_command(ConfigEpoch(4)),
+        Ok(OriginalCommand::Body(change))
+    );
+    assert_eq!(
+        whole.original_command(ConfigEpoch(2)),
+        Err(HistoryError::NotAccepted)
+    );
+    assert_eq!(
+        short.original_command(ConfigEpoch(4)),
+        Err(HistoryError::Compacted)
+    );
+    let compacted = CompactionPoint {
         epoch: ConfigEpoch(6),
         base_revision: Some(1),
     };
-    assert_eq!(short.history.forgotten, forgotten);
+    assert_eq!(short.history.compacted, compacted);
     assert_eq!(short.history.entries.len(), SHORT_SPAN);
 }
 
 #[test]
 fn outcomes_have_their_golden_json() {
-    let fault = Fault {
-        path: "services.drafts.slots".into(),
-        why: "0 is not within 1 to 100000".into(),
-    };
+    let error = PlanError::in_dialect("services.drafts.slots", "0 is not within 1 to 100000");
     let outcome = CommandOutcome {
         code: 301,
         result: "bad-plan",
         epoch: ConfigEpoch(11),
         plan_epoch: ConfigEpoch(4),
-        why: "nothing changed".into(),
-        faults: vec![fault],
+        reason: "nothing changed".into(),
+        plan_errors: vec![error],
     };
     let mut lines = vec![outcome.to_bytes()];
     let mut config_state = config_state(SHORT_SPAN);
@@ -305,7 +311,7 @@
             "f-2",
             None,
             11,
-            Command::Forget {
+            Command::ForceRemove {
                 members: vec![Address::loopback(7299)],
             },
         ),
@@ -313,7 +319,7 @@
             "",
             None,
             0,
-            Command::Settle {
+            Command::FinalizeMembership {
                 since: ConfigEpoch(2),
             },
         ),
@@ -321,7 +327,7 @@
             "",
             None,
             0,
-            Command::Key {
+            Command::SetTokenKey {
                 key: TokenKey([1; 32]),
             },
         ),
--- a/crates/config/tests/history.rs
+++ b/crates/config/tests/history.rs
@@ -1,8 +1,8 @@
 //! The bounded history: what is remembered, what is forgotten, and that nothing is applied twice.
 
 use config::{
-    AsSent, Command, ConfigStateMachine, Fate, History, NotKept, OwnPlans, Proposal,
-    REMEMBERED_BYTES, REMEMBERED_CHANGES, Revisions,
+    Command, CommandStatus, ConfigStateMachine, History, HistoryError, MAX_HISTORY_BYTES,
+    MAX_HISTORY_ENTRIES, OriginalCommand, OwnPlans, Proposal, Revisions,
 };
 use replication::{Preview, StateMachine};
 use types::{ConfigEpoch, Delta};
@@ -16,7 +16,7 @@
 
 fn ledger_of_span(span: usize) -> ConfigStateMachine {
     ConfigStateMachine {
-        history: History::of_span(span),
+        history: History::with_max_entries(span),
         ..ConfigStateMachine::default()
     }
 }
@@ -98,14 +98,17 @@
         take_counted(&mut config_state, 1);
         assert_eq!(take(&mut config_state, &counted_plan(0)), ACCEPTED);
         assert_eq!(
-            config_state.history.fate("plan-0"),
-            Fate::Accepted(ConfigEpoch(1))
+            config_state.history.command_status("plan-0"),
+            CommandStatus::Accepted(ConfigEpoch(1))
         );
     }
     take_counted(&mut config_state, 1);
     let before = config_state.clone();
     assert_eq!(take(&mut config_state, &counted_plan(0)), TOO_OLD);
-    assert_eq!(config_state.history.fate("plan-0"), Fate::TooOldToKnow);
+    assert_eq!(
+        config_state.history.command_status("plan-0"),
+        CommandStatus::TooOldToKnow
+    );
     assert_eq!(config_state, before, "nothing changed");
     assert!(matches!(
         config_state.preview(&counted_plan(0).to_bytes()),
@@ -115,14 +118,14 @@
 
 #[test]
 fn the_span_holds_more_than_three_days_of_the_users_changes() {
-    const { assert!(REMEMBERED_CHANGES > 3 * 1200) };
+    const { assert!(MAX_HISTORY_ENTRIES > 3 * 1200) };
     let mut config_state = ConfigStateMachine::default();
-    take_counted(&mut config_state, REMEMBERED_CHANGES as u64);
+    take_counted(&mut config_state, MAX_HISTORY_ENTRIES as u64);
     assert_eq!(take(&mut config_state, &counted_plan(0)), ACCEPTED);
     take_counted(&mut config_state, 1);
     assert_eq!(take(&mut config_state, &counted_plan(0)), TOO_OLD);
     assert_eq!(take(&mut config_state, &counted_plan(1)), ACCEPTED);
-    assert_eq!(config_state.history.entries.len(), REMEMBERED_CHANGES);
+    assert_eq!(config_state.history.entries.len(), MAX_HISTORY_ENTRIES);
 }
 
 /// A request that was accepted, and one of another kind that only follows it, so that it's forgotten.
@@ -230,12 +233,12 @@
     for (place, bytes) in sent.into_iter().enumerate() {
         let is_kept = place >= 2 * SPAN;
         let expected = if is_kept {
-            Ok(AsSent::Body(bytes))
+            Ok(OriginalCommand::Body(bytes))
         } else {
-            Err(NotKept::NoLonger)
+            Err(HistoryError::Compacted)
         };
         assert_eq!(
-            config_state.as_sent(ConfigEpoch(place as u64 + 1)),
+            config_state.original_command(ConfigEpoch(place as u64 + 1)),
             expected,
             "epoch {}",
             place + 1
@@ -243,8 +246,8 @@
     }
     for never in [0, 3 * SPAN as u64 + 1] {
         assert_eq!(
-            config_state.as_sent(ConfigEpoch(never)),
-            Err(NotKept::Never)
+            config_state.original_command(ConfigEpoch(never)),
+            Err(HistoryError::NotAccepted)
         );
     }
 }
@@ -271,19 +274,22 @@
     };
     for n in 0..40 {
         assert_eq!(take(&mut config_state, &large(n)), ACCEPTED);
-        assert!(config_state.history.byte_count() <= REMEMBERED_BYTES);
+        assert!(config_state.history.byte_count() <= MAX_HISTORY_BYTES);
     }
     assert_eq!(
         take(&mut config_state, &large(0)),
         ACCEPTED,
         "it's known as a repeat"
     );
-    assert_eq!(config_state.as_sent(ConfigEpoch(1)), Err(NotKept::NoLonger));
+    assert_eq!(
+        config_state.original_command(ConfigEpoch(1)),
+        Err(HistoryError::Compacted)
+    );
     assert!(matches!(
-        config_state.as_sent(ConfigEpoch(35)),
-        Ok(AsSent::Body(_))
+        config_state.original_command(ConfigEpoch(35)),
+        Ok(OriginalCommand::Body(_))
     ));
-    assert!(config_state.snapshot().len() < REMEMBERED_BYTES + (1 << 20));
+    assert!(config_state.snapshot().len() < MAX_HISTORY_BYTES + (1 << 20));
 }
 
 #[test]
--- a/crates/config/tests/revisions.rs
+++ b/crates/config/tests/revisions.rs
@@ -1,4 +1,4 @@
-use config::{AsSent, Command, ConfigStateMachine, OwnPlans, Proposal};
+use config::{Command, ConfigStateMachine, OriginalCommand, OwnPlans, Proposal};
 use replication::{Preview, StateMachine};
 use types::ConfigEpoch;
 
@@ -76,12 +76,12 @@
     let restored = ConfigStateMachine::restore(&config_state.snapshot()).expect("a ledger");
     assert_eq!(restored, config_state);
     assert_eq!(
-        restored.as_sent(ConfigEpoch(1)),
-        Ok(AsSent::Body(plan_bytes(5, 4)))
+        restored.original_command(ConfigEpoch(1)),
+        Ok(OriginalCommand::Body(plan_bytes(5, 4)))
     );
     assert_eq!(
-        restored.as_sent(ConfigEpoch(2)),
-        Ok(AsSent::Body(plan_bytes(9, 8)))
+        restored.original_command(ConfigEpoch(2)),
+        Ok(OriginalCommand::Body(plan_bytes(9, 8)))
     );
 }
 
--- a/crates/config/tests/routing.rs
+++ b/crates/config/tests/routing.rs
@@ -1,4 +1,4 @@
-use config::{Fault, OwnPlans, Plan, PlanDialect};
+use config::{OwnPlans, Plan, PlanDialect, PlanError};
 use std::collections::HashMap;
 use yare::parameterized;
 
@@ -10,7 +10,7 @@
     serde_json::json!({"name": name, "host": host, "path_prefix": prefix, "split": split})
 }
 
-fn parse(routes: &[serde_json::Value]) -> Result<Plan, Vec<Fault>> {
+fn parse(routes: &[serde_json::Value]) -> Result<Plan, Vec<PlanError>> {
     let plan = serde_json::json!({"services": {"a": {}, "b": {}, "c": {}}, "routes": routes});
     OwnPlans.parse(plan.to_string().as_bytes())
 }
@@ -147,7 +147,7 @@
     let mut plan = sample();
     plan.routes[1].deadline_ms = 0;
     assert_eq!(
-        plan.faults()
+        plan.validation_errors()
             .iter()
             .map(|fault| fault.path.as_str())
             .collect::<Vec<_>>(),
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -1,8 +1,8 @@
-use config::{Fault, KeyHasher, OwnPlans, Plan, PlanDialect, TenantTable};
+use config::{KeyHasher, OwnPlans, Plan, PlanDialect, PlanError, TenantTable};
 use types::ApiKey;
 use yare::parameterized;
 
-fn parse(tenants: serde_json::Value) -> Result<Plan, Vec<Fault>> {
+fn parse(tenants: serde_json::Value) -> Result<Plan, Vec<PlanError>> {
     let plan = serde_json::json!({"services": {"a": {}}, "tenants": tenants});
     OwnPlans.parse(plan.to_string().as_bytes())
 }
--- a/crates/controller/src/admin/http.rs
+++ b/crates/controller/src/admin/http.rs
@@ -5,7 +5,7 @@
 use crate::controller::OperatorRequest;
 use crate::event_loop::ControlEvent;
 use crate::metrics::Metrics;
-use config::{Command, Fault, Proposal};
+use config::{Command, PlanError, Proposal};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use transport::{Request, Response};
@@ -76,7 +76,7 @@
                     format!("`{epoch}` is not an epoch"),
                 ),
             },
-            ("GET", ["v1", "fates", id]) => self.read(Query::Fate {
+            ("GET", ["v1", "fates", id]) => self.read(Query::CommandStatus {
                 id: (*id).to_owned(),
             }),
             ("PUT", ["v1", "plan"]) => match Command::plan(body()) {
@@ -149,8 +149,8 @@
     }
 
     /// A document that has faults now may have been taken when it was first sent.
-    fn refuse(&self, faults: Vec<Fault>) -> Response {
-        let reading = Query::Fate {
+    fn refuse(&self, faults: Vec<PlanError>) -> Response {
+        let reading = Query::CommandStatus {
             id: self.change_id(),
         };
         match self.core.ask(OperatorRequest::Read(reading), &self.attempt) {
@@ -211,7 +211,7 @@
     fn forget(&self) -> Response {
         match serde_json::from_slice::<Lost>(&self.request.body) {
             Ok(Lost { members }) if !members.is_empty() => {
-                self.propose(Command::Forget { members }, false)
+                self.propose(Command::ForceRemove { members }, false)
             }
             Ok(_) => Response::result(
                 ResultCode::BadPlan,
@@ -236,7 +236,7 @@
     })
 }
 
-fn faulty(faults: &[Fault]) -> Response {
+fn faulty(faults: &[PlanError]) -> Response {
     let code = ResultCode::BadPlan;
     let value = serde_json::json!({"code": code.number(), "result": code.word(), "why": "nothing changed", "faults": faults});
     Response::json(code.http_status(), &value)
--- a/crates/controller/src/admin/pending_requests.rs
+++ b/crates/controller/src/admin/pending_requests.rs
@@ -220,7 +220,7 @@
 /// What the tail must be asked before this is proposed.
 fn read_before(proposal: &Proposal) -> Option<Query> {
     match &proposal.command {
-        Command::Forget { members } => Some(Query::Heard {
+        Command::ForceRemove { members } => Some(Query::Heard {
             id: proposal.id.clone(),
             members: members.clone(),
         }),
--- a/crates/controller/src/admin/queries.rs
+++ b/crates/controller/src/admin/queries.rs
@@ -1,7 +1,7 @@
 //! What the ledger says, as status and body.
 
 use crate::controller::Controller;
-use config::{AsSent, Fate, NotKept};
+use config::{CommandStatus, HistoryError, OriginalCommand};
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, ResultCode};
 use wire::Query;
 
@@ -46,16 +46,18 @@
                 body.extend_from_slice(&config_state.plan);
                 (200, body)
             }
-            Query::ConfigEpoch { epoch } => match config_state.as_sent(*epoch) {
-                Ok(AsSent::Body(bytes)) => (200, bytes),
-                Ok(AsSent::Withdraw(zone)) => good(serde_json::json!({"withdraw": zone})),
-                Ok(AsSent::Forget(members)) => good(serde_json::json!({"forget": members})),
-                Ok(AsSent::Restore(zone)) => good(serde_json::json!({"restore": zone})),
-                Err(NotKept::Never) => missing(
+            Query::ConfigEpoch { epoch } => match config_state.original_command(*epoch) {
+                Ok(OriginalCommand::Body(bytes)) => (200, bytes),
+                Ok(OriginalCommand::Withdraw(zone)) => good(serde_json::json!({"withdraw": zone})),
+                Ok(OriginalCommand::ForceRemove(members)) => {
+                    good(serde_json::json!({"forget": members}))
+                }
+                Ok(OriginalCommand::Restore(zone)) => good(serde_json::json!({"restore": zone})),
+                Err(HistoryError::NotAccepted) => missing(
                     ResultCode::UnknownEpoch,
                     format!("no operator's command was accepted as epoch {epoch}"),
                 ),
-                Err(NotKept::NoLonger) => missing(
+                Err(HistoryError::Compacted) => missing(
                     ResultCode::NoLongerKept,
                     format!("what was sent as epoch {epoch} is no longer kept"),
                 ),
@@ -90,7 +92,7 @@
                 }
                 good(serde_json::json!({"heard": heard}))
             }
-            Query::Fate { id }
+            Query::CommandStatus { id }
                 if config_state
                     .entry_by_id(id)
                     .is_some_and(|entry| !self.is_firm(entry.epoch)) =>
@@ -98,17 +100,17 @@
                 let why = "it is in the chain, and not yet accepted: too few disks hold it, or nodes know it";
                 missing(ResultCode::CoreNotReady, why.to_owned())
             }
-            Query::Fate { id } => match config_state.history.fate(id) {
-                Fate::Accepted(epoch) => good(serde_json::json!({
+            Query::CommandStatus { id } => match config_state.history.command_status(id) {
+                CommandStatus::Accepted(epoch) => good(serde_json::json!({
                     "code": ResultCode::Accepted.number(), "result": ResultCode::Accepted.word(),
                     "id": id, "epoch": epoch,
                 })),
-                Fate::NotAccepted => missing(
+                CommandStatus::NotAccepted => missing(
                     ResultCode::UnknownChange,
                     format!("no change with id `{id}` is accepted so far"),
                 ),
-                Fate::TooOldToKnow => {
-                    let oldest = config_state.history.forgotten.epoch.next();
+                CommandStatus::TooOldToKnow => {
+                    let oldest = config_state.history.compacted.epoch.next();
                     let why = format!(
                         "no change from epoch {oldest} on has the id `{id}`; older ones are not remembered"
                     );
--- a/crates/controller/src/admin/task.rs
+++ b/crates/controller/src/admin/task.rs
@@ -1,7 +1,7 @@
 use crate::admin::control_client::OPERATOR_PATIENCE;
 use crate::admin::control_client::{Attempt, ReplicationTransport, Told};
 use crate::controller::OperatorRequest;
-use config::{Command, Fault, PlanDialect, Proposal};
+use config::{Command, PlanDialect, PlanError, Proposal};
 use transport::{Request, Response};
 use types::{ConfigEpoch, Milliseconds, ResultCode, ZoneName, random_bytes};
 use wire::Query;
@@ -53,7 +53,7 @@
         /// More about it.
         why: String,
         /// The plan's faults.
-        faults: Vec<Fault>,
+        faults: Vec<PlanError>,
     },
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-fn refused(code: ResultCode, why: impl Into<String>, faults: Vec<Fault>) -> AdminAnswer {
+fn refused(code: ResultCode, why: impl Into<String>, faults: Vec<PlanError>) -> AdminAnswer {
     AdminAnswer::Refused {
         code,
         why: why.into(),
@@ -121,7 +121,7 @@
         base: u64,
     },
     /// Whether a document that has faults now was taken before.
-    Fate { faults: Vec<Fault> },
+    Fate { faults: Vec<PlanError> },
     /// What became of a proposal.
     Proposed,
     /// The newest plan.
@@ -254,13 +254,13 @@
     fn propose_document(
         &mut self,
         id: String,
-        command: Result<Command, Vec<Fault>>,
+        command: Result<Command, Vec<PlanError>>,
     ) -> SchedulerStep {
         match command {
             Ok(command) => self.propose(id, command.with_zones(self.zones)),
             Err(faults) => {
                 self.stage = Stage::Fate { faults };
-                SchedulerStep::Ask(OperatorRequest::Read(Query::Fate { id }))
+                SchedulerStep::Ask(OperatorRequest::Read(Query::CommandStatus { id }))
             }
         }
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -540,7 +540,7 @@
             self.begin_quotas();
             if self.replica.state_machine().key.is_none() && self.now >= self.key_deadline {
                 self.key_deadline = self.now + Milliseconds(400);
-                self.propose_inner(Command::Key { key: self.key });
+                self.propose_inner(Command::SetTokenKey { key: self.key });
             }
             self.admit();
             self.call_members();
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -163,7 +163,7 @@
 }
 
 fn forget() -> Command {
-    Command::Forget {
+    Command::ForceRemove {
         members: vec![Address::loopback(9)],
     }
 }
--- a/crates/controller/src/membership/leases.rs
+++ b/crates/controller/src/membership/leases.rs
@@ -236,7 +236,7 @@
         }
         let since = membership.since;
         self.settle_deadline = self.now + Milliseconds(400);
-        self.propose_inner(Command::Settle { since });
+        self.propose_inner(Command::FinalizeMembership { since });
     }
 
     /// Takes members out that have held no lease for long.
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -4,7 +4,7 @@
 
 mod control;
 
-use config::{Fault, OwnPlans, Plan, PlanDialect};
+use config::{OwnPlans, Plan, PlanDialect, PlanError};
 use control::{Carriage, Core, Mutant};
 use controller::{
     AdminAnswer, AdminCall, AdminTask, ControllerInput, OperatorRequest, SchedulerStep,
@@ -38,20 +38,17 @@
 struct OncePlans;
 
 impl PlanDialect for OncePlans {
-    fn parse(&self, bytes: &[u8]) -> Result<Plan, Vec<Fault>> {
+    fn parse(&self, bytes: &[u8]) -> Result<Plan, Vec<PlanError>> {
         OwnPlans.parse(bytes)
     }
-    fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<Fault>> {
+    fn merge(&self, plan: &[u8], change: &[u8]) -> Result<Vec<u8>, Vec<PlanError>> {
         let note = |bytes: &[u8]| {
             serde_json::from_slice::<serde_json::Value>(bytes)
                 .ok()
                 .map(|v| v["note"].clone())
         };
         if note(plan) == note(change) {
-            return Err(vec![Fault {
-                path: "note".into(),
-                why: "it is there already".into(),
-            }]);
+            return Err(vec![PlanError::in_dialect("note", "it is there already")]);
         }
         OwnPlans.merge(plan, change)
     }
@@ -200,7 +197,8 @@
         };
         match step {
             SchedulerStep::Ask(ask) => {
-                door.is_about_fate = matches!(ask, OperatorRequest::Read(Query::Fate { .. }));
+                door.is_about_fate =
+                    matches!(ask, OperatorRequest::Read(Query::CommandStatus { .. }));
                 let machine = door.machine;
                 self.core
                     .tell(machine, ControllerInput::Operator { number, ask });
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -9,7 +9,7 @@
 mod golden_file;
 
 use config::read_settings;
-use config::{AsSent, Command, ConfigStateMachine, Proposal, TenantTable, parse_plan};
+use config::{Command, ConfigStateMachine, OriginalCommand, Proposal, TenantTable, parse_plan};
 use controller::{
     ContactTiming, Controller, ControllerInput, ControllerOutput, ControllerTiming, DiskEvent,
     DiskThread, OperatorRequest, PeerDiscovery, Quorum, Settings,
@@ -305,8 +305,8 @@
     let owner = tenants.tenant(&digest).map(|tenant| tenant.name.as_str());
     assert_eq!(owner, Some("acme"));
     assert_eq!(config_state.history.entries.len(), 7);
-    let restored = AsSent::Restore("north".into());
-    assert_eq!(config_state.as_sent(ConfigEpoch(7)), Ok(restored));
+    let restored = OriginalCommand::Restore("north".into());
+    assert_eq!(config_state.original_command(ConfigEpoch(7)), Ok(restored));
 }
 
 #[test]
@@ -403,7 +403,7 @@
         id: id.into(),
         members: lost.clone(),
     };
-    let fate = |id: &str| Query::Fate { id: id.into() };
+    let fate = |id: &str| Query::CommandStatus { id: id.into() };
     let epoch = |number: u64| Query::ConfigEpoch {
         epoch: ConfigEpoch(number),
     };
@@ -452,7 +452,7 @@
         proposal("w-8", Command::Withdraw { zone: zone("west") }),
         proposal(
             "f-9",
-            Command::Forget {
+            Command::ForceRemove {
                 members: vec![Address::loopback(7299)],
             },
         ),
--- a/crates/router/src/control/node/config_updates.rs
+++ b/crates/router/src/control/node/config_updates.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::control::node::{Node, NodeOutput};
-use config::{Fault, Plan};
+use config::{Plan, PlanError};
 use placement::Event;
 use types::{Address, ConfigEpoch, Delta, Milliseconds, MonotonicInstant, ResultCode};
 use wire::{ConfigUpdate, Message};
@@ -172,7 +172,7 @@
     pub(super) fn on_plan(
         &mut self,
         plan_epoch: ConfigEpoch,
-        plan: Result<Arc<Plan>, Vec<Fault>>,
+        plan: Result<Arc<Plan>, Vec<PlanError>>,
         bytes: Arc<Vec<u8>>,
     ) {
         let Some(fetching) = self
--- a/crates/router/src/control/node/messages.rs
+++ b/crates/router/src/control/node/messages.rs
@@ -4,7 +4,7 @@
 use crate::dialect::Access;
 use crate::discovery::endpoint_list::{ListReading, ReadEffort};
 use crate::request::resume_token::Token;
-use config::{Fault, KeyDigest, Plan, ServiceKind};
+use config::{KeyDigest, Plan, PlanError, ServiceKind};
 use placement::{Decision, Event, PrefixHash, RequestCost, Timestamped};
 use types::{
     Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, RunId, ServerName,
@@ -78,7 +78,7 @@
         /// The epoch that it was accepted as.
         plan_epoch: ConfigEpoch,
         /// It.
-        plan: Result<Arc<Plan>, Vec<Fault>>,
+        plan: Result<Arc<Plan>, Vec<PlanError>>,
         /// As bytes.
         bytes: Arc<Vec<u8>>,
     },
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,6 +1,6 @@
 use crate::schedule::Schedule;
 use config::ServiceKind;
-use config::{AsSent, Command, ConfigStateMachine, Proposal};
+use config::{Command, ConfigStateMachine, OriginalCommand, Proposal};
 use controller::{
     Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -437,18 +437,18 @@
                 .get(&id)
                 .map(|(_, command)| match command.clone() {
                     Command::Plan { bytes, .. } | Command::Change { bytes, .. } => {
-                        Some(AsSent::Body(bytes))
+                        Some(OriginalCommand::Body(bytes))
                     }
-                    Command::Withdraw { zone } => Some(AsSent::Withdraw(zone)),
-                    Command::Restore { zone } => Some(AsSent::Restore(zone)),
-                    Command::Forget { members } => Some(AsSent::Forget(members)),
+                    Command::Withdraw { zone } => Some(OriginalCommand::Withdraw(zone)),
+                    Command::Restore { zone } => Some(OriginalCommand::Restore(zone)),
+                    Command::ForceRemove { members } => Some(OriginalCommand::ForceRemove(members)),
                     _ => None,
                 });
             match code {
                 300 => {
                     let reads_back = entry.is_some_and(|entry| {
                         entry.epoch.0 == epoch
-                            && proposed == Some(config_state.as_sent(entry.epoch).ok())
+                            && proposed == Some(config_state.original_command(entry.epoch).ok())
                     });
                     if !reads_back {
                         self.violate(
--- a/crates/simulator/src/world/door.rs
+++ b/crates/simulator/src/world/door.rs
@@ -3,7 +3,7 @@
 use super::operators::{Asked, Basis, Wish};
 use super::*;
 use crate::world::{Mutant, World};
-use config::{Fault as PlanFault, OwnPlans};
+use config::{OwnPlans, PlanError};
 use types::{ConfigEpoch, ResultCode};
 use wire::Query;
 
@@ -114,14 +114,14 @@
         machine: usize,
         call: u64,
         mut asked: Asked,
-        command: Result<Command, Vec<PlanFault>>,
+        command: Result<Command, Vec<PlanError>>,
         basis: Option<Basis>,
         base: &[u8],
     ) {
         let Ok(command) = command else {
             self.door.insert(call, PatchStep::ReadsFate);
             let id = asked.id.clone();
-            return self.read(machine, call, asked, Query::Fate { id });
+            return self.read(machine, call, asked, Query::CommandStatus { id });
         };
         self.witness.proposed(self.now, &asked.id, &command, base);
         let builds_on = match basis {
@@ -190,7 +190,7 @@
             return;
         };
         self.witness.not_proposed(&asked.id);
-        asked.command = Some(Command::Settle {
+        asked.command = Some(Command::FinalizeMembership {
             since: ConfigEpoch(0),
         });
         self.operators.asked.insert(number, asked);
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::world::{Mutant, World};
-use config::{History, REMEMBERED_CHANGES};
+use config::{History, MAX_HISTORY_ENTRIES};
 use controller::RelayInput;
 use placement::mix;
 use types::{Address, Milliseconds, MonotonicInstant, RequestId, TokenKey};
@@ -44,10 +44,10 @@
         let span = if self.rules.mutant == Some(Mutant::ForgetTooEarly) {
             2
         } else {
-            REMEMBERED_CHANGES
+            MAX_HISTORY_ENTRIES
         };
         let empty = ConfigStateMachine {
-            history: History::of_span(span),
+            history: History::with_max_entries(span),
             ..ConfigStateMachine::default()
         };
         let m = &mut self.controllers[machine];
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -249,7 +249,7 @@
         if step == 1 && self.cut.is_empty() && self.loss == 0 {
             members.extend(self.routers.iter().find(is_well).map(|m| m.address));
         }
-        self.ask(Command::Forget { members });
+        self.ask(Command::ForceRemove { members });
     }
 
     /// Asks some controller that is up to change something, once.
@@ -496,7 +496,7 @@
 
     fn on_accepted(&mut self, asked: &Asked, call: Option<&OperatorCall>, epoch: u64) {
         match &asked.command {
-            Some(Command::Forget { members }) => {
+            Some(Command::ForceRemove { members }) => {
                 // Who was lost when it was asked may have come back since.
                 let is_wrong = |m: &&RouterMachine| {
                     members.contains(&m.address) && !m.is_lost && !asked.lost.contains(&m.address)
--- a/crates/simulator/src/world/tests.rs
+++ b/crates/simulator/src/world/tests.rs
@@ -105,7 +105,7 @@
     let mut world = World::new(WorldRules::new(Deployment::Pahana, 1));
     let members = vec![world.routers[0].address];
     let lost = if was_lost { members.clone() } else { vec![] };
-    let command = Some(Command::Forget { members });
+    let command = Some(Command::ForceRemove { members });
     let asked = operators::Asked {
         at: world.now,
         id: "op-1".into(),
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -155,7 +155,7 @@
             members: Vec<Address>,
         },
         /// What became of a change.
-        Fate {
+        CommandStatus {
             /// The operator's id for it.
             id: String,
         },
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -71,7 +71,7 @@
     Query::Base { .. } => "Base",
     Query::ConfigEpoch { .. } => "Epoch",
     Query::Heard { .. } => "Heard",
-    Query::Fate { .. } => "Fate",
+    Query::CommandStatus { .. } => "Fate",
     Query::Newest => "Newest",
     Query::Tenants => "Tenants",
 });
@@ -316,7 +316,7 @@
             id: "forget-the-lost-1".into(),
             members: vec![Address::loopback(7201), Address::loopback(7202)],
         },
-        Query::Fate {
+        Query::CommandStatus {
             id: "change-4711".into(),
         },
         Query::Newest,
