--- a/crates/loadgen/src/lib.rs
+++ b/crates/loadgen/src/lib.rs
@@ -1,12 +1,14 @@
-//! A load generator that plays the clients: open-loop arrivals, and every stream checked piece by
-//! piece.
+//! A load generator that plays the clients of a fleet: open-loop arrivals, and each token of every stream
+//! checked.
 
-mod asker;
-mod campaign;
-mod mix;
+#![warn(missing_docs)]
+
+mod client;
+mod load_test;
 mod report;
+mod workload;
 
-pub use asker::{Asked, Fate, ask, print_of};
-pub use campaign::{Campaign, CampaignRules};
-pub use mix::{Mix, MixKind, PlannedRequest, Shape};
+pub use client::{Outcome, RequestRecord, prompt_fingerprint, send_planned};
+pub use load_test::{LoadTest, LoadTestConfig};
 pub use report::{Report, ServiceReport};
+pub use workload::{PlannedRequest, ServiceTraffic, Workload, WorkloadKind};
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -1,5 +1,7 @@
+//! The load generator's command line.
+
 use clap::Parser;
-use loadgen::{Campaign, CampaignRules, Mix, MixKind, Report};
+use loadgen::{LoadTest, LoadTestConfig, Report, Workload, WorkloadKind};
 use std::process::ExitCode;
 use types::{Address, Milliseconds};
 
@@ -7,13 +9,13 @@
 /// never be was seen, 1 something was, 2 the call can't be used.
 #[derive(Debug, Parser)]
 #[command(version, about)]
-struct Line {
+struct Arguments {
     /// Listening addresses of routers.
     #[arg(long, required = true, num_args = 1.., value_delimiter = ',')]
     at: Vec<Address>,
     /// Whose traffic.
     #[arg(long, default_value = "pahana")]
-    mix: MixKind,
+    mix: WorkloadKind,
     /// For how many seconds; 3600 at most.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
@@ -29,20 +31,23 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    if !(0.01..=20.0).contains(&line.scale) {
-        eprintln!("loadgen: scale: {} is not within 0.01 to 20", line.scale);
+    let arguments = Arguments::parse();
+    if !(0.01..=20.0).contains(&arguments.scale) {
+        eprintln!(
+            "loadgen: scale: {} is not within 0.01 to 20",
+            arguments.scale
+        );
         return ExitCode::from(2);
     }
-    let rules = CampaignRules {
-        routers: line.at,
-        span: Milliseconds::seconds(line.seconds),
-        scale: line.scale,
-        in_hand: 1500,
+    let config = LoadTestConfig {
+        routers: arguments.at,
+        span: Milliseconds::seconds(arguments.seconds),
+        scale: arguments.scale,
+        max_in_flight: 1500,
     };
-    let (asked, late) = Campaign::new(Mix::new(line.mix, line.seed), rules).run();
-    let report = Report::of(&asked, late);
-    if line.json {
+    let (records, late) = LoadTest::new(Workload::new(arguments.mix, arguments.seed), config).run();
+    let report = Report::of(&records, late);
+    if arguments.json {
         println!(
             "{}",
             serde_json::to_string_pretty(&report).expect("a report is JSON")
--- a/crates/loadgen/src/report.rs
+++ b/crates/loadgen/src/report.rs
@@ -1,20 +1,22 @@
-use crate::asker::{Asked, Fate};
+//! The figures of a load test.
+
+use crate::client::{Outcome, RequestRecord};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a campaign came to, by service.
+/// The result of a load test.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Report {
-    /// By service.
+    /// The figures of each service, by its name.
     pub services: BTreeMap<String, ServiceReport>,
-    /// Requests that loadgen itself could not send in time.
+    /// Requests that the load generator itself could not send in time.
     pub late: u64,
-    /// What must never be and was seen.
+    /// What must never happen and did.
     pub violations: Vec<String>,
-    /// Reasons of refusals, with how often.
+    /// How often requests failed, by service and reason without digits.
     pub reasons: BTreeMap<String, u64>,
-    /// Servers' word: requests that ran there after the client was told "refused", repeats and so on.
-    /// Filled in by whoever can ask the servers.
+    /// What servers' logs show, such as requests that ran after the client was told "refused"; filled in by
+    /// whoever can read the logs.
     pub at_servers: BTreeMap<String, u64>,
 }
 
@@ -23,40 +25,40 @@
 pub struct ServiceReport {
     /// Requests sent.
     pub sent: u64,
-    /// Complete.
+    /// Requests whose complete response came.
     pub complete: u64,
-    /// Refused.
+    /// Requests that were refused and never ran.
     pub refused: u64,
-    /// Broken.
+    /// Requests whose stream broke off.
     pub broken: u64,
-    /// Unknown.
+    /// Requests of which the client doesn't know whether they ran.
     pub unknown: u64,
-    /// Read on.
+    /// How often streams were resumed.
     pub resumed: u64,
     /// First-token times in ms: p50, p95, p99.
     pub first_ms: [f64; 3],
 }
 
 impl Report {
-    /// Of these requests.
-    pub fn of(asked: &[Asked], late: u64) -> Self {
+    /// Returns the report on these requests, of which `late` more could not be sent.
+    pub fn of(records: &[RequestRecord], late: u64) -> Self {
         let mut report = Report {
             late,
             ..Report::default()
         };
         let mut times: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-        for one in asked {
-            let service = report.services.entry(one.service.clone()).or_default();
+        for record in records {
+            let service = report.services.entry(record.service.clone()).or_default();
             service.sent += 1;
-            service.resumed += u64::from(one.resumed);
-            match &one.fate {
-                Fate::Complete => service.complete += 1,
-                Fate::Refused(_) => service.refused += 1,
-                Fate::Broken => service.broken += 1,
-                Fate::Unknown(_) => service.unknown += 1,
+            service.resumed += u64::from(record.resumed);
+            match &record.outcome {
+                Outcome::Complete => service.complete += 1,
+                Outcome::Refused(_) => service.refused += 1,
+                Outcome::Broken => service.broken += 1,
+                Outcome::Unknown(_) => service.unknown += 1,
             }
-            if one.fate != Fate::Complete {
-                let why: String = one
+            if record.outcome != Outcome::Complete {
+                let why: String = record
                     .why
                     .chars()
                     .filter(|c| !c.is_ascii_digit())
@@ -64,11 +66,14 @@
                     .collect();
                 *report
                     .reasons
-                    .entry(format!("{}: {why}", one.service))
+                    .entry(format!("{}: {why}", record.service))
                     .or_default() += 1;
             }
-            times.entry(&one.service).or_default().extend(one.first_ms);
-            report.violations.extend(one.violations.iter().cloned());
+            times
+                .entry(&record.service)
+                .or_default()
+                .extend(record.first_ms);
+            report.violations.extend(record.violations.iter().cloned());
         }
         for (service, mut times) in times {
             times.sort_by(f64::total_cmp);
--- a/crates/loadgen/src/mix.rs
+++ b/crates/loadgen/src/workload.rs
@@ -1,86 +1,90 @@
+//! The traffic of a deployment, drawn from a seed.
+
 use placement::mix;
 
-/// Whose traffic.
+/// The deployment whose traffic is played.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
-pub enum MixKind {
+pub enum WorkloadKind {
     /// Drafts, resident questions, board pages.
     Pahana,
     /// Lesson reviews, grammar hints, progress checks.
     Valodu,
 }
 
-/// One service's traffic.
+/// The traffic of one service.
 #[derive(Debug, Clone)]
-pub struct Shape {
-    /// The service.
+pub struct ServiceTraffic {
+    /// The name of the service.
     pub service: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Whether it's a plain fetch.
+    /// Whether a request only fetches a page.
     pub is_fetch: bool,
-    /// Bytes of the shared prefix.
+    /// Bytes of the prefix that prompts share.
     pub prefix_bytes: usize,
-    /// How many prefixes there are.
+    /// The number of different prefixes.
     pub prefixes: u64,
-    /// Bytes of a request's own.
+    /// Bytes of a prompt after the prefix.
     pub own_bytes: usize,
-    /// Pieces asked for.
+    /// Tokens to generate.
     pub pieces: u32,
 }
 
 /// A deployment's traffic, drawn from a seed.
 #[derive(Debug, Clone)]
-pub struct Mix {
-    /// Its services.
-    pub shapes: Vec<Shape>,
+pub struct Workload {
+    /// The traffic of each service.
+    pub shapes: Vec<ServiceTraffic>,
     seed: u64,
     count: u64,
-    /// Of the prompts with prefixes, this part has the one hot prefix of the present burst.
+    /// The share, 0 to 1, of the prompts with large prefixes that have the current burst's hot prefix;
+    /// default 0.5.
     pub hot_share: f64,
-    /// How long a burst's prefix lasts, in ms.
+    /// How long a burst with one hot prefix lasts, in ms; default 8000.
     pub burst_ms: u64,
 }
 
 /// One request to come.
 #[derive(Debug, Clone)]
 pub struct PlannedRequest {
-    /// Its id.
+    /// The id of the request, unique within the workload.
     pub id: String,
-    /// The service.
+    /// The name of the service.
     pub service: &'static str,
-    /// Whether it's a plain fetch.
+    /// Whether a request only fetches a page.
     pub is_fetch: bool,
-    /// The prompt.
+    /// The prompt, which contains the id.
     pub prompt: String,
-    /// Pieces asked for.
+    /// Tokens to generate.
     pub pieces: u32,
 }
 
-impl Mix {
-    /// A deployment's traffic of today.
-    pub fn new(kind: MixKind, seed: u64) -> Self {
-        let shape = |service, rate, is_fetch, prefix_bytes, prefixes, own_bytes, pieces| Shape {
-            service,
-            rate,
-            is_fetch,
-            prefix_bytes,
-            prefixes,
-            own_bytes,
-            pieces,
-        };
+impl Workload {
+    /// Returns a deployment's traffic.
+    pub fn new(kind: WorkloadKind, seed: u64) -> Self {
+        let shape =
+            |service, rate, is_fetch, prefix_bytes, prefixes, own_bytes, pieces| ServiceTraffic {
+                service,
+                rate,
+                is_fetch,
+                prefix_bytes,
+                prefixes,
+                own_bytes,
+                pieces,
+            };
         let shapes = match kind {
-            MixKind::Pahana => vec![
+            WorkloadKind::Pahana => vec![
                 shape("drafts", 20.0, false, 6144, 12, 1500, 24),
                 shape("questions", 80.0, false, 512, 40, 200, 8),
                 shape("pages", 25.0, true, 0, 1, 0, 0),
             ],
-            MixKind::Valodu => vec![
+            WorkloadKind::Valodu => vec![
                 shape("reviews", 20.0, false, 7168, 16, 1200, 24),
                 shape("hints", 90.0, false, 640, 60, 160, 6),
                 shape("checks", 30.0, true, 0, 1, 0, 0),
             ],
         };
-        Mix {
+        Workload {
             shapes,
             seed,
             count: 0,
@@ -99,7 +103,7 @@
         (self.draw() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The next arrival: how long after the one before, and what.
+    /// Returns the next arrival: how long after the previous one, in ms, and the request.
     pub fn next(&mut self, at_ms: f64, scale: f64) -> (f64, PlannedRequest) {
         let total: f64 = self.shapes.iter().map(|shape| shape.rate).sum::<f64>() * scale;
         let gap = -(1.0 - self.part()).ln() / total * 1000.0;
--- a/crates/loadgen/src/mix/tests.rs
+++ b/crates/loadgen/src/workload/tests.rs
@@ -1,12 +1,12 @@
-use crate::mix::{Mix, MixKind};
+use crate::workload::{Workload, WorkloadKind};
 
 #[test]
 fn a_seed_gives_the_same_traffic_at_the_rates_asked_for() {
     let play = |seed| {
-        let (mut mix, mut at, mut drafts, mut ids) =
-            (Mix::new(MixKind::Pahana, seed), 0.0, 0, vec![]);
+        let (mut workload, mut at, mut drafts, mut ids) =
+            (Workload::new(WorkloadKind::Pahana, seed), 0.0, 0, vec![]);
         for _ in 0..12_500 {
-            let (gap, planned) = mix.next(at, 1.0);
+            let (gap, planned) = workload.next(at, 1.0);
             at += gap;
             drafts += u32::from(planned.service == "drafts");
             ids.push(planned.id);
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -1,6 +1,6 @@
 //! The two deployments, their shapes and their traffic.
 
-use loadgen::MixKind;
+use loadgen::WorkloadKind;
 
 /// Whose fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
@@ -47,10 +47,10 @@
         }
     }
     /// Its traffic.
-    pub fn mix(self) -> MixKind {
+    pub fn mix(self) -> WorkloadKind {
         match self {
-            Deployment::Pahana => MixKind::Pahana,
-            Deployment::Valodu => MixKind::Valodu,
+            Deployment::Pahana => WorkloadKind::Pahana,
+            Deployment::Valodu => WorkloadKind::Valodu,
         }
     }
 }
--- a/crates/simulator/src/schedule.rs
+++ b/crates/simulator/src/schedule.rs
@@ -1,4 +1,4 @@
-use loadgen::print_of;
+use loadgen::prompt_fingerprint;
 use placement::{PrefixHash, block_hashes};
 use router::RunRequest;
 use std::collections::{BTreeMap, HashMap};
@@ -148,7 +148,7 @@
         let pieces = u64::from(request.max_pieces);
         self.slots[slot] = first + Milliseconds(piece.0 * pieces.saturating_sub(1));
         let breaks_after = self.fault.breaks_after;
-        let print = print_of(&request.prompt);
+        let print = prompt_fingerprint(&request.prompt);
         let run = Run {
             print,
             slot,
--- a/crates/simulator/src/world/streams.rs
+++ b/crates/simulator/src/world/streams.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::schedule::Progress;
 use crate::world::{Mutant, World};
-use loadgen::print_of;
+use loadgen::prompt_fingerprint;
 use router::RunPiece;
 use router::{ChunkReader, Passed, RequestInput, resume_id};
 use types::{MonotonicInstant, RequestId, RunId};
@@ -134,7 +134,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return false;
         };
-        let print = print_of(&request.prompt);
+        let print = prompt_fingerprint(&request.prompt);
         let Some(stream) = &mut request.stream else {
             return false;
         };
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,6 +1,6 @@
 use crate::fleet::{Fleet, FleetOptions, join_logs, plan_of};
 use crate::process_group::ProcessGroup;
-use loadgen::{Campaign, CampaignRules, Mix, Report};
+use loadgen::{LoadTest, LoadTestConfig, Report, Workload};
 use simulator::Deployment;
 use simulator::ScheduleRules;
 use std::collections::BTreeMap;
@@ -80,16 +80,16 @@
     fleet.put_plan("first", 0, &plan)?;
     fleet.await_routers(Milliseconds::seconds(20))?;
     std::thread::sleep(Duration::from_millis(1200));
-    let mut mix = Mix::new(rules.deployment.mix(), seed);
+    let mut mix = Workload::new(rules.deployment.mix(), seed);
     mix.hot_share = rules.hot_share;
     let span = Milliseconds::seconds(rules.seconds);
-    let campaign = CampaignRules {
+    let campaign = LoadTestConfig {
         routers: fleet.clients_addresses(),
         span,
         scale: rules.scale,
-        in_hand: 1500,
+        max_in_flight: 1500,
     };
-    let (asked, late) = Campaign::new(mix, campaign).run();
+    let (asked, late) = LoadTest::new(mix, campaign).run();
     let mut report = Report::of(&asked, late);
     join_logs(&mut report, &asked, &process_group.logs(), &plan);
     if !report.violations.is_empty() {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,6 +1,6 @@
 use crate::stand_in::RunLog;
 use config::{ServicePlan, parse_plan};
-use loadgen::{Asked, Fate, Report};
+use loadgen::{Outcome, Report, RequestRecord};
 use simulator::{Deployment, Shape};
 use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
@@ -528,7 +528,7 @@
 
 /// Joins what clients were told with what servers took: what was refused must have run nowhere, and
 /// what the plan that was in force does not let repeat must have run once.
-pub fn join_logs(report: &mut Report, asked: &[Asked], logs: &[RunLog], plan: &str) {
+pub fn join_logs(report: &mut Report, asked: &[RequestRecord], logs: &[RunLog], plan: &str) {
     let plan = parse_plan(plan.as_bytes()).expect("the fleet took it");
     let mut runs: HashMap<u64, u64> = HashMap::new();
     logs.iter()
@@ -537,7 +537,7 @@
     for one in asked.iter().filter(|one| !one.service.is_empty()) {
         let count = runs.get(&one.print).copied().unwrap_or(0);
         repeats += count.saturating_sub(1);
-        if matches!(one.fate, Fate::Refused(_)) && count > 0 {
+        if matches!(one.outcome, Outcome::Refused(_)) && count > 0 {
             report.violations.push(format!(
                 "{}: told refused, and a server ran it",
                 one.service
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
 use clap::{Parser, Subcommand};
-use loadgen::{Campaign, CampaignRules, Mix, Report};
+use loadgen::{LoadTest, LoadTestConfig, Report, Workload};
 use model_checker::{ClusterRules, Counterexample, DeliberateFault, Limits, Walk, explore, walk};
 use simulator::{Deployment, FaultKind, Mutant, ScheduleRules, World, WorldRules};
 use std::io::Write;
@@ -613,13 +613,13 @@
         );
         println!("settings, logs and data: {}", fleet.folder.display());
     }
-    let rules = CampaignRules {
+    let rules = LoadTestConfig {
         routers: fleet.clients_addresses(),
         span: Milliseconds::seconds(seconds),
         scale,
-        in_hand: 1500,
+        max_in_flight: 1500,
     };
-    let (asked, late) = Campaign::new(Mix::new(deployment.mix(), seed), rules).run();
+    let (asked, late) = LoadTest::new(Workload::new(deployment.mix(), seed), rules).run();
     let mut report = Report::of(&asked, late);
     join_logs(&mut report, &asked, &process_group.logs(), &plan);
     let sum = |name: &str| {
--- a/crates/testbed/src/stand_in.rs
+++ b/crates/testbed/src/stand_in.rs
@@ -1,4 +1,4 @@
-use loadgen::print_of;
+use loadgen::prompt_fingerprint;
 use placement::PrefixHash;
 use router::{LIFE_HEADER, RunPiece, RunRequest, ServerReport};
 use simulator::{Progress, Schedule, ScheduleRules, ServerFault};
@@ -153,8 +153,8 @@
         let ask = match (request.method.as_str(), request.path_segments().as_slice()) {
             ("POST", ["runs"]) => serde_json::from_slice::<RunRequest>(&request.body)
                 .ok()
-                .map(|run| (run.service.0, print_of(&run.prompt))),
-            ("GET", ["pages", ..]) => Some(("pages".to_owned(), print_of(&request.path))),
+                .map(|run| (run.service.0, prompt_fingerprint(&run.prompt))),
+            ("GET", ["pages", ..]) => Some(("pages".to_owned(), prompt_fingerprint(&request.path))),
             _ => None,
         };
         self.asked
@@ -243,7 +243,10 @@
         }
         let (running, waiting) = schedule.load(now);
         drop(schedule);
-        let (print, service) = (print_of(&request.prompt), request.service.0.clone());
+        let (print, service) = (
+            prompt_fingerprint(&request.prompt),
+            request.service.0.clone(),
+        );
         let entry = RunLog {
             print,
             service,
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -1,7 +1,10 @@
 //! Failures of real processes on loopback, as the BRIEF's rules see them. Needs the workspace to be
 //! built: `cargo build --workspace`.
 
-use loadgen::{Asked, Campaign, CampaignRules, Fate, Mix, PlannedRequest, Report, ask};
+use loadgen::{
+    LoadTest, LoadTestConfig, Outcome, PlannedRequest, Report, RequestRecord, Workload,
+    send_planned,
+};
 use simulator::{Deployment, ScheduleRules, ServerFault};
 use std::sync::{Arc, Mutex, MutexGuard};
 use testbed::{Daemon, Fleet, FleetOptions, ProcessGroup, join_logs, plan_of};
@@ -42,13 +45,13 @@
     meanwhile: impl FnOnce(&mut Fleet),
 ) -> Report {
     let span = Milliseconds::seconds(seconds);
-    let rules = CampaignRules {
+    let rules = LoadTestConfig {
         routers: fleet.clients_addresses(),
         span,
         scale: 0.4,
-        in_hand: 500,
+        max_in_flight: 500,
     };
-    let campaign = Campaign::new(Mix::new(deployment.mix(), seconds), rules);
+    let campaign = LoadTest::new(Workload::new(deployment.mix(), seconds), rules);
     let stop = campaign.stop();
     let load = std::thread::spawn(move || campaign.run());
     meanwhile(fleet);
@@ -84,11 +87,11 @@
 fn serves(fleet: &Fleet, number: &mut u32) -> bool {
     *number += 1;
     let planned = request(&format!("probe-{number}"), "questions", 2);
-    let asked = ask(&planned, &fleet.clients_addresses(), *number as usize);
-    if asked.fate != Fate::Complete {
-        eprintln!("{}: {:?} {}", planned.id, asked.fate, asked.why);
+    let asked = send_planned(&planned, &fleet.clients_addresses(), *number as usize);
+    if asked.outcome != Outcome::Complete {
+        eprintln!("{}: {:?} {}", planned.id, asked.outcome, asked.why);
     }
-    asked.fate == Fate::Complete
+    asked.outcome == Outcome::Complete
 }
 
 #[test]
@@ -107,8 +110,8 @@
                 })
                 .expect("it says so");
                 assert_eq!(
-                    ask(&request("late", "questions", 2), &[router.listen], 0).fate,
-                    Fate::Complete
+                    send_planned(&request("late", "questions", 2), &[router.listen], 0).outcome,
+                    Outcome::Complete
                 );
             }
             assert_eq!(router.wait(PATIENCE), Some(0), "{} ends well", router.name);
@@ -177,7 +180,7 @@
         .iter()
         .map(|planned| {
             let (planned, routers) = (planned.clone(), routers.clone());
-            std::thread::spawn(move || ask(&planned, &routers, 0))
+            std::thread::spawn(move || send_planned(&planned, &routers, 0))
         })
         .collect();
     // Each client has its stream's head once its first piece was seen.
@@ -192,13 +195,13 @@
     };
     Fleet::await_that(PATIENCE, "the streams run", || first_tokens(&fleet) == 6).expect("they run");
     fleet.routers[0].kill();
-    let asked: Vec<Asked> = askers
+    let asked: Vec<RequestRecord> = askers
         .into_iter()
         .map(|asker| asker.join().expect("it ends"))
         .collect();
     for one in &asked {
         assert_eq!(one.violations, Vec::<String>::new());
-        assert_eq!(one.fate, Fate::Complete);
+        assert_eq!(one.outcome, Outcome::Complete);
     }
     assert!(
         asked.iter().all(|one| one.resumed > 0),
@@ -243,10 +246,10 @@
         !fleet.routers[0].is_ready()
     })
     .expect("it stops");
-    let asked = ask(&request("lone", "questions", 2), &lone, 0);
+    let asked = send_planned(&request("lone", "questions", 2), &lone, 0);
     assert_eq!(
-        asked.fate,
-        Fate::Refused(u64::from(ResultCode::NotReady.number())),
+        asked.outcome,
+        Outcome::Refused(u64::from(ResultCode::NotReady.number())),
         "{}",
         asked.why
     );
@@ -303,7 +306,8 @@
             prompt: "short".into(),
             pieces: 2,
         };
-        ask(&planned, &fleet.clients_addresses(), *number as usize).fate == Fate::Complete
+        send_planned(&planned, &fleet.clients_addresses(), *number as usize).outcome
+            == Outcome::Complete
     };
     Fleet::await_that(PATIENCE, "requests are served again", || hints(&mut number)).expect("back");
     let back = Clock::now().since(began);
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of real processes on loopback. Needs the workspace to be built: `cargo build --workspace`.
 
-use loadgen::{Asked, Campaign, CampaignRules, Mix, Report};
+use loadgen::{LoadTest, LoadTestConfig, Report, RequestRecord, Workload};
 use simulator::{Deployment, ScheduleRules};
 use testbed::{Fleet, FleetOptions, ProcessGroup, join_logs, plan_of};
 use types::Milliseconds;
@@ -24,15 +24,20 @@
     (process_group, fleet)
 }
 
-fn load(fleet: &Fleet, deployment: Deployment, seconds: u64, seed: u64) -> (Vec<Asked>, u64) {
+fn load(
+    fleet: &Fleet,
+    deployment: Deployment,
+    seconds: u64,
+    seed: u64,
+) -> (Vec<RequestRecord>, u64) {
     let span = Milliseconds::seconds(seconds);
-    let rules = CampaignRules {
+    let rules = LoadTestConfig {
         routers: fleet.clients_addresses(),
         span,
         scale: 0.4,
-        in_hand: 500,
+        max_in_flight: 500,
     };
-    Campaign::new(Mix::new(deployment.mix(), seed), rules).run()
+    LoadTest::new(Workload::new(deployment.mix(), seed), rules).run()
 }
 
 #[test]
--- a/crates/testbed/tests/interfaces.rs
+++ b/crates/testbed/tests/interfaces.rs
@@ -1,7 +1,7 @@
 //! What operators and clients are told, good input and bad, by real processes. Needs the workspace
 //! to be built: `cargo build --workspace`.
 
-use loadgen::{Fate, PlannedRequest, ask};
+use loadgen::{Outcome, PlannedRequest, send_planned};
 use serde_json::Value;
 use simulator::{Deployment, ScheduleRules, ServerFault};
 use std::process::Command;
@@ -191,7 +191,10 @@
         prompt: "x".repeat(5000),
         pieces: 3,
     };
-    assert_eq!(ask(&planned, &[router.listen], 0).fate, Fate::Complete);
+    assert_eq!(
+        send_planned(&planned, &[router.listen], 0).outcome,
+        Outcome::Complete
+    );
     let pushed = br#"{"event":"unreachable","server":"127.0.0.1:9"}"#.to_vec();
     assert_eq!(
         json(router.ask("POST", "/v1/events", pushed)),
