--- a/crates/router/src/downstream/authentication.rs
+++ b/crates/router/src/downstream/authentication.rs
@@ -16,7 +16,7 @@
 }
 
 /// The credentials that a request bears; `None` where it needs none.
-pub(crate) fn authorize(
+pub(crate) fn authenticate(
     tenants: &TenantTable,
     is_public: bool,
     key: Option<&ApiKey>,
--- a/crates/router/src/downstream/ingress.rs
+++ b/crates/router/src/downstream/ingress.rs
@@ -1,7 +1,7 @@
 //! The door for clients of another dialect than the product's own.
 
 use crate::dialect::CallDialect;
-use crate::downstream::limits::{CallLimits, MOST_TO_ONE_SERVER};
+use crate::downstream::limits::{ConnectionLimits, MOST_TO_ONE_SERVER};
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::upstream::forwarding::Forwarder;
@@ -63,7 +63,7 @@
             max_idle_per_address: MOST_TO_ONE_SERVER / 2,
             idle_timeout: Milliseconds::seconds(20),
         });
-        let limits = CallLimits::new(http_server.limiter(), lines.clone());
+        let limits = ConnectionLimits::new(http_server.limiter(), lines.clone());
         if shared.limits.set(Arc::new(limits)).is_err() {
             return Err("a node has one gate of clients".into());
         }
@@ -71,7 +71,7 @@
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
             dialect: dialect.clone(),
-            lines,
+            pool: lines,
             #[cfg(test)]
             mutant: None,
         });
--- a/crates/router/src/downstream/ingress/tests.rs
+++ b/crates/router/src/downstream/ingress/tests.rs
@@ -77,7 +77,7 @@
     assert!(probe(&ingress, "/probe").starts_with("HTTP/1.1 503"));
     assert_eq!(shared.metrics.received.load(SeqCst), 0);
     let plan = parse_plan(br#"{"services": {}}"#).expect("a plan");
-    shared.take_detached_plan(&Arc::new(plan));
+    shared.install_detached_plan(&Arc::new(plan));
     shared.may_act_until.store(u64::MAX, SeqCst);
     shared.is_ready.store(true, SeqCst);
     let told = answer(&early);
@@ -135,11 +135,11 @@
     let client = connect(ingress.addresses.0);
     send(&client, "/p/x");
     answer(&client);
-    let arrived = MonotonicInstant(shared.arrived.load(SeqCst));
-    assert!(arrived > MonotonicInstant(0));
+    let last_arrival = MonotonicInstant(shared.last_arrival.load(SeqCst));
+    assert!(last_arrival > MonotonicInstant(0));
     assert!(
-        !shared.is_quiet(arrived + Milliseconds(1000))
-            && shared.is_quiet(arrived + Milliseconds(1500))
+        !shared.is_quiet(last_arrival + Milliseconds(1000))
+            && shared.is_quiet(last_arrival + Milliseconds(1500))
     );
 }
 
@@ -158,7 +158,7 @@
     let (ingress, shared) = open(0);
     let take = |bounds: &str| {
         let plan = format!(r#"{{"services": {{}}, "bounds": {bounds}}}"#);
-        shared.take_detached_plan(&Arc::new(parse_plan(plan.as_bytes()).expect("a plan")));
+        shared.install_detached_plan(&Arc::new(parse_plan(plan.as_bytes()).expect("a plan")));
     };
     let mut kept: Vec<TcpStream> = (0..4).map(|_| connect(ingress.addresses.0)).collect();
     assert!(
--- a/crates/router/src/downstream/limits.rs
+++ b/crates/router/src/downstream/limits.rs
@@ -18,11 +18,11 @@
 ///
 /// Invariant: this node has no more connections open to a server, idle ones included, than its share, but
 /// for those that were in use when the share became smaller; they are closed once they are free.
-pub(crate) struct CallLimits {
+pub(crate) struct ConnectionLimits {
     limiter: HttpServerLimiter,
-    lines: ConnectionPool,
+    pool: ConnectionPool,
     members: AtomicUsize,
-    held: Mutex<Held>,
+    state: Mutex<LimitState>,
     #[cfg(test)]
     pub mutant: Option<LimitsMutant>,
 }
@@ -38,7 +38,7 @@
 }
 
 #[derive(Default)]
-struct Held {
+struct LimitState {
     /// Connections that one server of a service accepts from all nodes; 0: no bound.
     accepted: HashMap<ServiceName, usize>,
     /// Whom a connection to each address was last wanted for.
@@ -58,25 +58,25 @@
     (accepted / nodes).clamp(1, MOST_TO_ONE_SERVER)
 }
 
-impl CallLimits {
+impl ConnectionLimits {
     /// For a gate of clients and the connections to servers.
-    pub fn new(limiter: HttpServerLimiter, lines: ConnectionPool) -> Self {
-        CallLimits {
+    pub fn new(limiter: HttpServerLimiter, pool: ConnectionPool) -> Self {
+        ConnectionLimits {
             limiter,
-            lines,
+            pool,
             members: AtomicUsize::new(1),
-            held: Mutex::default(),
+            state: Mutex::default(),
             #[cfg(test)]
             mutant: None,
         }
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, LimitState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Another plan is in force.
-    pub fn take_plan(&self, plan: &Plan) {
+    pub fn apply_plan(&self, plan: &Plan) {
         let bounds = &plan.bounds;
         self.limiter.set(HttpServerLimits {
             request: RequestLimits {
@@ -89,30 +89,30 @@
         let accepted = |(name, service): (&String, &ServicePlan)| {
             (name.as_str().into(), service.connections as usize)
         };
-        let mut held = self.held();
-        held.accepted = plan.services.iter().map(accepted).collect();
-        self.hold_to_shares(&mut held);
+        let mut state = self.state();
+        state.accepted = plan.services.iter().map(accepted).collect();
+        self.enforce_shares(&mut state);
     }
 
     /// So many nodes share the servers, as far as known here.
-    pub fn take_members(&self, count: usize) {
+    pub fn set_member_count(&self, count: usize) {
         if self.members.swap(count, Ordering::SeqCst) != count {
-            self.hold_to_shares(&mut self.held());
+            self.enforce_shares(&mut self.state());
         }
     }
 
     /// A connection to this address is wanted for a service: it's held to the share of that.
-    pub fn hold(&self, address: SocketAddr, service: &ServiceName) {
-        let mut held = self.held();
-        self.lines
-            .set_max_per_address(address, self.share(&held, service));
-        if held.services.get(&address) != Some(service) {
-            held.services.insert(address, service.clone());
+    pub fn limit_connections(&self, address: SocketAddr, service: &ServiceName) {
+        let mut state = self.state();
+        self.pool
+            .set_max_per_address(address, self.share(&state, service));
+        if state.services.get(&address) != Some(service) {
+            state.services.insert(address, service.clone());
         }
     }
 
-    fn share(&self, held: &Held, service: &ServiceName) -> usize {
-        let accepted = held.accepted.get(service).copied().unwrap_or(0);
+    fn share(&self, state: &LimitState, service: &ServiceName) -> usize {
+        let accepted = state.accepted.get(service).copied().unwrap_or(0);
         #[cfg(test)]
         if self.mutant == Some(LimitsMutant::TakeAll) {
             return connection_share(accepted, 1);
@@ -122,31 +122,31 @@
 
     /// Closes the connections at rest where there are more than the share, and forgets addresses to which
     /// there is none.
-    fn hold_to_shares(&self, held: &mut Held) {
-        let services = std::mem::take(&mut held.services);
+    fn enforce_shares(&self, state: &mut LimitState) {
+        let services = std::mem::take(&mut state.services);
         for (address, service) in services {
-            let open = self.lines.open_count(address);
+            let open = self.pool.open_count(address);
             if open == 0 {
-                self.lines.close_idle(address);
+                self.pool.close_idle(address);
                 continue;
             }
-            let share = self.share(held, &service);
+            let share = self.share(state, &service);
             #[cfg(test)]
             let open = match self.mutant {
-                Some(LimitsMutant::ForgetIdle) => open - self.lines.idle_count(address),
+                Some(LimitsMutant::ForgetIdle) => open - self.pool.idle_count(address),
                 _ => open,
             };
             if open > share {
-                self.lines.close_idle(address);
+                self.pool.close_idle(address);
             }
-            self.lines.set_max_per_address(address, share);
-            held.services.insert(address, service);
+            self.pool.set_max_per_address(address, share);
+            state.services.insert(address, service);
         }
     }
 }
 
 /// What a node without a gate of clients has.
-pub(crate) type SharedLimits = std::sync::OnceLock<Arc<CallLimits>>;
+pub(crate) type SharedLimits = std::sync::OnceLock<Arc<ConnectionLimits>>;
 
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/downstream/limits/tests.rs
+++ b/crates/router/src/downstream/limits/tests.rs
@@ -73,7 +73,7 @@
     }
 }
 
-fn ask(lines: &ConnectionPool, address: SocketAddr) -> Result<PooledResponse, ConnectionError> {
+fn ask(pool: &ConnectionPool, address: SocketAddr) -> Result<PooledResponse, ConnectionError> {
     let request = http::Request::builder()
         .uri("/")
         .header("host", "a")
@@ -85,7 +85,7 @@
         may_send: &|| true,
         client: None,
     };
-    lines.send_request(address, request, &waits)
+    pool.send_request(address, request, &waits)
 }
 
 fn plan(accepted: usize) -> Plan {
@@ -93,36 +93,36 @@
     parse_plan(plan.to_string().as_bytes()).expect("a good plan")
 }
 
-fn limits(mutant: Option<LimitsMutant>) -> (CallLimits, ConnectionPool) {
+fn limits(mutant: Option<LimitsMutant>) -> (ConnectionLimits, ConnectionPool) {
     let http_server = HttpServer::open(
         "127.0.0.1:0".parse().expect("an address"),
         HttpServerBounds::default(),
     )
     .expect("a port");
-    let lines = ConnectionPool::new(ConnectionPoolBounds {
+    let pool = ConnectionPool::new(ConnectionPoolBounds {
         max_per_address: 64,
         max_idle_per_address: 32,
         idle_timeout: GUARD,
     });
     (
-        CallLimits {
+        ConnectionLimits {
             mutant,
-            ..CallLimits::new(http_server.limiter(), lines.clone())
+            ..ConnectionLimits::new(http_server.limiter(), pool.clone())
         },
-        lines,
+        pool,
     )
 }
 
 /// Asks so often at the same time; the requests are answered once all that could be sent have come.
 fn ask_at_once(
-    lines: &ConnectionPool,
+    pool: &ConnectionPool,
     server: &Server,
     count: usize,
 ) -> Vec<Result<PooledResponse, ConnectionError>> {
     let asking: Vec<_> = (0..count)
         .map(|_| {
-            let (lines, address) = (lines.clone(), server.address);
-            std::thread::spawn(move || ask(&lines, address))
+            let (pool, address) = (pool.clone(), server.address);
+            std::thread::spawn(move || ask(&pool, address))
         })
         .collect();
     let full = |asking: &[std::thread::JoinHandle<_>]| {
@@ -144,38 +144,38 @@
 }
 
 fn opens_its_share_alone(mutant: Option<LimitsMutant>) -> bool {
-    let (limits, lines) = limits(mutant);
+    let (limits, pool) = limits(mutant);
     let server = Server::start();
-    limits.take_members(4);
-    limits.take_plan(&plan(15));
-    limits.hold(server.address, &"s".into());
+    limits.set_member_count(4);
+    limits.apply_plan(&plan(15));
+    limits.limit_connections(server.address, &"s".into());
     // 15 over 4 members and one that may be joining.
-    let outcomes = ask_at_once(&lines, &server, 8);
+    let outcomes = ask_at_once(&pool, &server, 8);
     let is_full = |outcome: &&Result<PooledResponse, ConnectionError>| {
         matches!(outcome, Err(ConnectionError::PoolExhausted))
     };
-    outcomes.iter().filter(is_full).count() == 5 && lines.open_count(server.address) == 3
+    outcomes.iter().filter(is_full).count() == 5 && pool.open_count(server.address) == 3
 }
 
 fn closes_what_rests_beyond_its_share(mutant: Option<LimitsMutant>) -> bool {
-    let (limits, lines) = limits(mutant);
+    let (limits, pool) = limits(mutant);
     let server = Server::start();
-    limits.take_plan(&plan(15));
-    limits.hold(server.address, &"s".into());
-    let opened: Vec<PooledResponse> = ask_at_once(&lines, &server, 6)
+    limits.apply_plan(&plan(15));
+    limits.limit_connections(server.address, &"s".into());
+    let opened: Vec<PooledResponse> = ask_at_once(&pool, &server, 6)
         .into_iter()
         .flatten()
         .collect();
     opened.into_iter().for_each(PooledResponse::release);
     assert_eq!(
         (
-            lines.open_count(server.address),
-            lines.idle_count(server.address)
+            pool.open_count(server.address),
+            pool.idle_count(server.address)
         ),
         (6, 6)
     );
-    limits.take_members(4);
-    lines.open_count(server.address) <= 3
+    limits.set_member_count(4);
+    pool.open_count(server.address) <= 3
 }
 
 #[test]
@@ -193,21 +193,21 @@
 
 #[test]
 fn what_is_in_use_beyond_a_smaller_share_is_closed_once_it_is_free() {
-    let (limits, lines) = limits(None);
+    let (limits, pool) = limits(None);
     let server = Server::start();
-    limits.take_plan(&plan(15));
-    limits.hold(server.address, &"s".into());
-    let opened: Vec<PooledResponse> = ask_at_once(&lines, &server, 6)
+    limits.apply_plan(&plan(15));
+    limits.limit_connections(server.address, &"s".into());
+    let opened: Vec<PooledResponse> = ask_at_once(&pool, &server, 6)
         .into_iter()
         .flatten()
         .collect();
-    limits.take_plan(&plan(4));
-    assert_eq!(lines.open_count(server.address), 6, "in use");
+    limits.apply_plan(&plan(4));
+    assert_eq!(pool.open_count(server.address), 6, "in use");
     opened.into_iter().for_each(PooledResponse::release);
     assert_eq!(
         (
-            lines.open_count(server.address),
-            lines.idle_count(server.address)
+            pool.open_count(server.address),
+            pool.idle_count(server.address)
         ),
         (2, 2)
     );
@@ -215,24 +215,18 @@
 
 #[test]
 fn an_address_that_serves_another_service_has_the_share_of_that() {
-    let (limits, lines) = limits(None);
+    let (limits, pool) = limits(None);
     let server = Server::start();
     let both = serde_json::json!({"services": {"s": {"connections": 2}, "t": {"connections": 8}}});
-    limits.take_plan(&parse_plan(both.to_string().as_bytes()).expect("a good plan"));
-    limits.hold(server.address, &"s".into());
+    limits.apply_plan(&parse_plan(both.to_string().as_bytes()).expect("a good plan"));
+    limits.limit_connections(server.address, &"s".into());
     assert_eq!(
-        ask_at_once(&lines, &server, 6)
-            .into_iter()
-            .flatten()
-            .count(),
+        ask_at_once(&pool, &server, 6).into_iter().flatten().count(),
         1
     );
-    limits.hold(server.address, &"t".into());
+    limits.limit_connections(server.address, &"t".into());
     assert_eq!(
-        ask_at_once(&lines, &server, 6)
-            .into_iter()
-            .flatten()
-            .count(),
+        ask_at_once(&pool, &server, 6).into_iter().flatten().count(),
         4
     );
 }
@@ -241,8 +235,8 @@
 fn addresses_without_a_connection_are_forgotten() {
     let (limits, _lines) = limits(None);
     for port in 1..100 {
-        limits.hold(Address::loopback(port).0, &"s".into());
+        limits.limit_connections(Address::loopback(port).0, &"s".into());
     }
-    limits.take_members(3);
-    assert_eq!(limits.held().services.len(), 0);
+    limits.set_member_count(3);
+    assert_eq!(limits.state().services.len(), 0);
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -35,9 +35,9 @@
 };
 pub use settings::Settings;
 pub use startup::{Dialects, ReadSeeds, run};
-pub use upstream::chunk_reader::{ChunkReader, Passed};
+pub use upstream::chunk_reader::{ChunkReader, RelayedLine};
 pub use upstream::event_splitter::{EventSplitter, StreamEvent};
-pub use upstream::forwarding::detached::{DetachedForwarder, Placed, Placer};
+pub use upstream::forwarding::detached::{DetachedForwarder, PlacementReply, PlacementSource};
 pub use upstream::response_validation::{
     AnswerIdentity, AnswerPlace, ClaimedIdentity, ResponseValidation,
 };
--- a/crates/router/src/request/attempts.rs
+++ b/crates/router/src/request/attempts.rs
@@ -1,29 +1,31 @@
+//! The attempts of one request: one server after the other, as far as its state machine allows.
+
 use crate::control::node::{Placement, Rejection};
 use crate::request::state_machine::{Failure, RequestInput, RequestOutput, RequestStateMachine};
 use types::{Milliseconds, ResultCode, ServerName};
 
-/// What an errand is told.
+/// An input of the attempts.
 #[derive(Debug, Clone)]
 pub enum AttemptInput {
-    /// The scheduler's word on where it goes.
+    /// The scheduler placed the request or rejected it.
     Scheduler(Result<Placement, Rejection>),
     /// The node may not act at this moment.
     LoseLease,
     /// A newer epoch is in force than the one under which it was placed; no byte has left.
     Supersede,
-    /// The asked server took it.
+    /// The server accepted it.
     Open,
-    /// Asking the server failed in this way, for this reason.
+    /// The attempt failed in this way, for this reason.
     Fail(Failure, String),
     /// The stream that it gave broke, for this reason; what follows may be had elsewhere.
-    Tear(String),
+    Interrupt(String),
 }
 
-/// What an errand wants done.
+/// What is to be done next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptOutput {
-    /// Ask the scheduler for a server.
-    AskScheduler {
+    /// Have the scheduler place the request.
+    Place {
         /// Zero the first time.
         round: u32,
         /// Servers not to be asked again.
@@ -31,74 +33,75 @@
         /// Whether one of them may have run it.
         may_have_run: bool,
     },
-    /// Ask this server.
-    AskServer(Placement),
-    /// A server has it: carry its answer.
-    Carry(Placement),
-    /// Tell the client this, at once, as the final answer.
-    Tell(Rejection),
-    /// Cut the client's connection: it must not take the answer for whole.
-    Cut(String),
+    /// Send it to this server.
+    Send(Placement),
+    /// The server accepted it: relay its response.
+    Relay(Placement),
+    /// Finish with this, the final response to the client.
+    Finish(Rejection),
+    /// Abort the client's connection: it must not take the response for complete.
+    Abort(String),
 }
 
-/// A request's way to the server that takes it, going on to others as far as its chart allows. The
-/// carrier does what it wants; the simulator does, too.
+/// The attempts of a request until one server accepts it, retried at others as far as its state machine
+/// allows. It does no input or output: the dispatcher performs what it wants, and the simulator does, too.
 ///
-/// Invariants: those of its [`Chart`]. Each server is asked at most once.
+/// Invariants: those of its [`RequestStateMachine`]. Each server is tried at most once.
 #[derive(Debug, Clone)]
 pub struct AttemptSequence {
     request_state: RequestStateMachine,
-    placed: Option<Placement>,
+    placement: Option<Placement>,
     tried: Vec<ServerName>,
     why: String,
     retry_after: Milliseconds,
 }
 
 impl AttemptSequence {
-    /// For a request that was read; says what is to be done first.
+    /// Begins for a request that was read; returns what is to be done first.
     pub fn begin() -> (AttemptSequence, AttemptOutput) {
         Self::begin_with(RequestStateMachine::default())
     }
-    /// For one that at most this many servers may get.
-    pub fn begin_bounded(most: u32) -> (AttemptSequence, AttemptOutput) {
-        Self::begin_with(RequestStateMachine::bounded(most))
+    /// Begins for a request that at most this many servers may get.
+    pub fn begin_with_max_servers(max_servers: u32) -> (AttemptSequence, AttemptOutput) {
+        Self::begin_with(RequestStateMachine::with_max_servers(max_servers))
     }
     fn begin_with(mut request_state: RequestStateMachine) -> (AttemptSequence, AttemptOutput) {
         request_state.step(RequestInput::Admit);
         let attempts = AttemptSequence {
             request_state,
-            placed: None,
+            placement: None,
             tried: vec![],
             why: String::new(),
             retry_after: Milliseconds(0),
         };
-        let first = attempts.ask_scheduler();
+        let first = attempts.place();
         (attempts, first)
     }
-    /// Its chart.
+    /// The state machine of the request.
     pub fn request_state(&self) -> &RequestStateMachine {
         &self.request_state
     }
-    /// What happens to the answer that a server gives.
-    pub fn carried(&mut self, input: RequestInput) -> RequestOutput {
+    /// Applies what happens to the response while it is relayed.
+    pub fn relay(&mut self, input: RequestInput) -> RequestOutput {
         self.request_state.step(input)
     }
 
-    /// Takes an input in; gives what is to be done.
+    /// Applies an input and returns what is to be done next.
     pub fn step(&mut self, input: AttemptInput) -> AttemptOutput {
         let output = match input {
-            AttemptInput::Scheduler(Ok(placing)) => {
-                let may_repeat = placing.may_repeat;
-                self.placed = Some(placing);
+            AttemptInput::Scheduler(Ok(placement)) => {
+                let may_repeat = placement.may_repeat;
+                self.placement = Some(placement);
                 self.request_state.step(RequestInput::Place { may_repeat })
             }
             AttemptInput::Scheduler(Err(rejection)) => {
-                // The first word on why counts: that no further server was found says less.
+                // The first reason counts: that no further server was found says less.
                 if self.why.is_empty() {
                     self.why = rejection.why;
                 }
                 self.retry_after = rejection.retry_after;
-                self.request_state.step(RequestInput::Deny(rejection.code))
+                self.request_state
+                    .step(RequestInput::Reject(rejection.code))
             }
             AttemptInput::LoseLease => {
                 self.why = "this node's lease ran out before the request was sent".into();
@@ -108,43 +111,49 @@
             AttemptInput::Open => self.request_state.step(RequestInput::Open),
             AttemptInput::Fail(failure, why) => {
                 self.why = why;
-                self.tried
-                    .extend(self.placed.as_ref().map(|placing| placing.server.clone()));
+                self.tried.extend(
+                    self.placement
+                        .as_ref()
+                        .map(|placement| placement.server.clone()),
+                );
                 self.request_state.step(RequestInput::Fail(failure))
             }
-            AttemptInput::Tear(why) => {
+            AttemptInput::Interrupt(why) => {
                 self.why = why;
-                self.tried
-                    .extend(self.placed.as_ref().map(|placing| placing.server.clone()));
-                self.request_state.step(RequestInput::Tear)
+                self.tried.extend(
+                    self.placement
+                        .as_ref()
+                        .map(|placement| placement.server.clone()),
+                );
+                self.request_state.step(RequestInput::Interrupt)
             }
         };
-        match (output, &self.placed) {
-            (RequestOutput::AskScheduler, _) => self.ask_scheduler(),
-            (RequestOutput::AskServer, Some(placing)) => AttemptOutput::AskServer(placing.clone()),
-            (RequestOutput::Carry, Some(placing)) => AttemptOutput::Carry(placing.clone()),
-            (RequestOutput::Tell(code), _) => self.tell(code),
-            (RequestOutput::Cut, _) => AttemptOutput::Cut(self.why.clone()),
+        match (output, &self.placement) {
+            (RequestOutput::Place, _) => self.place(),
+            (RequestOutput::Send, Some(placement)) => AttemptOutput::Send(placement.clone()),
+            (RequestOutput::Relay, Some(placement)) => AttemptOutput::Relay(placement.clone()),
+            (RequestOutput::Finish(code), _) => self.finish(code),
+            (RequestOutput::Abort, _) => AttemptOutput::Abort(self.why.clone()),
             // Nothing else comes of these inputs; were it so, nobody could say what ran.
-            _ => self.tell(ResultCode::Unknown),
+            _ => self.finish(ResultCode::Unknown),
         }
     }
 
-    fn ask_scheduler(&self) -> AttemptOutput {
+    fn place(&self) -> AttemptOutput {
         let (round, tried, may_have_run) = (
-            self.request_state.rounds(),
+            self.request_state.attempt_count(),
             self.tried.clone(),
             self.request_state.may_have_run(),
         );
-        AttemptOutput::AskScheduler {
+        AttemptOutput::Place {
             round,
             tried,
             may_have_run,
         }
     }
 
-    fn tell(&self, code: ResultCode) -> AttemptOutput {
-        AttemptOutput::Tell(Rejection {
+    fn finish(&self, code: ResultCode) -> AttemptOutput {
+        AttemptOutput::Finish(Rejection {
             code,
             why: self.why.clone(),
             retry_after: self.retry_after,
--- a/crates/router/src/request/state_machine.rs
+++ b/crates/router/src/request/state_machine.rs
@@ -1,31 +1,33 @@
+//! The state machine of one request: which phase it is in, and whether a server may have run it.
+
 use placement::Outcome;
 use types::ResultCode;
 
-/// Where a request stands.
+/// The phase that a request has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
-    /// Read and sound.
+    /// It was read and is well formed.
     Received,
-    /// A service that is allowed, and room for it here.
+    /// Its service is allowed, and this node is below its bound of requests in flight.
     Admitted,
-    /// A server is chosen.
+    /// The scheduler has chosen a server.
     Placed,
-    /// The server has taken it.
-    RecoveredStorage,
-    /// Pieces go to the client.
+    /// The server has accepted it and its response has begun.
+    ServerAccepted,
+    /// Chunks are relayed to the client.
     Streaming,
-    /// The final record was given.
+    /// The final record was relayed.
     Ended,
     /// It never ran and never will.
     Refused,
-    /// It may have run, and the client has no whole answer.
+    /// It may have run, and the client has no complete response.
     Broken,
 }
 
-/// How asking a server failed.
+/// How an attempt at a server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte left.
+    /// No byte was sent.
     Unsent,
     /// The server said that it did not run it.
     Refused,
@@ -34,7 +36,7 @@
 }
 
 impl Failure {
-    /// What the scheduler is told of it.
+    /// The outcome that is reported to the scheduler.
     pub fn outcome(self) -> Outcome {
         match self {
             Failure::Unsent => Outcome::Unsent,
@@ -44,10 +46,10 @@
     }
 }
 
-/// What a request's chart is told.
+/// An input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestInput {
-    /// There is room here and the service is allowed.
+    /// The request is admitted: the node is below its bound and the service is allowed.
     Admit,
     /// The scheduler chose a server.
     Place {
@@ -55,87 +57,88 @@
         may_repeat: bool,
     },
     /// The scheduler chose none.
-    Deny(ResultCode),
+    Reject(ResultCode),
     /// This node may not act at this moment.
     LoseLease,
     /// A newer epoch is in force than the one under which the server was chosen; no byte has left.
     Supersede,
-    /// The server took it.
+    /// The server accepted it.
     Open,
-    /// Asking it failed.
+    /// The attempt failed.
     Fail(Failure),
-    /// A piece or a page went to the client.
-    Give,
+    /// A chunk or a page was relayed to the client.
+    Relay,
     /// The final record came.
     Finish,
-    /// The stream broke, or the client went away.
-    Break,
-    /// The stream broke, and what follows its last piece may be had elsewhere, if it may be run again.
-    Tear,
+    /// The stream broke, or the client disconnected.
+    Abort,
+    /// The stream was interrupted; what follows its last chunk may be retried at another server, if the request
+    /// may run again.
+    Interrupt,
 }
 
-/// What a request's chart wants done.
+/// What the state machine wants done next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutput {
-    /// Ask the scheduler for a server.
-    AskScheduler,
-    /// Ask the chosen server.
-    AskServer,
-    /// Pass pieces on.
-    Carry,
-    /// Tell the client this, as the final answer.
-    Tell(ResultCode),
+    /// Have the scheduler place the request.
+    Place,
+    /// Send it to the chosen server.
+    Send,
+    /// Relay the response.
+    Relay,
+    /// Finish with this result, the final response to the client.
+    Finish(ResultCode),
     /// Cut the connection: no final record, no HTTP end.
-    Cut,
+    Abort,
     /// Nothing more.
-    Rest,
+    Idle,
 }
 
-/// The way of one request, as a state chart.
+/// The phases of one request, as a state machine without input or output.
 ///
-/// Invariants: `may_have_run` never turns false again. "Refused" is only told while it's false. A
-/// further server is asked only while it's false, or if every plan under which the request was placed
-/// lets it repeat, and, once a piece has gone out, only for what follows the last one ([`ChartInput::Tear`]).
-/// No more than `most` servers get it. After a final state nothing happens.
+/// Invariants: `may_have_run` never turns false again. A refusal is only returned while it is false. A
+/// further server is tried only while it's false, or if every plan under which the request was placed
+/// lets it repeat, and, once a chunk was relayed, only for what follows the last one ([`RequestInput::Interrupt`]).
+/// No more than `max_servers` servers get it. After a final state nothing happens.
 #[derive(Debug, Clone)]
 pub struct RequestStateMachine {
     state: RequestState,
     may_repeat: bool,
     may_have_run: bool,
-    rounds: u32,
-    most: u32,
-    unsent: u32,
+    attempt_count: u32,
+    max_servers: u32,
+    unsent_count: u32,
     last_failure: Option<Failure>,
 }
 
-/// Servers that one request may be given to, at most, unless its route says otherwise.
-const ROUNDS: u32 = 3;
-/// Servers that could not be reached, after which no other is tried.
-const UNSENT_MOST: u32 = 3;
+/// The number of servers that may get one request, unless its route says otherwise.
+const DEFAULT_MAX_SERVERS: u32 = 3;
+/// The number of unreachable servers after which no other is tried.
+const MAX_UNSENT: u32 = 3;
 
 impl Default for RequestStateMachine {
     /// For a request that was read.
     fn default() -> Self {
-        RequestStateMachine::bounded(ROUNDS)
+        RequestStateMachine::with_max_servers(DEFAULT_MAX_SERVERS)
     }
 }
 
 impl RequestStateMachine {
     /// For a request that at most this many servers may get.
-    pub fn bounded(most: u32) -> Self {
+    pub fn with_max_servers(max_servers: u32) -> Self {
         RequestStateMachine {
             state: RequestState::Received,
             may_repeat: true,
             may_have_run: false,
-            rounds: 0,
-            most,
-            unsent: 0,
+            attempt_count: 0,
+            max_servers,
+            unsent_count: 0,
             last_failure: None,
         }
     }
-    /// Whether a failure of the server in hand could still be made up for elsewhere.
-    pub fn may_go_on(&self) -> bool {
-        self.may_repeat && self.rounds + 1 < self.most
+    /// Whether a failure of the current server could still be retried at another one.
+    pub fn may_retry(&self) -> bool {
+        self.may_repeat && self.attempt_count + 1 < self.max_servers
     }
     /// Whether a server may have run it.
     pub fn may_have_run(&self) -> bool {
@@ -145,93 +148,95 @@
     pub fn state(&self) -> RequestState {
         self.state
     }
-    /// How many servers were asked.
-    pub fn rounds(&self) -> u32 {
-        self.rounds
+    /// How many attempts have failed after the server got bytes of the request.
+    pub fn attempt_count(&self) -> u32 {
+        self.attempt_count
     }
 
-    /// Takes an input in; gives what is to be done. Inputs that don't belong to the state change
-    /// nothing.
+    /// Applies an input and returns what is to be done. An input that does not belong to the state changes nothing.
     pub fn step(&mut self, input: RequestInput) -> RequestOutput {
         use RequestState::{
-            Admitted, Broken, Ended, Placed, Received, RecoveredStorage, Refused, Streaming,
+            Admitted, Broken, Ended, Placed, Received, Refused, ServerAccepted, Streaming,
         };
         match (self.state, input) {
             (Received, RequestInput::Admit) => {
                 self.state = Admitted;
-                RequestOutput::AskScheduler
+                RequestOutput::Place
             }
             (Admitted, RequestInput::Place { may_repeat }) => {
                 self.may_repeat &= may_repeat;
                 if self.may_have_run && !self.may_repeat {
-                    return self.finally(ResultCode::Unknown);
+                    return self.finish(ResultCode::Unknown);
                 }
                 self.state = Placed;
-                RequestOutput::AskServer
+                RequestOutput::Send
             }
-            (Received | Admitted, RequestInput::Deny(code)) => self.finally(code),
-            (Placed, RequestInput::LoseLease) => self.finally(ResultCode::NotReady),
+            (Received | Admitted, RequestInput::Reject(code)) => self.finish(code),
+            (Placed, RequestInput::LoseLease) => self.finish(ResultCode::NotReady),
             // Nothing was sent, so nothing failed: no round is used up.
             (Placed, RequestInput::Supersede) => {
                 self.state = Admitted;
-                RequestOutput::AskScheduler
+                RequestOutput::Place
             }
             (Placed, RequestInput::Open) => {
-                self.state = RecoveredStorage;
+                self.state = ServerAccepted;
                 self.may_have_run = true;
-                RequestOutput::Carry
+                RequestOutput::Relay
             }
             (Placed, RequestInput::Fail(failure)) => {
                 // A server that no byte reached has not been given it.
                 if failure == Failure::Unsent {
-                    self.unsent += 1;
+                    self.unsent_count += 1;
                 } else {
-                    self.rounds += 1;
+                    self.attempt_count += 1;
                 }
                 self.last_failure = Some(failure);
                 self.may_have_run |= failure == Failure::Unknown;
                 let may_repeat = self.may_repeat || !self.may_have_run;
-                if may_repeat && self.rounds < self.most && self.unsent < UNSENT_MOST {
+                if may_repeat
+                    && self.attempt_count < self.max_servers
+                    && self.unsent_count < MAX_UNSENT
+                {
                     self.state = Admitted;
-                    RequestOutput::AskScheduler
+                    RequestOutput::Place
                 } else {
-                    self.finally(ResultCode::ServerRefused)
+                    self.finish(ResultCode::ServerRefused)
                 }
             }
-            (RecoveredStorage | Streaming, RequestInput::Give) => {
+            (ServerAccepted | Streaming, RequestInput::Relay) => {
                 self.state = Streaming;
-                RequestOutput::Carry
+                RequestOutput::Relay
             }
-            (RecoveredStorage | Streaming, RequestInput::Finish) => {
+            (ServerAccepted | Streaming, RequestInput::Finish) => {
                 self.state = Ended;
-                RequestOutput::Tell(ResultCode::Complete)
+                RequestOutput::Finish(ResultCode::Complete)
             }
-            (RecoveredStorage | Streaming, RequestInput::Tear) if self.may_go_on() => {
-                self.rounds += 1;
+            (ServerAccepted | Streaming, RequestInput::Interrupt) if self.may_retry() => {
+                self.attempt_count += 1;
                 self.last_failure = Some(Failure::Unknown);
                 self.state = Admitted;
-                RequestOutput::AskScheduler
+                RequestOutput::Place
             }
-            (RecoveredStorage | Streaming, RequestInput::Break | RequestInput::Tear) => {
+            (ServerAccepted | Streaming, RequestInput::Abort | RequestInput::Interrupt) => {
                 self.state = Broken;
-                RequestOutput::Cut
+                RequestOutput::Abort
             }
-            (Ended | Refused | Broken, _) | (_, _) => RequestOutput::Rest,
+            (Ended | Refused | Broken, _) | (_, _) => RequestOutput::Idle,
         }
     }
 
-    /// The last word to the client: the given refusal, or what a failure before it makes of it.
-    fn finally(&mut self, code: ResultCode) -> RequestOutput {
+    /// The final result for the client: the given code, or the one that an earlier failure turns it into.
+    fn finish(&mut self, code: ResultCode) -> RequestOutput {
         if self.may_have_run {
             self.state = RequestState::Broken;
-            return RequestOutput::Tell(ResultCode::Unknown);
+            return RequestOutput::Finish(ResultCode::Unknown);
         }
         if !code.is_refusal() {
             self.state = RequestState::Broken;
-            return RequestOutput::Tell(code);
+            return RequestOutput::Finish(code);
         }
         self.state = RequestState::Refused;
-        RequestOutput::Tell(match self.last_failure {
+        RequestOutput::Finish(match self.last_failure {
             Some(Failure::Unsent) => ResultCode::Unsent,
             Some(Failure::Refused) => ResultCode::ServerRefused,
             _ => code,
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -9,12 +9,12 @@
 use crate::discovery::endpoint_list::ReadEffort;
 use crate::discovery::list_reader;
 use crate::discovery::report_poller;
+use crate::downstream::client_api::{fetch, resume, run_request};
 use crate::downstream::ingress::Ingress;
 use crate::downstream::limits::SharedLimits;
 use crate::request::resume_token::Token;
 use crate::settings::Settings;
 use crate::shared::{NEVER, Shared};
-use crate::upstream::stream_proxy::{fetch, resume, take_request};
 use config::{OwnPlans, PlanDialect, parse_addresses};
 use placement::{Decision, PlacementReason};
 use replication::LeaseStatus;
@@ -133,8 +133,8 @@
         stall: Milliseconds(settings.stall_ms),
         plan: RwLock::default(),
         is_ready: AtomicBool::new(false),
-        ends_at: AtomicU64::new(NEVER),
-        arrived: AtomicU64::new(0),
+        exits_at: AtomicU64::new(NEVER),
+        last_arrival: AtomicU64::new(0),
         limits: SharedLimits::new(),
     });
     let has_calls = dialects.calls.is_some();
@@ -224,7 +224,7 @@
             }
             if let Some(schedule) = &leaving {
                 if now >= schedule.short_from {
-                    shared.ends_at.store(schedule.end.0, Ordering::SeqCst);
+                    shared.exits_at.store(schedule.end.0, Ordering::SeqCst);
                 }
                 let has_none_left =
                     ingress.is_some() && now >= schedule.quiet_from && shared.is_quiet(now);
@@ -368,10 +368,10 @@
         self.door.is_ready.store(is_ready, Ordering::SeqCst);
         self.door.shared.is_ready.store(is_ready, Ordering::SeqCst);
         // First the members: a plan is put into force for as many as there are.
-        self.door.shared.take_members(self.node.member_count());
+        self.door.shared.set_member_count(self.node.member_count());
         self.door
             .shared
-            .take_plan(self.node.plan(), self.node.tenants());
+            .install_plan(self.node.plan(), self.node.tenants());
         metrics.epoch.store(self.node.epoch().0, Ordering::Relaxed);
         metrics
             .may_act
@@ -583,7 +583,7 @@
             .and_then(ApiKey::from_bearer);
         let api_key = api_key.as_ref();
         match (request.method.as_str(), request.path_segments().as_slice()) {
-            ("POST", ["v1", "requests"]) => take_request(&self.shared, &request.body, api_key),
+            ("POST", ["v1", "requests"]) => run_request(&self.shared, &request.body, api_key),
             ("POST", ["v1", "resume"]) => resume(&self.shared, &request.body, api_key),
             ("GET", ["v1", "pages", service, rest @ ..]) => fetch(
                 &self.shared,
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -5,4 +5,5 @@
 pub(crate) mod event_splitter;
 pub(crate) mod forwarding;
 pub(crate) mod response_validation;
+pub(crate) mod server_client;
 pub(crate) mod stream_proxy;
--- a/crates/router/src/upstream/chunk_reader.rs
+++ b/crates/router/src/upstream/chunk_reader.rs
@@ -1,20 +1,22 @@
+//! Reads the chunks of one run from a server, in order, and makes the client's lines of them.
+
 use crate::interface::RunPiece;
 use types::{ResultCode, RunId};
 
-/// What a line of a server's stream comes to.
+/// What one line of a server's stream becomes on the client's side.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Passed {
+pub enum RelayedLine {
     /// A line for the client.
-    Piece(String),
+    Chunk(String),
     /// The client's final record.
     End(String),
-    /// The stream is cut here: nothing of this line is given.
-    Cut(ResultCode, String),
+    /// The stream is aborted here, for this reason; nothing of this line is relayed.
+    Abort(ResultCode, String),
 }
 
 /// Reads one run's stream, line by line.
 ///
-/// Invariant: what is given to the client is pieces of this run alone, from the first that was asked for
+/// Invariant: what is relayed to the client is chunks of this run alone, from the first that was asked for
 /// on, each once and in order; the final record only after all that it counts.
 #[derive(Debug, Clone)]
 pub struct ChunkReader {
@@ -23,14 +25,14 @@
 }
 
 impl ChunkReader {
-    /// For this run, from this piece on.
+    /// Reads this run, from this chunk number on.
     pub fn new(run: RunId, from: u64) -> Self {
         ChunkReader { run, next: from }
     }
-    /// Takes a line; one without its end is torn.
-    pub fn take(&mut self, line: &[u8]) -> Passed {
+    /// Takes one line of the stream; a line without its newline is truncated and aborts the stream.
+    pub fn take(&mut self, line: &[u8]) -> RelayedLine {
         if !line.ends_with(b"\n") {
-            return Passed::Cut(
+            return RelayedLine::Abort(
                 ResultCode::Broken,
                 "the stream ended without its final record".into(),
             );
@@ -38,7 +40,7 @@
         match serde_json::from_slice::<RunPiece>(line) {
             Ok(RunPiece::Piece { run, n, text }) if run == self.run && n == self.next => {
                 self.next += 1;
-                Passed::Piece(format!("{}\n", serde_json::json!({"n": n, "text": text})))
+                RelayedLine::Chunk(format!("{}\n", serde_json::json!({"n": n, "text": text})))
             }
             Ok(RunPiece::End {
                 run,
@@ -46,16 +48,16 @@
                 pieces,
             }) if run == self.run && pieces == self.next => {
                 let word = ResultCode::Complete.word();
-                Passed::End(format!(
+                RelayedLine::End(format!(
                     "{}\n",
                     serde_json::json!({"end": true, "pieces": pieces, "result": word})
                 ))
             }
-            Ok(_) => Passed::Cut(
+            Ok(_) => RelayedLine::Abort(
                 ResultCode::StreamFault,
                 "the server's pieces were out of order".into(),
             ),
-            Err(fault) => Passed::Cut(ResultCode::StreamFault, fault.to_string()),
+            Err(fault) => RelayedLine::Abort(ResultCode::StreamFault, fault.to_string()),
         }
     }
 }
--- a/crates/router/src/upstream/chunk_reader/tests.rs
+++ b/crates/router/src/upstream/chunk_reader/tests.rs
@@ -1,5 +1,5 @@
 use crate::interface::RunPiece;
-use crate::upstream::chunk_reader::{ChunkReader, Passed};
+use crate::upstream::chunk_reader::{ChunkReader, RelayedLine};
 use yare::parameterized;
 
 #[parameterized(
@@ -39,9 +39,9 @@
             _ => "{}\n".into(),
         };
         found.push(match reader.take(text.as_bytes()) {
-            Passed::Piece(_) => 'g',
-            Passed::End(_) => 'e',
-            Passed::Cut(..) => 'c',
+            RelayedLine::Chunk(_) => 'g',
+            RelayedLine::End(_) => 'e',
+            RelayedLine::Abort(..) => 'c',
         });
     }
     assert_eq!(found, passed);
--- a/crates/router/src/upstream/dispatch.rs
+++ b/crates/router/src/upstream/dispatch.rs
@@ -1,177 +1,207 @@
+//! Dispatches a request: has it placed, sends it, and retries it at other servers as far as its attempts allow.
+
 use crate::admin::metrics::Metrics;
 use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
 use crate::request::attempts::{AttemptInput, AttemptOutput, AttemptSequence};
+use crate::request::in_flight::InFlightGuard;
 use crate::request::resume_token::run_id;
 use crate::request::state_machine::{Failure, RequestStateMachine};
-use crate::shared::{Place, Shared};
-use config::{KeyDigest, ServiceKind};
-use placement::{Event, Outcome, PrefixHash, RequestCost};
+use crate::shared::Shared;
+use config::ServiceKind;
+use placement::{Event, Outcome, RequestCost};
 use std::sync::Arc;
-use types::{ServiceName, random_bytes};
+use types::{Milliseconds, ResultCode, ServerName, ServiceName, random_bytes};
 
-/// Why a server has not taken a request.
-pub(crate) enum NotTaken {
-    /// This node may not act any more, or not as it was placed: nothing that could run was sent.
-    Withheld,
-    /// Asking it failed in this way.
+/// Why a server has not accepted a request.
+pub(crate) enum AttemptError {
+    /// The epoch fence or the lease held it back: nothing that could run was sent.
+    Fenced,
+    /// The attempt failed in this way, for this reason.
     Failed(Failure, String),
-    /// Another server has its address; nothing ran there.
-    Elsewhere(String),
-    /// The client has gone.
-    ClientGone,
+    /// Another server has the address; nothing ran there.
+    WrongServer(String),
+    /// The client has disconnected.
+    ClientDisconnected,
+}
+
+/// How a dispatch ended.
+pub(crate) enum DispatchOutcome<T> {
+    /// A server has accepted the request, and this is the beginning of its response.
+    Accepted(Placement, T),
+    /// The final rejection.
+    Rejected(Rejection),
+    /// The client's connection is to be aborted.
+    Aborted(String),
+}
+
+impl<T> DispatchOutcome<T> {
+    /// The accepted request, or the final rejection. Only a stream that was relayed is ever aborted: before that,
+    /// nothing is known of a request that ends so.
+    pub fn accepted(self) -> Result<(Placement, T), Rejection> {
+        match self {
+            DispatchOutcome::Accepted(placement, response) => Ok((placement, response)),
+            DispatchOutcome::Rejected(rejection) => Err(rejection),
+            DispatchOutcome::Aborted(why) => Err(unknown_outcome(why)),
+        }
+    }
 }
 
-/// What a request wants of the scheduler, whatever it's spoken in.
-pub(crate) struct Wanted {
-    pub service: ServiceName,
-    pub kind: ServiceKind,
-    pub route: Option<String>,
-    pub key: Option<KeyDigest>,
-    pub hashes: Vec<PrefixHash>,
-    pub request_cost: RequestCost,
+/// The rejection of a request of which nobody knows whether it ran.
+pub(crate) fn unknown_outcome(why: String) -> Rejection {
+    Rejection::with_reason(ResultCode::Unknown, why, Milliseconds(0))
 }
 
-impl Wanted {
-    /// One whose client names the service and tells nothing more.
-    pub fn of_service(
+impl PlacementRequest {
+    /// The first placement of an admitted request whose client names the service and says nothing more.
+    pub(crate) fn for_service(
+        guard: &InFlightGuard,
         service: ServiceName,
         kind: ServiceKind,
-        key: Option<KeyDigest>,
-        hashes: Vec<PrefixHash>,
-    ) -> Self {
-        Wanted {
+    ) -> PlacementRequest {
+        PlacementRequest {
+            number: guard.number,
+            request: guard.request.clone(),
             service,
             kind,
             route: None,
-            key,
-            hashes,
+            key: None,
+            hashes: vec![],
             request_cost: RequestCost::default(),
+            round: 0,
+            tried: vec![],
+            may_have_run: false,
+            run: run_id(random_bytes()),
         }
     }
 }
 
-/// What a trip came to.
-pub(crate) enum Gone<T> {
-    /// A server has taken it, and this was heard.
-    RecoveredStorage(Placement, T),
-    /// The final answer.
-    Told(Rejection),
-    /// The client's connection is to be cut.
-    Cut(String),
-}
-
-/// A request on its way: its errand, done with real servers.
-pub(crate) struct Trip {
+/// Performs the attempts of one request with real servers.
+pub(crate) struct Dispatcher {
     pub shared: Arc<Shared>,
-    pub place: Place,
+    pub guard: InFlightGuard,
     pub attempts: AttemptSequence,
-    wanted: Wanted,
+    placement_request: PlacementRequest,
 }
 
-impl Trip {
-    /// For a request that has its place; at most so many servers may get it.
-    pub fn new(place: Place, wanted: Wanted, most: Option<u32>) -> (Trip, AttemptOutput) {
-        let (attempts, first) =
-            most.map_or_else(AttemptSequence::begin, AttemptSequence::begin_bounded);
-        (
-            Trip {
-                shared: place.shared.clone(),
-                place,
-                attempts,
-                wanted,
-            },
-            first,
-        )
+impl Dispatcher {
+    /// For an admitted request that at most `max_servers` servers may get; also what is to be done first.
+    pub fn new(
+        guard: InFlightGuard,
+        placement_request: PlacementRequest,
+        max_servers: Option<u32>,
+    ) -> (Dispatcher, AttemptOutput) {
+        let (attempts, first) = max_servers.map_or_else(
+            AttemptSequence::begin,
+            AttemptSequence::begin_with_max_servers,
+        );
+        let dispatcher = Dispatcher {
+            shared: guard.shared.clone(),
+            guard,
+            attempts,
+            placement_request,
+        };
+        (dispatcher, first)
     }
 
-    /// Finds a server that takes the request, going on to others as far as the errand allows.
-    pub fn go<T>(
+    /// Finds a server that accepts the request. `send` performs one attempt.
+    pub fn dispatch<T>(
         &mut self,
         first: AttemptOutput,
-        mut ask: impl FnMut(&Placement, &RequestStateMachine) -> Result<T, NotTaken>,
-    ) -> Gone<T> {
-        let request = self.place.request.clone();
-        let does_stream = self.wanted.kind == ServiceKind::Stream;
-        let (mut output, mut taken) = (first, None);
+        mut send: impl FnMut(&Placement, &RequestStateMachine) -> Result<T, AttemptError>,
+    ) -> DispatchOutcome<T> {
+        let (mut output, mut response) = (first, None);
         loop {
             output = match output {
-                AttemptOutput::AskScheduler {
+                AttemptOutput::Place {
                     round,
                     tried,
                     may_have_run,
-                } => {
-                    let input = NodeInput::Place(PlacementRequest {
-                        number: self.place.number,
-                        request: request.clone(),
-                        service: self.wanted.service.clone(),
-                        kind: self.wanted.kind,
-                        route: self.wanted.route.clone(),
-                        key: self.wanted.key,
-                        hashes: self.wanted.hashes.clone(),
-                        request_cost: self.wanted.request_cost.clone(),
-                        round,
-                        tried,
-                        may_have_run,
-                        run: run_id(random_bytes()),
-                    });
-                    let outcome = self.shared.ask_scheduler(&self.place, input);
-                    if round > 0 && outcome.is_ok() {
-                        Metrics::more(&self.shared.metrics.repeats);
-                    }
-                    self.attempts.step(AttemptInput::Scheduler(outcome))
-                }
-                AttemptOutput::AskServer(placing) => {
-                    match ask(&placing, self.attempts.request_state()) {
-                        Ok(heard) => {
-                            taken = Some(heard);
+                } => self.place(round, tried, may_have_run),
+                AttemptOutput::Send(placement) => {
+                    match send(&placement, self.attempts.request_state()) {
+                        Ok(started) => {
+                            response = Some(started);
                             self.attempts.step(AttemptInput::Open)
                         }
-                        Err(NotTaken::Withheld) => {
-                            self.shared.tell_ended(&request, Outcome::Refused);
-                            let is_superseded =
-                                self.shared.may_act() && self.shared.is_superseded(placing.epoch);
-                            self.attempts.step(if is_superseded {
-                                AttemptInput::Supersede
-                            } else {
-                                AttemptInput::LoseLease
-                            })
-                        }
-                        Err(NotTaken::Failed(failure, why)) => {
-                            self.shared.tell_ended(&request, failure.outcome());
-                            self.attempts.step(AttemptInput::Fail(failure, why))
-                        }
-                        Err(NotTaken::Elsewhere(why)) => {
-                            self.shared.tell_ended(&request, Outcome::Refused);
-                            let server = placing.server.clone();
-                            self.shared
-                                .tell(NodeInput::Event(Event::Unreachable { server }));
-                            self.attempts
-                                .step(AttemptInput::Fail(Failure::Refused, why))
-                        }
-                        Err(NotTaken::ClientGone) => {
-                            self.shared.tell_ended(&request, Outcome::Cancelled);
-                            self.place.may_have_run = does_stream;
-                            return Gone::Cut("the client has gone".into());
-                        }
+                        Err(AttemptError::ClientDisconnected) => return self.abandon(),
+                        Err(error) => self.record_failure(&placement, error),
                     }
                 }
-                AttemptOutput::Carry(placing) => match taken.take() {
-                    Some(heard) => {
-                        self.place.may_have_run = does_stream;
-                        return Gone::RecoveredStorage(placing, heard);
+                AttemptOutput::Relay(placement) => match response.take() {
+                    Some(response) => {
+                        self.guard.may_have_run = self.is_stream();
+                        return DispatchOutcome::Accepted(placement, response);
                     }
                     None => self.attempts.step(AttemptInput::Fail(
                         Failure::Unknown,
                         "nothing was heard".into(),
                     )),
                 },
-                AttemptOutput::Tell(rejection) => {
-                    self.place.may_have_run =
-                        does_stream && self.attempts.request_state().may_have_run();
-                    return Gone::Told(rejection);
+                AttemptOutput::Finish(rejection) => {
+                    self.guard.may_have_run =
+                        self.is_stream() && self.attempts.request_state().may_have_run();
+                    return DispatchOutcome::Rejected(rejection);
                 }
-                AttemptOutput::Cut(why) => return Gone::Cut(why),
+                AttemptOutput::Abort(why) => return DispatchOutcome::Aborted(why),
             }
         }
     }
+
+    /// Phase "place": asks the scheduler for a server, for a run of a new id.
+    fn place(&mut self, round: u32, tried: Vec<ServerName>, may_have_run: bool) -> AttemptOutput {
+        let outcome = self.shared.place(PlacementRequest {
+            round,
+            tried,
+            may_have_run,
+            run: run_id(random_bytes()),
+            ..self.placement_request.clone()
+        });
+        if round > 0 && outcome.is_ok() {
+            Metrics::more(&self.shared.metrics.repeats);
+        }
+        self.attempts.step(AttemptInput::Scheduler(outcome))
+    }
+
+    /// Phase "retry": reports a failed attempt and decides what follows from it.
+    fn record_failure(&mut self, placement: &Placement, error: AttemptError) -> AttemptOutput {
+        let request = &self.guard.request;
+        let input = match error {
+            AttemptError::Fenced => {
+                self.shared.report_outcome(request, Outcome::Refused);
+                if self.shared.may_act() && self.shared.is_superseded(placement.epoch) {
+                    AttemptInput::Supersede
+                } else {
+                    AttemptInput::LoseLease
+                }
+            }
+            AttemptError::Failed(failure, why) => {
+                self.shared.report_outcome(request, failure.outcome());
+                AttemptInput::Fail(failure, why)
+            }
+            AttemptError::WrongServer(why) => {
+                self.shared.report_outcome(request, Outcome::Refused);
+                let server = placement.server.clone();
+                self.shared
+                    .notify_control(NodeInput::Event(Event::Unreachable { server }));
+                AttemptInput::Fail(Failure::Refused, why)
+            }
+            AttemptError::ClientDisconnected => {
+                self.shared.report_outcome(request, Outcome::Cancelled);
+                AttemptInput::Fail(Failure::Unknown, "the client has gone".into())
+            }
+        };
+        self.attempts.step(input)
+    }
+
+    /// The client has disconnected during an attempt.
+    fn abandon<T>(&mut self) -> DispatchOutcome<T> {
+        self.shared
+            .report_outcome(&self.guard.request, Outcome::Cancelled);
+        self.guard.may_have_run = self.is_stream();
+        DispatchOutcome::Aborted("the client has gone".into())
+    }
+
+    fn is_stream(&self) -> bool {
+        self.placement_request.kind == ServiceKind::Stream
+    }
 }
--- a/crates/router/src/upstream/forwarding/detached.rs
+++ b/crates/router/src/upstream/forwarding/detached.rs
@@ -16,7 +16,7 @@
 const BOUND: u64 = 64;
 
 /// The answer to the question where a request goes.
-pub struct Placed {
+pub struct PlacementReply {
     /// To there, or nowhere.
     pub outcome: Result<Placement, Rejection>,
     /// The epoch that has come into force by the time the request would be sent.
@@ -24,7 +24,7 @@
 }
 
 /// Chooses the servers.
-pub type Placer = Box<dyn FnMut(&PlacementRequest) -> Placed + Send>;
+pub type PlacementSource = Box<dyn FnMut(&PlacementRequest) -> PlacementReply + Send>;
 
 /// A forwarder without a node.
 #[derive(Clone)]
@@ -38,11 +38,11 @@
         dialect: Arc<dyn CallDialect>,
         plan: &Arc<Plan>,
         bounds: ConnectionPoolBounds,
-        mut placer: Placer,
+        mut placement_source: PlacementSource,
     ) -> std::io::Result<Self> {
         let (control, inbox) = flume::unbounded();
         let shared = Arc::new(Shared::detached(control, BOUND));
-        shared.take_detached_plan(plan);
+        shared.install_detached_plan(plan);
         let placing_shared = Arc::downgrade(&shared);
         std::thread::Builder::new()
             .name("placing".into())
@@ -51,17 +51,17 @@
                     let ControlEvent::Place(NodeInput::Place(ask), outcome) = event else {
                         continue;
                     };
-                    let placed = placer(&ask);
+                    let reply = placement_source(&ask);
                     if let Some(shared) = placing_shared.upgrade() {
-                        shared.epoch.fetch_max(placed.in_force.0, Ordering::SeqCst);
+                        shared.epoch.fetch_max(reply.in_force.0, Ordering::SeqCst);
                     }
-                    let _ = outcome.send(placed.outcome);
+                    let _ = outcome.send(reply.outcome);
                 }
             })?;
         let forwarder = Forwarder {
             shared,
             dialect,
-            lines: ConnectionPool::new(bounds),
+            pool: ConnectionPool::new(bounds),
             #[cfg(test)]
             mutant: None,
         };
--- a/crates/router/src/upstream/forwarding/tests.rs
+++ b/crates/router/src/upstream/forwarding/tests.rs
@@ -1,16 +1,20 @@
 //! A forwarder between real clients and stand-in servers over TCP, with a scripted control thread.
 
-use super::*;
+use super::{Forwarder, Mutant};
 use crate::control::event::ControlEvent;
 use crate::control::node::{NodeInput, Placement, PlacementRequest, Rejection};
 use crate::dialect::{Access, Call, CallDialect, Sending, ServerLoad};
 use crate::request::resume_token::run_id;
+use crate::shared::Shared;
 use crate::upstream::response_validation::{AnswerIdentity, ClaimedIdentity};
+use bytes::Bytes;
 use config::parse_plan;
 use placement::{Event, Outcome, RequestCost, ServerEntry};
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
 use std::sync::atomic::Ordering;
+use std::time::Duration;
 use transport::{
     ConnectionPool, ConnectionPoolBounds, HttpServer, HttpServerBounds, Request, Response,
 };
@@ -451,9 +455,9 @@
             "deadline_ms": route.deadline_ms, "split": [{"service": "s", "weight": 1}],
         }]});
         let plan = parse_plan(plan.to_string().as_bytes()).expect("a good plan");
-        shared.take_detached_plan(&Arc::new(plan));
+        shared.install_detached_plan(&Arc::new(plan));
         let told = control(&shared, inbox, words);
-        let lines = ConnectionPool::new(ConnectionPoolBounds {
+        let pool = ConnectionPool::new(ConnectionPoolBounds {
             max_per_address: 8,
             max_idle_per_address: 4,
             idle_timeout: Milliseconds::seconds(20),
@@ -461,7 +465,7 @@
         let forwarder = Arc::new(Forwarder {
             shared: shared.clone(),
             dialect: Arc::new(Plain),
-            lines,
+            pool,
             mutant,
         });
         let http_server = HttpServer::open(
@@ -585,7 +589,7 @@
     }
     /// A promise that nothing ran.
     fn is_promise(&self) -> bool {
-        PROMISES.contains(&self.status)
+        super::forwarded_request::NOT_RUN_STATUSES.contains(&self.status)
     }
 }
 
@@ -1346,7 +1350,7 @@
     );
     stage
         .shared
-        .ends_at
+        .exits_at
         .store((Clock::now() + Milliseconds(10_000)).0, Ordering::SeqCst);
     let answer = stage.ask(headers);
     assert_eq!(answer.status, if is_taken { 200 } else { 503 });
@@ -1367,7 +1371,7 @@
             "split": [{"service": "s", "weight": 1}]}],
     });
     let plan = parse_plan(plan.to_string().as_bytes()).expect("a good plan");
-    stage.shared.take_detached_plan(&Arc::new(plan));
+    stage.shared.install_detached_plan(&Arc::new(plan));
 }
 
 #[parameterized(
--- a/crates/router/tests/answers_fuzz.rs
+++ b/crates/router/tests/answers_fuzz.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use router::{ChunkReader, EventSplitter, Passed, StreamEvent, Token};
+use router::{ChunkReader, EventSplitter, RelayedLine, StreamEvent, Token};
 use types::TokenKey;
 
 const CASES: u32 = 4000;
@@ -96,15 +96,15 @@
                     line.truncate(place.index(line.len()));
                 }
                 match reader.take(&line) {
-                    Passed::Piece(_) => {
+                    RelayedLine::Chunk(_) => {
                         prop_assert!(is_ours && kind > 1 && number == next && !is_cut);
                         next += 1;
                     }
-                    Passed::End(_) => {
+                    RelayedLine::End(_) => {
                         prop_assert!(is_ours && kind == 0 && number == next && !is_cut);
                         return Ok(());
                     }
-                    Passed::Cut(..) => return Ok(()),
+                    RelayedLine::Abort(..) => return Ok(()),
                 }
             }
             Ok(())
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -8,7 +8,7 @@
 use placement::ServerEntry;
 use quota::{Amount, ReservedCredit};
 use router::{
-    ChunkReader, ClientRequest, LIFE_HEADER, ListTiming, Metrics, NodeTiming, Passed,
+    ChunkReader, ClientRequest, LIFE_HEADER, ListTiming, Metrics, NodeTiming, RelayedLine,
     ResumeRequest, RunPiece, RunRequest, ServerListReport, ServerReport, Settings, Token, run_id,
 };
 use schematic::Config;
@@ -125,8 +125,8 @@
     let mut given = String::new();
     for piece in run_pieces() {
         match reader.take(format!("{}\n", json(&piece)).as_bytes()) {
-            Passed::Piece(line) | Passed::End(line) => given.push_str(&line),
-            Passed::Cut(code, why) => panic!("{code}: {why}"),
+            RelayedLine::Chunk(line) | RelayedLine::End(line) => given.push_str(&line),
+            RelayedLine::Abort(code, why) => panic!("{code}: {why}"),
         }
     }
     golden_file::compare_text("stream.jsonl", &given);
--- a/crates/simulator/src/world/streams.rs
+++ b/crates/simulator/src/world/streams.rs
@@ -6,7 +6,7 @@
 use crate::world::{Mutant, World};
 use loadgen::prompt_fingerprint;
 use router::RunPiece;
-use router::{ChunkReader, Passed, RequestInput, resume_id};
+use router::{ChunkReader, RelayedLine, RequestInput, resume_id};
 use types::{MonotonicInstant, RequestId, RunId};
 
 /// A stream as it stands, on its client's side and on its router's.
@@ -142,18 +142,18 @@
         stream.read += 1;
         let passed = match stream.reader.take(text.as_bytes()) {
             // The mutant passes on whatever comes.
-            Passed::Cut(..) if is_lax => match line {
-                RunPiece::End { .. } => Passed::End(text),
-                RunPiece::Piece { .. } => Passed::Piece(text),
+            RelayedLine::Abort(..) if is_lax => match line {
+                RunPiece::End { .. } => RelayedLine::End(text),
+                RunPiece::Piece { .. } => RelayedLine::Chunk(text),
             },
             passed => passed,
         };
-        let (Passed::Piece(given) | Passed::End(given)) = &passed else {
+        let (RelayedLine::Chunk(given) | RelayedLine::End(given)) = &passed else {
             self.cut(id);
             return false;
         };
         let value: serde_json::Value = serde_json::from_str(given).unwrap_or_default();
-        let is_end = matches!(passed, Passed::End(_));
+        let is_end = matches!(passed, RelayedLine::End(_));
         let fault = if is_end {
             // It's whole if the client has as many as it asked for, whatever the record says.
             (value["pieces"] != stream.next || stream.next != request.pieces)
@@ -207,7 +207,7 @@
             .as_ref()
             .is_some_and(|stream| stream.resumed_as.is_none())
         {
-            self.carried(id, RequestInput::Give);
+            self.carried(id, RequestInput::Relay);
         }
     }
 
@@ -242,7 +242,7 @@
             }
             None => {
                 self.ended(id, Outcome::Failed);
-                self.carried(id, RequestInput::Break);
+                self.carried(id, RequestInput::Abort);
             }
         }
     }
--- a/crates/simulator/src/world/traffic.rs
+++ b/crates/simulator/src/world/traffic.rs
@@ -86,7 +86,7 @@
         };
         let mut output = request.attempts.step(input);
         if self.rules.mutant == Some(Mutant::RepeatAnything)
-            && matches!(&output, AttemptOutput::Tell(rejection) if rejection.code == ResultCode::Unknown)
+            && matches!(&output, AttemptOutput::Finish(rejection) if rejection.code == ResultCode::Unknown)
         {
             (request.attempts, output) = AttemptSequence::begin();
         }
@@ -95,13 +95,13 @@
 
     fn on_errand(&mut self, id: &RequestId, output: AttemptOutput) {
         match output {
-            AttemptOutput::AskScheduler {
+            AttemptOutput::Place {
                 round,
                 tried,
                 may_have_run,
             } => self.ask_scheduler(id, round, tried, may_have_run),
-            AttemptOutput::AskServer(placing) => self.ask_server(id, placing),
-            AttemptOutput::Carry(placing) => {
+            AttemptOutput::Send(placing) => self.ask_server(id, placing),
+            AttemptOutput::Relay(placing) => {
                 if let Some(request) = self
                     .requests
                     .get_mut(id)
@@ -111,8 +111,8 @@
                 }
             }
             // No errand of the simulator's is told of a torn stream.
-            AttemptOutput::Cut(_) => {}
-            AttemptOutput::Tell(rejection) => {
+            AttemptOutput::Abort(_) => {}
+            AttemptOutput::Finish(rejection) => {
                 self.close(
                     id,
                     if rejection.code.is_refusal() {
@@ -130,14 +130,14 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        match request.attempts.carried(input) {
-            RequestOutput::Tell(ResultCode::Complete) => self.close(id, "complete"),
-            RequestOutput::Tell(_) => self.close(id, "unknown"),
-            RequestOutput::Cut => self.close(id, "broken"),
-            RequestOutput::AskScheduler
-            | RequestOutput::AskServer
-            | RequestOutput::Carry
-            | RequestOutput::Rest => {}
+        match request.attempts.relay(input) {
+            RequestOutput::Finish(ResultCode::Complete) => self.close(id, "complete"),
+            RequestOutput::Finish(_) => self.close(id, "unknown"),
+            RequestOutput::Abort => self.close(id, "broken"),
+            RequestOutput::Place
+            | RequestOutput::Send
+            | RequestOutput::Relay
+            | RequestOutput::Idle => {}
         }
     }
 
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -9,7 +9,9 @@
 use super::{AnswersMutant, AnswersRules, Fate};
 use config::parse_plan;
 use placement::mix;
-use router::{Access, DetachedForwarder, Placed, Placement, PlacementRequest, Rejection, run_id};
+use router::{
+    Access, DetachedForwarder, Placement, PlacementReply, PlacementRequest, Rejection, run_id,
+};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -146,7 +148,7 @@
     ask: &PlacementRequest,
     drawn: u64,
     epoch: &mut ConfigEpoch,
-) -> Placed {
+) -> PlacementReply {
     let mut config_state = lock(config_state);
     config_state.outdated = None;
     let left: Vec<&Server> = servers
@@ -159,7 +161,7 @@
             why: "all were tried".into(),
             retry_after: Milliseconds(50),
         };
-        return Placed {
+        return PlacementReply {
             outcome: Err(rejection),
             in_force: *epoch,
         };
@@ -189,7 +191,7 @@
         *epoch = ConfigEpoch(epoch.0 + 1);
         config_state.outdated = Some((ask.request.as_str().to_owned(), server.name.clone()));
     }
-    Placed {
+    PlacementReply {
         outcome: Ok(placing),
         in_force: *epoch,
     }
