--- a/crates/transport/tests/connection_pool.rs
+++ b/crates/transport/tests/connection_pool.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<PooledResponse, ConnectionError> {
+fn send_to(lines: &ConnectionPool, to: SocketAddr) -> Result<PooledResponse, ConnectionError> {
     lines.send_request(to, request(), &waits())
 }
 
@@ -49,8 +49,8 @@
 }
 
 /// Asks, reads whole and keeps; tells whether the connection had been used before.
-fn ask_and_keep(lines: &ConnectionPool, to: SocketAddr) -> bool {
-    let mut line = ask(lines, to).unwrap();
+fn send_and_release(lines: &ConnectionPool, to: SocketAddr) -> bool {
+    let mut line = send_to(lines, to).unwrap();
     assert_eq!(read_all(&mut line).unwrap(), "ok");
     let was_reused = line.is_reused();
     line.release();
@@ -62,7 +62,7 @@
 
 impl Served {
     /// Reads one request whole; nothing at the end of the connection.
-    fn hear(&mut self) -> Option<String> {
+    fn receive(&mut self) -> Option<String> {
         let mut text = Vec::new();
         while !text.ends_with(b"\r\n\r\n{}") {
             let mut byte = [0];
@@ -99,7 +99,7 @@
 /// A server that answers every request with this.
 fn answering(said: &'static str) -> SocketAddr {
     server(move |_, mut served| {
-        while served.hear().is_some() {
+        while served.receive().is_some() {
             served.say(said);
         }
     })
@@ -108,25 +108,25 @@
 #[test]
 fn a_connection_is_reused() {
     let (lines, to) = (ConnectionPool::new(BOUNDS), answering(OK));
-    assert!(!ask_and_keep(&lines, to));
-    assert!(ask_and_keep(&lines, to));
-    assert!(ask_and_keep(&lines, to));
+    assert!(!send_and_release(&lines, to));
+    assert!(send_and_release(&lines, to));
+    assert!(send_and_release(&lines, to));
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (1, 1));
     lines.close_idle(to);
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (0, 0));
-    assert!(!ask_and_keep(&lines, to));
+    assert!(!send_and_release(&lines, to));
 }
 
 #[test]
 fn a_request_leaves_as_it_is() {
-    let (sender, heard) = mpsc::channel();
+    let (sender, received) = mpsc::channel();
     let to = server(move |_, mut served| {
-        sender.send(served.hear().unwrap()).unwrap();
+        sender.send(served.receive().unwrap()).unwrap();
         served.say(OK);
     });
-    read_all(&mut ask(&ConnectionPool::new(BOUNDS), to).unwrap()).unwrap();
+    read_all(&mut send_to(&ConnectionPool::new(BOUNDS), to).unwrap()).unwrap();
     assert_eq!(
-        heard.recv().unwrap(),
+        received.recv().unwrap(),
         "POST /a?b HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\n{}"
     );
 }
@@ -138,29 +138,29 @@
         "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad",
     );
     let lines = ConnectionPool::new(BOUNDS);
-    assert!(!ask_and_keep(&lines, together));
+    assert!(!send_and_release(&lines, together));
     assert_eq!(lines.idle_count(together), 0);
-    assert!(!ask_and_keep(&lines, together));
+    assert!(!send_and_release(&lines, together));
     let (go, gone) = (mpsc::channel::<()>(), mpsc::channel::<()>());
     let (go, wait) = go;
     let wait = std::sync::Mutex::new(wait);
     let (said, is_said) = gone;
     let later = server(move |number, mut served| {
-        served.hear();
+        served.receive();
         served.say(OK);
         if number == 0 {
             wait.lock().unwrap().recv().unwrap();
             served.say("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nbad");
             said.send(()).unwrap();
         }
-        served.hear();
+        served.receive();
     });
-    assert!(!ask_and_keep(&lines, later));
+    assert!(!send_and_release(&lines, later));
     assert_eq!(lines.idle_count(later), 1);
     go.send(()).unwrap();
     is_said.recv().unwrap();
     assert!(
-        !ask_and_keep(&lines, later),
+        !send_and_release(&lines, later),
         "the unclean connection was taken"
     );
     assert_eq!(lines.open_count(later), 1);
@@ -170,18 +170,18 @@
 fn a_connection_that_its_server_closed_idle_is_not_taken() {
     let (closed, is_closed) = mpsc::channel();
     let to = server(move |number, mut served| {
-        served.hear();
+        served.receive();
         served.say(OK);
         if number > 0 {
-            served.hear();
+            served.receive();
         }
         drop(served);
         let _ = closed.send(());
     });
     let lines = ConnectionPool::new(BOUNDS);
-    assert!(!ask_and_keep(&lines, to));
+    assert!(!send_and_release(&lines, to));
     is_closed.recv().unwrap();
-    assert!(!ask_and_keep(&lines, to));
+    assert!(!send_and_release(&lines, to));
     lines.close_stale();
     assert_eq!(lines.idle_count(to), 1, "the clean one stays");
 }
@@ -189,14 +189,14 @@
 #[test]
 fn a_reset_before_the_answer_on_a_reused_connection_is_unknown() {
     let to = server(|_, mut served| {
-        served.hear();
+        served.receive();
         served.say(OK);
         // Read by half: closing then resets.
         let _ = served.0.read(&mut [0; 10]);
     });
     let lines = ConnectionPool::new(BOUNDS);
-    assert!(!ask_and_keep(&lines, to));
-    let outcome = ask(&lines, to);
+    assert!(!send_and_release(&lines, to));
+    let outcome = send_to(&lines, to);
     assert!(
         matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
         "{:?}",
@@ -212,7 +212,7 @@
         .local_addr()
         .unwrap();
     let lines = ConnectionPool::new(BOUNDS);
-    let outcome = ask(&lines, closed);
+    let outcome = send_to(&lines, closed);
     assert!(
         matches!(outcome, Err(ConnectionError::NotSent(_))),
         "{:?}",
@@ -223,7 +223,7 @@
 
 #[test]
 fn a_silent_server_is_late() {
-    let to = server(|_, mut served| while served.hear().is_some() {});
+    let to = server(|_, mut served| while served.receive().is_some() {});
     let lines = ConnectionPool::new(BOUNDS);
     let outcome = lines.send_request(
         to,
@@ -242,7 +242,7 @@
 
 #[test]
 fn a_request_is_withheld_before_connecting_and_before_the_first_byte() {
-    let (sender, heard) = mpsc::channel();
+    let (sender, received) = mpsc::channel();
     let to = server(move |_, mut served| {
         let mut all = Vec::new();
         let _ = served.0.read_to_end(&mut all);
@@ -250,13 +250,13 @@
     });
     let lines = ConnectionPool::new(BOUNDS);
     for times in [0, 1] {
-        let asked = Cell::new(0);
-        let may_leave = || asked.replace(asked.get() + 1) < times;
+        let checks = Cell::new(0);
+        let may_send = || checks.replace(checks.get() + 1) < times;
         let outcome = lines.send_request(
             to,
             request(),
             &SendOptions {
-                may_send: &may_leave,
+                may_send: &may_send,
                 ..waits()
             },
         );
@@ -266,18 +266,18 @@
             outcome.err()
         );
     }
-    assert_eq!(heard.recv().unwrap(), 0, "bytes left");
-    assert!(heard.try_recv().is_err(), "the first one connected");
+    assert_eq!(received.recv().unwrap(), 0, "bytes left");
+    assert!(received.try_recv().is_err(), "the first one connected");
     // A kept connection goes back unharmed.
     let to = answering(OK);
-    ask_and_keep(&lines, to);
-    let asked = Cell::new(0);
-    let may_leave = || asked.replace(asked.get() + 1) < 1;
+    send_and_release(&lines, to);
+    let checks = Cell::new(0);
+    let may_send = || checks.replace(checks.get() + 1) < 1;
     let outcome = lines.send_request(
         to,
         request(),
         &SendOptions {
-            may_send: &may_leave,
+            may_send: &may_send,
             ..waits()
         },
     );
@@ -286,7 +286,7 @@
         "{:?}",
         outcome.err()
     );
-    assert!(ask_and_keep(&lines, to));
+    assert!(send_and_release(&lines, to));
 }
 
 /// Waits until the clock has gone on by this much.
@@ -299,42 +299,42 @@
 
 /// Asks where the check right before the first byte grows old at once, and the check anew says this; tells
 /// the outcome and the bytes that came.
-fn ask_after_stall(may_still_leave: bool) -> (Result<Bytes, ConnectionError>, usize) {
-    let (sender, heard) = mpsc::channel();
+fn send_after_stall(may_still_leave: bool) -> (Result<Bytes, ConnectionError>, usize) {
+    let (sender, received) = mpsc::channel();
     let to = server(move |_, mut served| {
-        let mut all = served.hear().unwrap_or_default().into_bytes();
+        let mut all = served.receive().unwrap_or_default().into_bytes();
         let _ = served.0.write_all(OK.as_bytes());
         let _ = served.0.read_to_end(&mut all);
         sender.send(all.len()).unwrap();
     });
-    let asked = Cell::new(0);
+    let checks = Cell::new(0);
     // Before connecting, before the first byte, and anew; the process stands still in between.
-    let may_leave = || {
-        asked.set(asked.get() + 1);
-        if asked.get() == 2 {
+    let may_send = || {
+        checks.set(checks.get() + 1);
+        if checks.get() == 2 {
             pass(SEND_CHECK_VALIDITY);
         }
-        asked.get() < 3 || may_still_leave
+        checks.get() < 3 || may_still_leave
     };
     let lines = ConnectionPool::new(BOUNDS);
     let outcome = lines.send_request(
         to,
         request(),
         &SendOptions {
-            may_send: &may_leave,
+            may_send: &may_send,
             ..waits()
         },
     );
     let outcome = outcome.and_then(|mut line| read_all(&mut line));
-    assert!(asked.get() >= 3, "no check anew");
-    (outcome, heard.recv().unwrap())
+    assert!(checks.get() >= 3, "no check anew");
+    (outcome, received.recv().unwrap())
 }
 
 #[test]
 fn a_check_that_has_grown_old_before_the_first_byte_is_made_again() {
     // As when the process stands still between the check and the write.
-    assert_eq!(ask_after_stall(false), (Err(ConnectionError::Withheld), 0));
-    let (outcome, bytes) = ask_after_stall(true);
+    assert_eq!(send_after_stall(false), (Err(ConnectionError::Withheld), 0));
+    let (outcome, bytes) = send_after_stall(true);
     assert_eq!(outcome, Ok("ok".into()));
     assert!(bytes > 0);
 }
@@ -343,7 +343,7 @@
 fn a_server_that_speaks_or_closes_before_it_is_asked_gets_nothing() {
     for said in ["HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n", ""] {
         let (ready, is_ready) = mpsc::channel();
-        let (sender, heard) = mpsc::channel();
+        let (sender, received) = mpsc::channel();
         let to = server(move |_, mut served| {
             served.say(said);
             if said.is_empty() {
@@ -354,10 +354,10 @@
             let _ = served.0.read_to_end(&mut all);
             sender.send(all.len()).unwrap();
         });
-        let asked = Cell::new(0);
-        let may_leave = || {
-            asked.set(asked.get() + 1);
-            if asked.get() == 2 {
+        let checks = Cell::new(0);
+        let may_send = || {
+            checks.set(checks.get() + 1);
+            if checks.get() == 2 {
                 is_ready.recv().unwrap();
             }
             true
@@ -366,7 +366,7 @@
             to,
             request(),
             &SendOptions {
-                may_send: &may_leave,
+                may_send: &may_send,
                 ..waits()
             },
         );
@@ -375,7 +375,7 @@
             "{said:?}: {:?}",
             outcome.err()
         );
-        assert_eq!(heard.recv().unwrap(), 0, "{said:?}: bytes left");
+        assert_eq!(received.recv().unwrap(), 0, "{said:?}: bytes left");
     }
 }
 
@@ -399,11 +399,11 @@
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10000000000000002\r\nok\r\n0\r\n\r\n",
     ] {
         let to = server(move |_, mut served| {
-            served.hear();
+            served.receive();
             served.say(said);
         });
         let lines = ConnectionPool::new(BOUNDS);
-        match ask(&lines, to) {
+        match send_to(&lines, to) {
             Ok(mut line) => {
                 let outcome = read_all(&mut line);
                 assert!(
@@ -427,13 +427,13 @@
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
     );
     let lines = ConnectionPool::new(BOUNDS);
-    let mut line = ask(&lines, to).unwrap();
+    let mut line = send_to(&lines, to).unwrap();
     assert_eq!(
         (line.head().status.as_u16(), read_all(&mut line).unwrap()),
         (200, "ok".into())
     );
     line.release();
-    assert!(ask_and_keep(&lines, to));
+    assert!(send_and_release(&lines, to));
 }
 
 #[test]
@@ -458,12 +458,12 @@
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (0, 0));
     drop(done);
     let (lines, to) = (ConnectionPool::new(BOUNDS), answering(OK));
-    let mut line = ask(&lines, to).unwrap();
+    let mut line = send_to(&lines, to).unwrap();
     assert!(line.is_sole_response(), "the first one");
     read_all(&mut line).unwrap();
     line.release();
     assert!(
-        !ask(&lines, to).unwrap().is_sole_response(),
+        !send_to(&lines, to).unwrap().is_sole_response(),
         "the second one"
     );
 }
@@ -471,11 +471,11 @@
 #[test]
 fn a_server_that_closes_its_side_before_the_answer_may_have_run_it() {
     let to = server(|_, mut served| {
-        served.hear();
+        served.receive();
         served.0.shutdown(std::net::Shutdown::Write).unwrap();
-        served.hear();
+        served.receive();
     });
-    let outcome = ask(&ConnectionPool::new(BOUNDS), to);
+    let outcome = send_to(&ConnectionPool::new(BOUNDS), to);
     assert!(
         matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
         "{:?}",
@@ -489,16 +489,16 @@
     for is_reused in [false, true] {
         let to = server(move |_, mut served| {
             if is_reused {
-                served.hear();
+                served.receive();
                 served.say(OK);
             }
             let _ = served.0.read(&mut [0; 1]);
         });
         let lines = ConnectionPool::new(BOUNDS);
         if is_reused {
-            ask_and_keep(&lines, to);
+            send_and_release(&lines, to);
         }
-        let outcome = ask(&lines, to);
+        let outcome = send_to(&lines, to);
         assert!(
             matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
             "reused {is_reused}: {:?}",
@@ -545,15 +545,15 @@
                 (stream, end, client)
             };
             stream.write_all(pipelined.as_bytes()).unwrap();
-            let (sender, heard) = mpsc::channel();
+            let (sender, received) = mpsc::channel();
             let to = server(move |_, mut served| {
-                served.hear();
+                served.receive();
                 served.say(said);
                 sender.send(()).unwrap();
-                served.hear();
+                served.receive();
             });
             std::thread::spawn(move || {
-                heard.recv().unwrap();
+                received.recv().unwrap();
                 drop(stream);
             });
             let lines = ConnectionPool::new(BOUNDS);
@@ -592,18 +592,18 @@
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nshort\r\nno chunk\r\n",
     ] {
         let to = server(move |_, mut served| {
-            served.hear();
+            served.receive();
             served.say(said);
         });
         let lines = ConnectionPool::new(BOUNDS);
-        let mut line = ask(&lines, to).unwrap();
+        let mut line = send_to(&lines, to).unwrap();
         let outcome = read_all(&mut line);
         assert!(
             matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
             "{said:?}: {outcome:?}"
         );
         drop(line);
-        let mut line = ask(&lines, to).unwrap();
+        let mut line = send_to(&lines, to).unwrap();
         let torn = std::iter::repeat_with(|| line.read_chunk(PATIENCE.duration(), None))
             .find(|p| !matches!(p, BodyRead::Data(_)));
         assert!(
@@ -618,7 +618,7 @@
 #[test]
 fn what_is_not_http_is_unknown() {
     let to = answering("certainly not\r\n\r\n");
-    let outcome = ask(&ConnectionPool::new(BOUNDS), to);
+    let outcome = send_to(&ConnectionPool::new(BOUNDS), to);
     assert!(
         matches!(outcome, Err(ConnectionError::OutcomeUnknown(_))),
         "{:?}",
@@ -649,7 +649,7 @@
         ),
     ] {
         let to = answering(said);
-        ask_and_keep(&lines, to);
+        send_and_release(&lines, to);
         assert_eq!(lines.idle_count(to) == 1, is_kept, "{said}");
     }
     // One second means half of one; a short time of ours ends as well.
@@ -666,14 +666,14 @@
         (OK, Milliseconds(50), short),
     ] {
         let (lines, to) = (ConnectionPool::new(bounds), answering(said));
-        ask_and_keep(&lines, to);
+        send_and_release(&lines, to);
         let deadline = Clock::now() + span;
         while Clock::now() <= deadline {
             std::thread::yield_now();
         }
         lines.close_stale();
         assert_eq!(lines.idle_count(to), 0, "{said}");
-        assert!(!ask_and_keep(&lines, to));
+        assert!(!send_and_release(&lines, to));
     }
 }
 
@@ -683,7 +683,7 @@
         ConnectionPool::new(BOUNDS),
         answering("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
     );
-    let mut line = ask(&lines, to).unwrap();
+    let mut line = send_to(&lines, to).unwrap();
     assert_eq!(
         line.read_chunk(PATIENCE.duration(), None),
         BodyRead::Data("half".into())
@@ -705,22 +705,22 @@
         }),
         answering(OK),
     );
-    let (first, second) = (ask(&lines, to).unwrap(), ask(&lines, to).unwrap());
+    let (first, second) = (send_to(&lines, to).unwrap(), send_to(&lines, to).unwrap());
     assert!(matches!(
-        ask(&lines, to),
+        send_to(&lines, to),
         Err(ConnectionError::PoolExhausted)
     ));
     lines.set_max_per_address(to, 3);
-    let third = ask(&lines, to).unwrap();
+    let third = send_to(&lines, to).unwrap();
     assert!(matches!(
-        ask(&lines, to),
+        send_to(&lines, to),
         Err(ConnectionError::PoolExhausted)
     ));
     drop((first, second));
     assert_eq!(lines.open_count(to), 1);
     drop(third);
-    assert!(!ask_and_keep(&lines, to));
-    assert!(ask_and_keep(&lines, to));
+    assert!(!send_and_release(&lines, to));
+    assert!(send_and_release(&lines, to));
 }
 
 #[test]
@@ -731,14 +731,14 @@
             ..BOUNDS
         }),
         server(|number, mut served| {
-            while served.hear().is_some() {
+            while served.receive().is_some() {
                 served.say(&format!(
                     "HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n{number}"
                 ));
             }
         }),
     );
-    let mut open: Vec<_> = (0..3).map(|_| ask(&lines, to).unwrap()).collect();
+    let mut open: Vec<_> = (0..3).map(|_| send_to(&lines, to).unwrap()).collect();
     let numbers: Vec<_> = open
         .iter_mut()
         .map(|line| read_all(line).unwrap())
@@ -746,35 +746,35 @@
     open.into_iter().for_each(PooledResponse::release);
     assert_eq!((lines.idle_count(to), lines.open_count(to)), (2, 2));
     for number in numbers[1..].iter().rev() {
-        let mut line = ask(&lines, to).unwrap();
+        let mut line = send_to(&lines, to).unwrap();
         assert_eq!(read_all(&mut line).unwrap(), number);
     }
-    assert!(!ask(&lines, to).unwrap().is_reused());
+    assert!(!send_to(&lines, to).unwrap().is_reused());
 }
 
 #[test]
 fn pieces_come_as_they_are_sent() {
-    let (next, wanted) = mpsc::channel::<()>();
-    let wanted = std::sync::Mutex::new(wanted);
+    let (next, expected) = mpsc::channel::<()>();
+    let expected = std::sync::Mutex::new(expected);
     let to = server(move |_, mut served| {
-        served.hear();
+        served.receive();
         served.say("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         for text in ["3\r\none\r\n", "3\r\ntwo\r\n", "0\r\n\r\n"] {
-            wanted.lock().unwrap().recv().unwrap();
+            expected.lock().unwrap().recv().unwrap();
             served.say(text);
         }
-        served.hear();
+        served.receive();
     });
     let lines = ConnectionPool::new(BOUNDS);
-    let mut line = ask(&lines, to).unwrap();
+    let mut line = send_to(&lines, to).unwrap();
     assert_eq!(line.read_chunk(Duration::ZERO, None), BodyRead::TimedOut);
-    for wanted in [
+    for expected in [
         BodyRead::Data("one".into()),
         BodyRead::Data("two".into()),
         BodyRead::End,
     ] {
         next.send(()).unwrap();
-        assert_eq!(line.read_chunk(PATIENCE.duration(), None), wanted);
+        assert_eq!(line.read_chunk(PATIENCE.duration(), None), expected);
     }
     line.release();
     assert_eq!(lines.idle_count(to), 1);
@@ -796,7 +796,7 @@
             body.len()
         ));
         served.0.write_all(&body).unwrap();
-        served.hear();
+        served.receive();
     });
     let body = Bytes::from(
         (0..8 << 20)
--- a/crates/transport/tests/golden.rs
+++ b/crates/transport/tests/golden.rs
@@ -14,7 +14,7 @@
 const GUARD: Duration = Duration::from_secs(30);
 
 /// A gate that answers the path `/N` with the result code of this number, and `/N/late` with a later time to come back.
-fn open_gate() -> SocketAddr {
+fn open_server() -> SocketAddr {
     let any = "127.0.0.1:0".parse().expect("an address");
     let http_server = HttpServer::open(any, HttpServerBounds::default()).expect("a gate");
     let address = http_server.address().0;
@@ -54,7 +54,7 @@
 
 #[test]
 fn each_result_code_has_its_golden_answer() {
-    let address = open_gate();
+    let address = open_server();
     let paths = ResultCode::ALL.iter().flat_map(|code| {
         let path = format!("/{}", code.number());
         [path.clone(), format!("{path}/late")]
--- a/crates/transport/tests/http_server_keep_alive.rs
+++ b/crates/transport/tests/http_server_keep_alive.rs
@@ -99,8 +99,8 @@
     let mut client = Client::connect(address);
     for body in ["one", "two", "three"] {
         client.post(body);
-        let (head, heard) = client.answer();
-        assert_eq!(heard, body);
+        let (head, received) = client.answer();
+        assert_eq!(received, body);
         assert!(
             !head.contains("connection: close") && !head.contains("date:"),
             "{head}"
@@ -230,7 +230,7 @@
 }
 
 /// A gate that answers each request with a stream fed by the sender that it gives out.
-fn fed_gate(
+fn open_fed_server(
     headers: HeaderMap,
 ) -> (
     Address,
@@ -252,7 +252,7 @@
 
 #[test]
 fn pieces_pass_at_once_and_the_connection_is_kept_after_the_end() {
-    let (address, _closer, fed) = fed_gate(HeaderMap::new());
+    let (address, _closer, fed) = open_fed_server(HeaderMap::new());
     let mut client = Client::connect(address);
     for _ in 0..2 {
         client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
@@ -282,7 +282,7 @@
     for length in [None, Some("10")] {
         let mut headers = HeaderMap::new();
         length.map(|length| headers.insert("content-length", HeaderValue::from_static(length)));
-        let (address, _closer, fed) = fed_gate(headers);
+        let (address, _closer, fed) = open_fed_server(headers);
         let mut client = Client::connect(address);
         client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\n");
         let feed = fed.recv_timeout(PATIENCE).unwrap();
@@ -303,7 +303,7 @@
         );
     }
     // An end before the announced length is a cut as well.
-    let (address, _closer, fed) = fed_gate(HeaderMap::from_iter([(
+    let (address, _closer, fed) = open_fed_server(HeaderMap::from_iter([(
         "content-length".parse().unwrap(),
         HeaderValue::from_static("10"),
     )]));
@@ -318,7 +318,7 @@
 
 #[test]
 fn a_cut_resets_where_the_close_would_end_the_body() {
-    let (address, _closer, fed) = fed_gate(HeaderMap::new());
+    let (address, _closer, fed) = open_fed_server(HeaderMap::new());
     let mut client = Client::connect(address);
     client.say("GET / HTTP/1.0\r\nhost: a\r\n\r\n");
     let feed = fed.recv_timeout(PATIENCE).unwrap();
@@ -333,7 +333,7 @@
 
 #[test]
 fn more_bytes_than_an_answer_told_are_no_part_of_it_and_end_its_connection() {
-    let (address, _closer, fed) = fed_gate(HeaderMap::from_iter([(
+    let (address, _closer, fed) = open_fed_server(HeaderMap::from_iter([(
         "content-length".parse().unwrap(),
         HeaderValue::from_static("4"),
     )]));
@@ -349,7 +349,7 @@
 
 #[test]
 fn nothing_is_handed_on_behind_an_answer_that_was_cut() {
-    let (address, _closer, fed) = fed_gate(HeaderMap::new());
+    let (address, _closer, fed) = open_fed_server(HeaderMap::new());
     let mut client = Client::connect(address);
     client.say("GET / HTTP/1.1\r\nhost: a\r\n\r\nGET /next HTTP/1.1\r\nhost: a\r\n\r\n");
     let feed = fed.recv_timeout(PATIENCE).unwrap();
@@ -454,7 +454,7 @@
 fn a_last_answer_comes_whole_however_late_bytes_come_behind_its_request() {
     const LENGTH: usize = 256 << 10;
     for spins in (0..60).map(|round| round * 400) {
-        let (address, _closer, fed) = fed_gate(HeaderMap::new());
+        let (address, _closer, fed) = open_fed_server(HeaderMap::new());
         let mut client = Client::connect(address);
         client.say("GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n");
         let feed = fed.recv_timeout(PATIENCE).unwrap();
--- a/crates/transport/tests/library_traps.rs
+++ b/crates/transport/tests/library_traps.rs
@@ -28,7 +28,7 @@
 }
 
 /// A gate that streams what is fed, and tells when a source is dropped.
-fn fed_gate() -> (
+fn open_fed_server() -> (
     Address,
     mpsc::Sender<Option<&'static str>>,
     mpsc::Receiver<()>,
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_gate_gives_each_piece_when_it_is_there() {
-    let (address, feed, _dropped) = fed_gate();
+    let (address, feed, _dropped) = open_fed_server();
     feed.send(Some("one\n")).unwrap();
     let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     let mut lines = BufReader::new(response).lines();
@@ -77,7 +77,7 @@
 
 #[test]
 fn many_pieces_pass_whole() {
-    let (address, feed, _dropped) = fed_gate();
+    let (address, feed, _dropped) = open_fed_server();
     (0..5000).for_each(|_| {
         feed.send(Some("a piece of thirty-two bytes....\n"))
             .unwrap()
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_cut_stream_has_no_clean_end() {
-    let (address, feed, _dropped) = fed_gate();
+    let (address, feed, _dropped) = open_fed_server();
     feed.send(Some("one\n")).unwrap();
     feed.send(Some("cut")).unwrap();
     let mut response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_client_that_goes_away_is_noticed_between_pieces() {
-    let (address, feed, dropped) = fed_gate();
+    let (address, feed, dropped) = open_fed_server();
     feed.send(Some("one\n")).unwrap();
     let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
     drop(response);
@@ -345,8 +345,8 @@
         kept.len()
     });
     for _ in 0..2 {
-        let heard = http_get(&url, PATIENCE, PATIENCE).unwrap();
-        assert_eq!(read_all(heard, 100).unwrap(), b"ok");
+        let received = http_get(&url, PATIENCE, PATIENCE).unwrap();
+        assert_eq!(read_all(received, 100).unwrap(), b"ok");
     }
     // Should this fail one day, attohttpc pools, and docs/style.md is to be looked at again.
     assert_eq!(counted.join().unwrap(), 2);
--- a/crates/transport/tests/upstream_fuzz.rs
+++ b/crates/transport/tests/upstream_fuzz.rs
@@ -67,10 +67,10 @@
             .filter_map(|line| line.split_once(':'))
             .map(|(name, value)| (name.to_lowercase(), value.trim().to_lowercase()))
             .collect();
-        let all = |wanted: &str| -> Vec<&String> {
+        let all = |expected: &str| -> Vec<&String> {
             fields
                 .iter()
-                .filter(|(name, _)| name == wanted)
+                .filter(|(name, _)| name == expected)
                 .map(|(_, value)| value)
                 .collect()
         };
@@ -211,7 +211,10 @@
         })
 }
 
-fn ask(lines: &ConnectionPool, to: SocketAddr) -> Result<(PooledResponse, Bytes), ConnectionError> {
+fn send_to(
+    lines: &ConnectionPool,
+    to: SocketAddr,
+) -> Result<(PooledResponse, Bytes), ConnectionError> {
     let request = http::Request::post("/")
         .header("host", "a")
         .body(Bytes::from_static(b"{}"))
@@ -248,7 +251,7 @@
             idle_timeout: Milliseconds::seconds(30),
         });
         let to = server(said.clone());
-        match ask(&lines, to) {
+        match send_to(&lines, to) {
             Ok((line, body)) => {
                 whole_counter.set(whole_counter.get() + 1);
                 prop_assert_eq!(Some(body.to_vec()), strict_body(&said), "taken as whole");
@@ -260,7 +263,7 @@
                 fault
             ),
         }
-        match ask(&lines, to) {
+        match send_to(&lines, to) {
             Ok((line, body)) => {
                 prop_assert_eq!(&body[..], b"second");
                 prop_assert!(!line.is_reused());
