--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -1,8 +1,9 @@
-//! Operators' interface: their commands, the HTTP interface that serves them, and the command line.
+//! Operators: their commands, the HTTP interface and the dialects that carry them, and the command line.
 
 pub(crate) mod command_line;
 pub(crate) mod control_client;
+pub(crate) mod handler;
 pub(crate) mod http;
-mod pending_requests;
+pub(crate) mod pending_requests;
 mod queries;
 pub(crate) mod task;
--- a/crates/controller/src/admin/command_line.rs
+++ b/crates/controller/src/admin/command_line.rs
@@ -1,6 +1,8 @@
+//! The operators' command line: each subcommand is one call to the HTTP interface of a controller.
+
 use clap::Subcommand;
 use std::io::Write;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use transport::{http_request, read_all};
 use types::{Address, Milliseconds};
 
@@ -87,94 +89,164 @@
     Believes,
 }
 
+/// The time-out of a connection to a controller.
+const CONNECT_TIMEOUT: Milliseconds = Milliseconds(1000);
+/// The time-out of a call.
+const CALL_TIMEOUT: Milliseconds = Milliseconds(15_000);
+/// The largest response that is read.
+const MAX_RESPONSE_BYTES: usize = 128 << 20;
+
+/// The exit code of a call whose file can't be read.
+const EXIT_BAD_CALL: u8 = 2;
+/// The exit code of a call that got no response.
+const EXIT_NO_RESPONSE: u8 = 3;
+
+/// One call to the HTTP interface.
+struct HttpCall {
+    method: &'static str,
+    path: String,
+    body: Option<Vec<u8>>,
+}
+
+impl HttpCall {
+    fn get(path: impl Into<String>) -> Self {
+        HttpCall {
+            method: "GET",
+            path: path.into(),
+            body: None,
+        }
+    }
+
+    fn with_body(method: &'static str, path: String, body: Vec<u8>) -> Self {
+        HttpCall {
+            method,
+            path,
+            body: Some(body),
+        }
+    }
+}
+
+/// A reason for which a subcommand got no response.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    /// A file of the command line can't be read.
+    #[error("{}: {source}", path.display())]
+    ReadFile {
+        path: PathBuf,
+        source: std::io::Error,
+    },
+    /// The controller can't be reached, or the connection failed before the response was complete.
+    #[error("{address} gave no answer: {reason}")]
+    NoResponse { address: Address, reason: String },
+}
+
+impl CallError {
+    fn exit_code(&self) -> u8 {
+        match self {
+            CallError::ReadFile { .. } => EXIT_BAD_CALL,
+            CallError::NoResponse { .. } => EXIT_NO_RESPONSE,
+        }
+    }
+}
+
 impl AdminCommand {
-    /// Does it; gives the exit code: 0 done, 1 refused or not known, 3 no answer.
+    /// Makes the call, prints the response's body to standard output, and returns the exit code: 0 done, 1 rejected or
+    /// not known, 2 a file can't be read, 3 no response.
     pub fn run(&self) -> u8 {
-        let base = format!("http://{}", self.at);
-        let body_of = |file: &PathBuf| {
-            std::fs::read(file).map_err(|fault| format!("{}: {fault}", file.display()))
+        match self.call() {
+            Ok((status, body)) => {
+                print_body(&body);
+                u8::from(status != 200)
+            }
+            Err(error) => {
+                eprintln!("controller: {error}");
+                error.exit_code()
+            }
+        }
+    }
+
+    fn call(&self) -> Result<(u16, Vec<u8>), CallError> {
+        let call = self.task.http_call()?;
+        let url = format!("http://{}{}", self.at, call.path);
+        let no_response = |reason: String| CallError::NoResponse {
+            address: self.at,
+            reason,
         };
-        let (method, path, body) = match &self.task {
+        let response = http_request(
+            call.method,
+            &url,
+            call.body.unwrap_or_default(),
+            CONNECT_TIMEOUT,
+            CALL_TIMEOUT,
+        )
+        .map_err(|error| no_response(error.to_string()))?;
+        let status = response.status();
+        let body = read_all(response, MAX_RESPONSE_BYTES)
+            .map_err(|error| no_response(error.to_string()))?;
+        Ok((status, body))
+    }
+}
+
+impl AdminSubcommand {
+    fn http_call(&self) -> Result<HttpCall, CallError> {
+        let call = match self {
             AdminSubcommand::Put {
                 file,
                 id,
                 builds_on,
-            } => (
-                "PUT",
-                format!("/v1/plan?id={id}&builds_on={builds_on}"),
-                Some(body_of(file)),
-            ),
+            } => send_file("PUT", file, id, *builds_on)?,
             AdminSubcommand::Change {
                 file,
                 id,
                 builds_on,
-            } => (
-                "PATCH",
-                format!("/v1/plan?id={id}&builds_on={builds_on}"),
-                Some(body_of(file)),
-            ),
-            AdminSubcommand::Show { epoch: None } => ("GET", "/v1/plan".into(), None),
+            } => send_file("PATCH", file, id, *builds_on)?,
+            AdminSubcommand::Show { epoch: None } => HttpCall::get("/v1/plan"),
             AdminSubcommand::Show { epoch: Some(epoch) } => {
-                ("GET", format!("/v1/plans/{epoch}"), None)
+                HttpCall::get(format!("/v1/plans/{epoch}"))
+            }
+            AdminSubcommand::Tenants => HttpCall::get("/v1/tenants"),
+            AdminSubcommand::Latest => HttpCall::get("/v1/latest"),
+            AdminSubcommand::Fate { id } => HttpCall::get(format!("/v1/fates/{id}")),
+            AdminSubcommand::Withdraw { zone, id } => {
+                HttpCall::with_body("POST", format!("/v1/zones/{zone}/withdraw?id={id}"), vec![])
+            }
+            AdminSubcommand::Restore { zone, id } => {
+                HttpCall::with_body("POST", format!("/v1/zones/{zone}/restore?id={id}"), vec![])
             }
-            AdminSubcommand::Tenants => ("GET", "/v1/tenants".into(), None),
-            AdminSubcommand::Latest => ("GET", "/v1/latest".into(), None),
-            AdminSubcommand::Fate { id } => ("GET", format!("/v1/fates/{id}"), None),
-            AdminSubcommand::Withdraw { zone, id } => (
-                "POST",
-                format!("/v1/zones/{zone}/withdraw?id={id}"),
-                Some(Ok(vec![])),
-            ),
-            AdminSubcommand::Restore { zone, id } => (
-                "POST",
-                format!("/v1/zones/{zone}/restore?id={id}"),
-                Some(Ok(vec![])),
-            ),
             AdminSubcommand::Forget { members, id } => {
-                let body = serde_json::json!({"members": members})
-                    .to_string()
-                    .into_bytes();
-                (
+                let body = serde_json::json!({"members": members}).to_string();
+                HttpCall::with_body(
                     "POST",
                     format!("/v1/members/forget?id={id}"),
-                    Some(Ok(body)),
+                    body.into_bytes(),
                 )
             }
-            AdminSubcommand::Believes => ("GET", "/v1/believes".into(), None),
-        };
-        let body = match body.transpose() {
-            Ok(body) => body.unwrap_or_default(),
-            Err(why) => {
-                eprintln!("controller: {why}");
-                return 2;
-            }
+            AdminSubcommand::Believes => HttpCall::get("/v1/believes"),
         };
-        let outcome = http_request(
-            method,
-            &format!("{base}{path}"),
-            body,
-            Milliseconds(1000),
-            Milliseconds(15_000),
-        );
-        let (status, body) = match outcome
-            .map_err(|fault| fault.to_string())
-            .and_then(|response| {
-                let status = response.status();
-                read_all(response, 128 << 20)
-                    .map(|body| (status, body))
-                    .map_err(|fault| fault.to_string())
-            }) {
-            Ok(answer) => answer,
-            Err(why) => {
-                eprintln!("controller: {} gave no answer: {why}", self.at);
-                return 3;
-            }
-        };
-        let mut out = std::io::stdout().lock();
-        let _ = out.write_all(&body);
-        if !body.ends_with(b"\n") {
-            let _ = out.write_all(b"\n");
-        }
-        u8::from(status != 200)
+        Ok(call)
+    }
+}
+
+/// A call that sends a plan, or a change of one, from a file.
+fn send_file(
+    method: &'static str,
+    file: &Path,
+    id: &str,
+    builds_on: u64,
+) -> Result<HttpCall, CallError> {
+    let body = std::fs::read(file).map_err(|source| CallError::ReadFile {
+        path: file.to_owned(),
+        source,
+    })?;
+    let path = format!("/v1/plan?id={id}&builds_on={builds_on}");
+    Ok(HttpCall::with_body(method, path, body))
+}
+
+/// Prints a body, with a line's end if it has none. An error is ignored: whoever reads the output may have gone.
+fn print_body(body: &[u8]) {
+    let mut out = std::io::stdout().lock();
+    let _ = out.write_all(body);
+    if !body.ends_with(b"\n") {
+        let _ = out.write_all(b"\n");
     }
 }
--- a/crates/controller/src/admin/control_client.rs
+++ b/crates/controller/src/admin/control_client.rs
@@ -1,33 +1,36 @@
+//! The way of an operator's request from its connection thread to the control thread and back.
+
 use crate::controller::{ControllerInput, OperatorRequest};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use transport::{ClientConnection, Response};
 use types::{Clock, Milliseconds, MonotonicInstant, ResultCode};
 
-/// Bounds the operators' requests that wait in this process.
-const OPERATORS: usize = 64;
+/// Operators' requests that may be in flight in this process; further ones are rejected at once.
+const MAX_IN_FLIGHT: usize = 64;
 
-/// An operator of the product's own interface waits at least this long.
+/// The shortest time-out of a request on the product's own interface.
 pub(crate) const OPERATOR_PATIENCE: Milliseconds = Milliseconds::seconds(12);
-/// How often it's looked whether an operator that waits is still there.
-const LOOK_EVERY: Milliseconds = Milliseconds(100);
+/// The time between two checks whether an operator's connection is still open.
+const CONNECTION_CHECK_PERIOD: Milliseconds = Milliseconds(100);
 
-/// One call of an operator: until when it is worth an answer, and to whom.
+/// One call of an operator: its deadline, and the connection that its answer goes to.
 pub struct Attempt {
     deadline: MonotonicInstant,
     client: Option<ClientConnection>,
 }
 
 impl Attempt {
-    /// One that has just come in on this connection, if it's on one, and lasts so long.
-    pub fn new(patience: Milliseconds, client: Option<ClientConnection>) -> Self {
+    /// An attempt that starts now and times out after `timeout`, or when the connection `client` closes.
+    pub fn new(timeout: Milliseconds, client: Option<ClientConnection>) -> Self {
         Attempt {
-            deadline: Clock::now() + patience,
+            deadline: Clock::now() + timeout,
             client,
         }
     }
-    /// Whether nobody waits for its answer any more.
+
+    /// Whether the deadline has passed or the connection is closed.
     fn is_over(&self) -> bool {
         Clock::now() >= self.deadline
             || self
@@ -37,84 +40,109 @@
     }
 }
 
-/// Status and body of the control thread's word.
-pub type Told = (u16, Vec<u8>);
+/// HTTP status and body of the control thread's response.
+pub type ControlResponse = (u16, Vec<u8>);
 
-type Waiting = HashMap<u64, flume::Sender<Told>>;
+type ResponseSenders = HashMap<u64, flume::Sender<ControlResponse>>;
 
-/// Who waits for the control thread's word on what, by number.
+/// Requests in flight between connection threads and the control thread, by number.
 #[derive(Clone, Default)]
-pub(crate) struct Responses(Arc<Mutex<Waiting>>);
+pub(crate) struct PendingResponses(Arc<Mutex<ResponseSenders>>);
 
-impl Responses {
-    fn waiting(&self) -> std::sync::MutexGuard<'_, Waiting> {
+impl PendingResponses {
+    fn lock(&self) -> MutexGuard<'_, ResponseSenders> {
         self.0.lock().expect("no thread panics with it")
     }
-    /// Hands a response to whoever waits for it.
-    pub(crate) fn give(&self, number: u64, status: u16, body: Vec<u8>) {
-        let waiting = self.waiting().remove(&number);
-        if let Some(waiting) = waiting {
-            let _ = waiting.send((status, body));
+
+    /// Hands a response to the connection thread that waits for it, if it still does.
+    pub(crate) fn complete(&self, number: u64, status: u16, body: Vec<u8>) {
+        let sender = self.lock().remove(&number);
+        if let Some(sender) = sender {
+            let _ = sender.send((status, body));
         }
     }
+
+    /// Registers a request; `None` if too many are in flight.
+    fn register(&self, number: u64) -> Option<flume::Receiver<ControlResponse>> {
+        let (sender, receiver) = flume::bounded(1);
+        let mut pending = self.lock();
+        if pending.len() >= MAX_IN_FLIGHT {
+            return None;
+        }
+        pending.insert(number, sender);
+        Some(receiver)
+    }
+
+    fn remove(&self, number: u64) {
+        self.lock().remove(&number);
+    }
 }
 
-/// From a connection's thread to the control thread and back.
-pub struct ReplicationTransport {
-    responses: Responses,
-    counter: AtomicU64,
-    tell: Box<dyn Fn(ControllerInput) + Send + Sync>,
+/// A connection thread's client of the control thread.
+pub struct ControlClient {
+    pending: PendingResponses,
+    last_number: AtomicU64,
+    send_input: Box<dyn Fn(ControllerInput) + Send + Sync>,
 }
 
-impl ReplicationTransport {
+impl ControlClient {
+    /// A client whose requests go out by `send_input` and whose responses come back by `pending`.
     pub(crate) fn new(
-        responses: Responses,
-        tell: impl Fn(ControllerInput) + Send + Sync + 'static,
+        pending: PendingResponses,
+        send_input: impl Fn(ControllerInput) + Send + Sync + 'static,
     ) -> Self {
-        ReplicationTransport {
-            responses,
-            counter: AtomicU64::new(1),
-            tell: Box::new(tell),
+        ControlClient {
+            pending,
+            last_number: AtomicU64::new(1),
+            send_input: Box::new(send_input),
         }
     }
-    /// Asks, and waits for status and body while the attempt lasts. What it leaves unfinished is given up.
-    pub fn ask(&self, ask: OperatorRequest, attempt: &Attempt) -> Result<Told, Box<Response>> {
+
+    /// Sends a request and blocks until its response, or until the attempt is over. A request without a response is
+    /// abandoned on the control thread.
+    ///
+    /// # Errors
+    ///
+    /// [`ResultCode::CoreNotReady`] if the attempt was over before or too many requests are in flight: nothing was
+    /// sent. [`ResultCode::FateUnknown`] if no response came in time.
+    pub fn request(
+        &self,
+        request: OperatorRequest,
+        attempt: &Attempt,
+    ) -> Result<ControlResponse, Box<Response>> {
         if attempt.is_over() {
-            return Err(Box::new(Response::result(
-                ResultCode::CoreNotReady,
-                "nobody waits for it any more",
-            )));
-        }
-        let number = self.counter.fetch_add(1, Ordering::Relaxed);
-        let (response, inbox) = flume::bounded(1);
-        {
-            let mut waiting = self.responses.waiting();
-            if waiting.len() >= OPERATORS {
-                let why = "too many operators' requests are waiting";
-                return Err(Box::new(Response::result(ResultCode::CoreNotReady, why)));
-            }
-            waiting.insert(number, response);
+            return Err(not_sent("nobody waits for it any more"));
         }
-        (self.tell)(ControllerInput::Operator { number, ask });
-        let told = Self::wait(&inbox, attempt);
-        self.responses.waiting().remove(&number);
-        told.ok_or_else(|| {
-            (self.tell)(ControllerInput::Abandoned { number });
-            Box::new(Response::result(
-                ResultCode::FateUnknown,
-                "no answer in time",
-            ))
+        let number = self.last_number.fetch_add(1, Ordering::Relaxed);
+        let Some(receiver) = self.pending.register(number) else {
+            return Err(not_sent("too many operators' requests are waiting"));
+        };
+        (self.send_input)(ControllerInput::Operator { number, request });
+        let response = Self::wait(&receiver, attempt);
+        self.pending.remove(number);
+        response.ok_or_else(|| {
+            (self.send_input)(ControllerInput::Abandoned { number });
+            let reason = "no answer in time";
+            Box::new(Response::result(ResultCode::FateUnknown, reason))
         })
     }
 
-    fn wait(inbox: &flume::Receiver<Told>, attempt: &Attempt) -> Option<Told> {
+    fn wait(
+        receiver: &flume::Receiver<ControlResponse>,
+        attempt: &Attempt,
+    ) -> Option<ControlResponse> {
         loop {
-            let span = Clock::now().until(attempt.deadline).min(LOOK_EVERY);
-            match inbox.recv_timeout(span.duration()) {
-                Ok(told) => return Some(told),
+            let remaining = Clock::now().until(attempt.deadline);
+            let timeout = remaining.min(CONNECTION_CHECK_PERIOD);
+            match receiver.recv_timeout(timeout.duration()) {
+                Ok(response) => return Some(response),
                 Err(flume::RecvTimeoutError::Timeout) if !attempt.is_over() => {}
                 Err(_) => return None,
             }
         }
     }
 }
+
+fn not_sent(reason: &str) -> Box<Response> {
+    Box::new(Response::result(ResultCode::CoreNotReady, reason))
+}
--- /dev/null
+++ b/crates/controller/src/admin/handler.rs
@@ -0,0 +1,68 @@
+//! Dispatch of an operator's HTTP request to the platform's dialect or to the product's own interface.
+
+use crate::admin::control_client::{Attempt, ControlClient};
+use crate::admin::http::HttpInterface;
+use crate::event_loop::ControlEvent;
+use crate::metrics::Metrics;
+use crate::process::Dialects;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use transport::{Request, Response};
+use types::{ResultCode, ZoneName};
+
+/// What the connection threads share.
+pub(crate) struct RequestHandler {
+    /// The way to the control thread for operators' requests.
+    pub control: ControlClient,
+    /// How operators speak to this controller.
+    pub dialects: Dialects,
+    /// Zones that may be withdrawn besides those that members and plans name.
+    pub zones: Vec<ZoneName>,
+    /// The way to the control thread for requests that the state machine has no part in.
+    pub sender: flume::Sender<ControlEvent>,
+    /// Whether this replica serves the core.
+    pub is_ready: Arc<AtomicBool>,
+    /// Counters and gauges.
+    pub metrics: Arc<Metrics>,
+}
+
+impl RequestHandler {
+    /// Serves one request. A dialect comes before the product's own interface, of which it leaves GET requests alone.
+    pub(crate) fn respond(&self, request: &Request) -> Response {
+        let Some(admin) = &self.dialects.admin else {
+            return self.respond_own(request);
+        };
+        let timeout = admin.patience(request.body.len());
+        let attempt = Attempt::new(timeout, Some(request.client.clone()));
+        match admin.read(request) {
+            Ok(Some(call)) => {
+                let plans = self.dialects.plans.as_ref();
+                let is_ready = self.is_ready.load(Ordering::Relaxed);
+                let answer = self
+                    .control
+                    .execute(call, plans, &self.zones, is_ready, &attempt);
+                admin.write(answer)
+            }
+            Ok(None) if request.method == "GET" => self.respond_own(request),
+            Ok(None) => not_found(request),
+            Err(response) => *response,
+        }
+    }
+
+    fn respond_own(&self, request: &Request) -> Response {
+        let interface = HttpInterface::new(
+            request,
+            &self.control,
+            &self.sender,
+            &self.is_ready,
+            &self.metrics,
+        );
+        interface.respond()
+    }
+}
+
+/// The response to a method and path that nothing is served at.
+pub(crate) fn not_found(request: &Request) -> Response {
+    let reason = format!("{} {} is not known here", request.method, request.path);
+    Response::result(ResultCode::NotFound, reason)
+}
--- a/crates/controller/src/admin/http.rs
+++ b/crates/controller/src/admin/http.rs
@@ -1,50 +1,51 @@
-//! The product's own interface for operators, over HTTP.
+//! The product's own HTTP interface for operators: routes, and the requests to the core that each of them makes.
 
-use crate::admin::control_client::OPERATOR_PATIENCE;
-use crate::admin::control_client::{Attempt, ReplicationTransport};
+use crate::admin::control_client::{Attempt, ControlClient, OPERATOR_PATIENCE};
+use crate::admin::handler::not_found;
 use crate::controller::OperatorRequest;
 use crate::event_loop::ControlEvent;
-use crate::metrics::Metrics;
+use crate::metrics::{CONTENT_TYPE, Metrics};
 use config::{Command, PlanError, Proposal};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use transport::{Request, Response};
 use types::{Address, ConfigEpoch, Milliseconds, ResultCode, ServiceName};
 use wire::Query;
 
-/// The control thread tells what it believes within this.
-const BELIEVES_PATIENCE: Duration = Duration::from_secs(5);
+/// The longest that the control thread may take to report what it believes.
+const BELIEFS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Members that an operator says are lost for good.
+/// The body of `POST /v1/members/forget`: members that an operator declares lost for good.
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Lost {
+struct LostMembers {
     members: Vec<Address>,
 }
 
-/// Answers one request. Plans are read here, on the connection's own thread, and never on the control thread.
-pub(crate) struct OwnInterface<'a> {
+/// One request on the product's own interface. Plans are parsed here, on the connection's own thread, so that a large
+/// one never holds the control thread up.
+pub(crate) struct HttpInterface<'a> {
     request: &'a Request,
-    core: &'a ReplicationTransport,
+    control: &'a ControlClient,
     sender: &'a flume::Sender<ControlEvent>,
     is_ready: &'a AtomicBool,
     metrics: &'a Metrics,
     attempt: Attempt,
 }
 
-impl<'a> OwnInterface<'a> {
-    /// For this request.
+impl<'a> HttpInterface<'a> {
+    /// The interface for this request, whose time-out starts now.
     pub(crate) fn new(
         request: &'a Request,
-        core: &'a ReplicationTransport,
+        control: &'a ControlClient,
         sender: &'a flume::Sender<ControlEvent>,
         is_ready: &'a AtomicBool,
         metrics: &'a Metrics,
     ) -> Self {
         let attempt = Attempt::new(OPERATOR_PATIENCE, Some(request.client.clone()));
-        OwnInterface {
+        HttpInterface {
             request,
-            core,
+            control,
             sender,
             is_ready,
             metrics,
@@ -52,61 +53,48 @@
         }
     }
 
-    /// The answer.
+    /// Routes the request by its method and path, and returns its response.
     pub(crate) fn respond(&self) -> Response {
-        let body = || self.request.body.to_vec();
-        match (
-            self.request.method.as_str(),
-            self.request.path_segments().as_slice(),
-        ) {
-            ("GET", ["ready"]) => self.readiness(),
-            ("GET", ["metrics"]) => metrics(self.metrics),
-            ("GET", ["v1", "believes"]) => self.believes(),
-            ("GET", ["v1", "latest"]) => self.read(Query::Latest),
-            ("GET", ["v1", "tenants"]) => self.read(Query::Tenants),
-            ("GET", ["v1", "plan"]) => self.read(Query::ConfigEpoch {
+        let parts = self.request.path_segments();
+        match self.request.method.as_str() {
+            "GET" => self.respond_get(&parts),
+            "PUT" if parts == ["v1", "plan"] => self.put_plan(),
+            "PATCH" if parts == ["v1", "plan"] => self.patch_plan(),
+            "POST" => self.respond_post(&parts),
+            _ => not_found(self.request),
+        }
+    }
+
+    fn respond_get(&self, parts: &[&str]) -> Response {
+        match parts {
+            ["ready"] => self.readiness(),
+            ["metrics"] => Response::complete(200, CONTENT_TYPE, self.metrics.render()),
+            ["v1", "believes"] => self.beliefs(),
+            ["v1", "latest"] => self.read(Query::Latest),
+            ["v1", "tenants"] => self.read(Query::Tenants),
+            ["v1", "plan"] => self.read(Query::ConfigEpoch {
                 epoch: ConfigEpoch(0),
             }),
-            ("GET", ["v1", "plans", epoch]) => match epoch.parse() {
-                Ok(epoch) if epoch > 0 => self.read(Query::ConfigEpoch {
-                    epoch: ConfigEpoch(epoch),
-                }),
-                _ => Response::result(
-                    ResultCode::UnknownEpoch,
-                    format!("`{epoch}` is not an epoch"),
-                ),
-            },
-            ("GET", ["v1", "fates", id]) => self.read(Query::CommandStatus {
+            ["v1", "plans", epoch] => self.read_plan(epoch),
+            ["v1", "fates", id] => self.read(Query::CommandStatus {
                 id: (*id).to_owned(),
             }),
-            ("PUT", ["v1", "plan"]) => match Command::plan(body()) {
-                Ok(command) => self.propose(command, true),
-                Err(faults) => self.refuse(faults),
-            },
-            ("PATCH", ["v1", "plan"]) => match self.change(body()) {
-                Ok(command) => self.propose(command, true),
-                Err(response) => *response,
-            },
-            ("POST", ["v1", "members", "forget"]) => self.forget(),
-            ("POST", ["v1", "zones", zone, "withdraw"]) => self.propose(
-                Command::Withdraw {
-                    zone: (*zone).into(),
-                },
-                false,
-            ),
-            ("POST", ["v1", "zones", zone, "restore"]) => self.propose(
-                Command::Restore {
-                    zone: (*zone).into(),
-                },
-                false,
-            ),
-            _ => {
-                let why = format!(
-                    "{} {} is not known here",
-                    self.request.method, self.request.path
-                );
-                Response::result(ResultCode::NotFound, why)
+            _ => not_found(self.request),
+        }
+    }
+
+    fn respond_post(&self, parts: &[&str]) -> Response {
+        match parts {
+            ["v1", "members", "forget"] => self.forget_members(),
+            ["v1", "zones", zone, "withdraw"] => {
+                let zone = (*zone).into();
+                self.propose(Command::Withdraw { zone }, false)
+            }
+            ["v1", "zones", zone, "restore"] => {
+                let zone = (*zone).into();
+                self.propose(Command::Restore { zone }, false)
             }
+            _ => not_found(self.request),
         }
     }
 
@@ -117,10 +105,10 @@
         }
     }
 
-    fn believes(&self) -> Response {
-        let (response, inbox) = flume::bounded(1);
-        let _ = self.sender.send(ControlEvent::Believes(response));
-        match inbox.recv_timeout(BELIEVES_PATIENCE) {
+    fn beliefs(&self) -> Response {
+        let (sender, receiver) = flume::bounded(1);
+        let _ = self.sender.send(ControlEvent::Beliefs(sender));
+        match receiver.recv_timeout(BELIEFS_TIMEOUT) {
             Ok(value) => Response::json(200, &value),
             Err(_) => Response::result(
                 ResultCode::CoreNotReady,
@@ -129,13 +117,40 @@
         }
     }
 
+    /// The plan as it was sent as this epoch.
+    fn read_plan(&self, epoch: &str) -> Response {
+        match epoch.parse() {
+            Ok(epoch) if epoch > 0 => self.read(Query::ConfigEpoch {
+                epoch: ConfigEpoch(epoch),
+            }),
+            _ => Response::result(
+                ResultCode::UnknownEpoch,
+                format!("`{epoch}` is not an epoch"),
+            ),
+        }
+    }
+
+    fn put_plan(&self) -> Response {
+        match Command::plan(self.request.body.to_vec()) {
+            Ok(command) => self.propose(command, true),
+            Err(errors) => self.reject_document(errors),
+        }
+    }
+
+    fn patch_plan(&self) -> Response {
+        match self.merge_patch(self.request.body.to_vec()) {
+            Ok(command) => self.propose(command, true),
+            Err(response) => *response,
+        }
+    }
+
     fn read(&self, reading: Query) -> Response {
-        self.ask(OperatorRequest::Read(reading))
+        self.send_request(OperatorRequest::Read(reading))
     }
 
-    fn ask(&self, what: OperatorRequest) -> Response {
-        match self.core.ask(what, &self.attempt) {
-            Ok((status, body)) => told(status, body),
+    fn send_request(&self, request: OperatorRequest) -> Response {
+        match self.control.request(request, &self.attempt) {
+            Ok((status, body)) => core_response(status, body),
             Err(response) => *response,
         }
     }
@@ -148,20 +163,26 @@
             .to_owned()
     }
 
-    /// A document that has faults now may have been taken when it was first sent.
-    fn refuse(&self, faults: Vec<PlanError>) -> Response {
+    /// The response to a document that has faults. It may have been accepted when it was first sent,
+    /// so its fate is asked for first.
+    fn reject_document(&self, faults: Vec<PlanError>) -> Response {
         let reading = Query::CommandStatus {
             id: self.change_id(),
         };
-        match self.core.ask(OperatorRequest::Read(reading), &self.attempt) {
-            Ok((status, _)) if status == ResultCode::UnknownChange.http_status() => faulty(&faults),
-            Ok((status, body)) => told(status, body),
+        match self
+            .control
+            .request(OperatorRequest::Read(reading), &self.attempt)
+        {
+            Ok((status, _)) if status == ResultCode::UnknownChange.http_status() => {
+                bad_plan(&faults)
+            }
+            Ok((status, body)) => core_response(status, body),
             Err(response) => *response,
         }
     }
 
-    /// What these bytes change of the plan that they build on.
-    fn change(&self, bytes: Vec<u8>) -> Result<Command, Box<Response>> {
+    /// The command that merges these bytes, a JSON merge patch, into the plan that they build on.
+    fn merge_patch(&self, bytes: Vec<u8>) -> Result<Command, Box<Response>> {
         let builds_on = self
             .request
             .query_parameter("builds_on")
@@ -170,14 +191,15 @@
             at_least: ConfigEpoch(builds_on.unwrap_or(0)),
         };
         let (status, body) = self
-            .core
-            .ask(OperatorRequest::Read(reading), &self.attempt)?;
+            .control
+            .request(OperatorRequest::Read(reading), &self.attempt)?;
         match body.split_at_checked(8) {
             Some((base, plan)) if status == 200 => {
                 let base = ConfigEpoch(u64::from_be_bytes(base.try_into().unwrap_or_default()));
-                Command::change(bytes, base, plan).map_err(|faults| Box::new(self.refuse(faults)))
+                Command::change(bytes, base, plan)
+                    .map_err(|faults| Box::new(self.reject_document(faults)))
             }
-            _ => Err(Box::new(told(status, body))),
+            _ => Err(Box::new(core_response(status, body))),
         }
     }
 
@@ -200,7 +222,7 @@
             }
             None => None,
         };
-        self.ask(OperatorRequest::Propose(Proposal {
+        self.send_request(OperatorRequest::Propose(Proposal {
             id,
             builds_on,
             seen: ConfigEpoch(0),
@@ -208,9 +230,9 @@
         }))
     }
 
-    fn forget(&self) -> Response {
-        match serde_json::from_slice::<Lost>(&self.request.body) {
-            Ok(Lost { members }) if !members.is_empty() => {
+    fn forget_members(&self) -> Response {
+        match serde_json::from_slice::<LostMembers>(&self.request.body) {
+            Ok(LostMembers { members }) if !members.is_empty() => {
                 self.propose(Command::ForceRemove { members }, false)
             }
             Ok(_) => Response::result(
@@ -225,8 +247,8 @@
     }
 }
 
-/// What the core told, with a time to come back where its code has one.
-fn told(status: u16, body: Vec<u8>) -> Response {
+/// The core's response, with a `Retry-After` where its result code has one.
+fn core_response(status: u16, body: Vec<u8>) -> Response {
     let code = ResultCode::ALL
         .iter()
         .find(|code| code.http_status() == status && code.comes_back().is_some());
@@ -236,32 +258,8 @@
     })
 }
 
-fn faulty(faults: &[PlanError]) -> Response {
+fn bad_plan(faults: &[PlanError]) -> Response {
     let code = ResultCode::BadPlan;
     let value = serde_json::json!({"code": code.number(), "result": code.word(), "why": "nothing changed", "faults": faults});
     Response::json(code.http_status(), &value)
 }
-
-fn metrics(metrics: &Metrics) -> Response {
-    let rows: [(&str, &str, &AtomicU64); 8] = [
-        (
-            "controller_http_requests_total",
-            "counter",
-            &metrics.requests,
-        ),
-        ("controller_disk_writes_total", "counter", &metrics.writes),
-        ("controller_disk_faults_total", "counter", &metrics.faults),
-        ("controller_polls_total", "counter", &metrics.polls),
-        ("controller_view_epoch", "gauge", &metrics.view),
-        ("controller_config_epoch", "gauge", &metrics.epoch),
-        ("controller_chain_length", "gauge", &metrics.chain),
-        ("controller_members", "gauge", &metrics.members),
-    ];
-    let lines = rows.iter().map(|(name, kind, value)| {
-        format!(
-            "# TYPE {name} {kind}\n{name} {}\n",
-            value.load(Ordering::Relaxed)
-        )
-    });
-    Response::complete(200, "text/plain; version=0.0.4", lines.collect::<String>())
-}
--- a/crates/controller/src/admin/task.rs
+++ b/crates/controller/src/admin/task.rs
@@ -1,5 +1,5 @@
 use crate::admin::control_client::OPERATOR_PATIENCE;
-use crate::admin::control_client::{Attempt, ReplicationTransport, Told};
+use crate::admin::control_client::{Attempt, ControlClient, ControlResponse};
 use crate::controller::OperatorRequest;
 use config::{Command, PlanDialect, PlanError, Proposal};
 use transport::{Request, Response};
@@ -69,7 +69,7 @@
     }
 }
 
-fn refused(code: ResultCode, why: impl Into<String>, faults: Vec<PlanError>) -> AdminAnswer {
+fn rejected(code: ResultCode, why: impl Into<String>, faults: Vec<PlanError>) -> AdminAnswer {
     AdminAnswer::Refused {
         code,
         why: why.into(),
@@ -78,7 +78,7 @@
 }
 
 /// The core's words as an answer.
-fn answer_of(status: u16, body: &[u8]) -> AdminAnswer {
+fn answer_from(status: u16, body: &[u8]) -> AdminAnswer {
     if status == 200 {
         return AdminAnswer::Done;
     }
@@ -89,11 +89,11 @@
         .find(is_code)
         .copied()
         .unwrap_or(ResultCode::FateUnknown);
-    refused(code, value["why"].as_str().unwrap_or_default(), vec![])
+    rejected(code, value["why"].as_str().unwrap_or_default(), vec![])
 }
 
 /// The same call at any time and any controller has the same id.
-fn id_of(kind: &str, bytes: &[u8], base: u64) -> String {
+fn content_id(kind: &str, bytes: &[u8], base: u64) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher
         .update(kind.as_bytes())
@@ -104,9 +104,9 @@
 
 /// What a call's task does next.
 #[derive(Debug, Clone)]
-pub enum SchedulerStep {
-    /// Ask the core; its answer goes to [`AdminTask::on_told`].
-    Ask(OperatorRequest),
+pub enum AdminStep {
+    /// Ask the core; its answer goes to [`AdminTask::on_response`].
+    Request(OperatorRequest),
     /// It is over.
     Answer(AdminAnswer),
 }
@@ -127,7 +127,7 @@
     /// The newest plan.
     Query,
     /// Nothing; it is over.
-    Over,
+    Finished,
 }
 
 /// A call on its way, as a state machine: what it asks of the core, step by step, until it is answered.
@@ -147,39 +147,39 @@
         plans: &'a dyn PlanDialect,
         zones: &'a [ZoneName],
         is_ready: bool,
-    ) -> (AdminTask<'a>, SchedulerStep) {
+    ) -> (AdminTask<'a>, AdminStep) {
         let mut task = AdminTask {
             plans,
             zones,
-            stage: Stage::Over,
+            stage: Stage::Finished,
         };
         let step = match call {
             AdminCall::Plan { bytes, base } => {
-                let id = id_of("plan", &bytes, base);
+                let id = content_id("plan", &bytes, base);
                 let command = Command::plan_in(plans, bytes, Some(base));
                 task.propose_document(id, command)
             }
             AdminCall::Change { bytes, base } => {
                 task.stage = Stage::Merging {
-                    id: id_of("change", &bytes, base),
+                    id: content_id("change", &bytes, base),
                     bytes,
                     base,
                 };
                 // Merged into the tail's plan: an older one would be a conflict that isn't one.
-                SchedulerStep::Ask(OperatorRequest::Read(Query::Base {
+                AdminStep::Request(OperatorRequest::Read(Query::Base {
                     at_least: ConfigEpoch(u64::MAX),
                 }))
             }
             AdminCall::ReadPlan => {
                 task.stage = Stage::Query;
-                SchedulerStep::Ask(OperatorRequest::Read(Query::ConfigEpoch {
+                AdminStep::Request(OperatorRequest::Read(Query::ConfigEpoch {
                     epoch: ConfigEpoch(0),
                 }))
             }
-            AdminCall::Withdraw { zone } => task.propose(chance_id(), Command::Withdraw { zone }),
-            AdminCall::Restore { zone } => task.propose(chance_id(), Command::Restore { zone }),
-            AdminCall::Readiness if is_ready => SchedulerStep::Answer(AdminAnswer::Done),
-            AdminCall::Readiness => SchedulerStep::Answer(refused(
+            AdminCall::Withdraw { zone } => task.propose(random_id(), Command::Withdraw { zone }),
+            AdminCall::Restore { zone } => task.propose(random_id(), Command::Restore { zone }),
+            AdminCall::Readiness if is_ready => AdminStep::Answer(AdminAnswer::Done),
+            AdminCall::Readiness => AdminStep::Answer(rejected(
                 ResultCode::CoreNotReady,
                 "not in the chain",
                 vec![],
@@ -189,36 +189,36 @@
     }
 
     /// The core's status and body in answer to what was asked; `None` if none came in time.
-    pub fn on_told(&mut self, told: Option<Told>) -> SchedulerStep {
-        let stage = std::mem::replace(&mut self.stage, Stage::Over);
-        let Some((status, body)) = told else {
+    pub fn on_response(&mut self, response: Option<ControlResponse>) -> AdminStep {
+        let stage = std::mem::replace(&mut self.stage, Stage::Finished);
+        let Some((status, body)) = response else {
             let code = if matches!(stage, Stage::Proposed) {
                 ResultCode::FateUnknown
             } else {
                 ResultCode::CoreNotReady
             };
-            return SchedulerStep::Answer(refused(code, "no answer in time", vec![]));
+            return AdminStep::Answer(rejected(code, "no answer in time", vec![]));
         };
         match stage {
             Stage::Merging { id, bytes, base } if status == 200 => {
                 self.merge(id, bytes, base, &body)
             }
             Stage::Fate { faults } if status == ResultCode::UnknownChange.http_status() => {
-                SchedulerStep::Answer(refused(ResultCode::BadPlan, "nothing changed", faults))
+                AdminStep::Answer(rejected(ResultCode::BadPlan, "nothing changed", faults))
             }
-            Stage::Query if status == 200 => SchedulerStep::Answer(AdminAnswer::Plan(body)),
+            Stage::Query if status == 200 => AdminStep::Answer(AdminAnswer::Plan(body)),
             Stage::Merging { .. }
             | Stage::Fate { .. }
             | Stage::Proposed
             | Stage::Query
-            | Stage::Over => SchedulerStep::Answer(answer_of(status, &body)),
+            | Stage::Finished => AdminStep::Answer(answer_from(status, &body)),
         }
     }
 
     /// Merges a change into the tail's plan, which comes behind its epoch.
-    fn merge(&mut self, id: String, bytes: Vec<u8>, base: u64, told: &[u8]) -> SchedulerStep {
-        let Some((epoch, plan)) = told.split_first_chunk::<8>() else {
-            return SchedulerStep::Answer(refused(
+    fn merge(&mut self, id: String, bytes: Vec<u8>, base: u64, response: &[u8]) -> AdminStep {
+        let Some((epoch, plan)) = response.split_first_chunk::<8>() else {
+            return AdminStep::Answer(rejected(
                 ResultCode::CoreNotReady,
                 "no plan to merge into",
                 vec![],
@@ -235,14 +235,14 @@
         if command.is_err() && base > newest {
             // It may have none with the plan that it was made for.
             let why = format!("it builds on revision {base}, which is not accepted so far");
-            return SchedulerStep::Answer(refused(ResultCode::CoreNotReady, why, vec![]));
+            return AdminStep::Answer(rejected(ResultCode::CoreNotReady, why, vec![]));
         }
         self.propose_document(id, command)
     }
 
-    fn propose(&mut self, id: String, command: Command) -> SchedulerStep {
+    fn propose(&mut self, id: String, command: Command) -> AdminStep {
         self.stage = Stage::Proposed;
-        SchedulerStep::Ask(OperatorRequest::Propose(Proposal {
+        AdminStep::Request(OperatorRequest::Propose(Proposal {
             id,
             builds_on: None,
             seen: ConfigEpoch(0),
@@ -255,21 +255,21 @@
         &mut self,
         id: String,
         command: Result<Command, Vec<PlanError>>,
-    ) -> SchedulerStep {
+    ) -> AdminStep {
         match command {
             Ok(command) => self.propose(id, command.with_zones(self.zones)),
             Err(faults) => {
                 self.stage = Stage::Fate { faults };
-                SchedulerStep::Ask(OperatorRequest::Read(Query::CommandStatus { id }))
+                AdminStep::Request(OperatorRequest::Read(Query::CommandStatus { id }))
             }
         }
     }
 }
 
-impl ReplicationTransport {
-    /// Carries a call out for as long as its attempt lasts. `zones` may be evacuated besides those that members
+impl ControlClient {
+    /// Runs a call to its end, for as long as its attempt lasts. `zones` may be withdrawn besides those that members
     /// and plans name.
-    pub fn carry(
+    pub fn execute(
         &self,
         call: AdminCall,
         plans: &dyn PlanDialect,
@@ -280,15 +280,17 @@
         let (mut task, mut step) = AdminTask::begin(call, plans, zones, is_ready);
         loop {
             match step {
-                SchedulerStep::Answer(answer) => return answer,
-                SchedulerStep::Ask(ask) => step = task.on_told(self.ask(ask, attempt).ok()),
+                AdminStep::Answer(answer) => return answer,
+                AdminStep::Request(request) => {
+                    step = task.on_response(self.request(request, attempt).ok());
+                }
             }
         }
     }
 }
 
 /// Of a call that may be given any number of times.
-fn chance_id() -> String {
+fn random_id() -> String {
     format!("c-{:032x}", u128::from_be_bytes(random_bytes()))
 }
 
--- a/crates/controller/src/admin/task/tests.rs
+++ b/crates/controller/src/admin/task/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::admin::control_client::{Attempt, ReplicationTransport};
+use crate::admin::control_client::{Attempt, ControlClient};
 use crate::admin::task::{AdminAnswer, AdminCall};
 use crate::controller::ControllerInput;
 use config::OwnPlans;
@@ -7,18 +7,18 @@
 use types::{Milliseconds, ResultCode};
 
 /// A core that answers each question from the words given, in turn.
-fn core(words: Vec<(u16, Vec<u8>)>) -> ReplicationTransport {
-    let responses = crate::admin::control_client::Responses::default();
+fn core(words: Vec<(u16, Vec<u8>)>) -> ControlClient {
+    let responses = crate::admin::control_client::PendingResponses::default();
     let words = Arc::new(std::sync::Mutex::new(std::collections::VecDeque::from(
         words,
     )));
     let giver = responses.clone();
-    ReplicationTransport::new(responses, move |input| {
+    ControlClient::new(responses, move |input| {
         let ControllerInput::Operator { number, .. } = input else {
             return;
         };
         if let Some((status, body)) = words.lock().unwrap().pop_front() {
-            giver.give(number, status, body);
+            giver.complete(number, status, body);
         }
     })
 }
@@ -43,8 +43,8 @@
     }
 }
 
-fn code_of(core: &ReplicationTransport, call: AdminCall) -> ResultCode {
-    match core.carry(
+fn code_of(core: &ControlClient, call: AdminCall) -> ResultCode {
+    match core.execute(
         call,
         &OwnPlans,
         &[],
@@ -97,14 +97,14 @@
 fn what_an_attempt_leaves_unfinished_is_given_up() {
     let heard = Arc::new(std::sync::Mutex::new(vec![]));
     let reachable_peers = heard.clone();
-    let silent = ReplicationTransport::new(
-        crate::admin::control_client::Responses::default(),
+    let silent = ControlClient::new(
+        crate::admin::control_client::PendingResponses::default(),
         move |input| reachable_peers.lock().unwrap().push(input),
     );
     let call = AdminCall::Withdraw {
         zone: "east".into(),
     };
-    let answer = silent.carry(
+    let answer = silent.execute(
         call.clone(),
         &OwnPlans,
         &[],
@@ -125,7 +125,7 @@
         heard.lock().unwrap().is_empty(),
         "nobody waits for it, so nothing was begun"
     );
-    silent.carry(
+    silent.execute(
         call,
         &OwnPlans,
         &[],
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -97,7 +97,7 @@
         /// The number.
         number: u64,
         /// What.
-        ask: OperatorRequest,
+        request: OperatorRequest,
     },
     /// Whoever asked under this number has gone, or waits no longer: nothing more is done for it.
     Abandoned {
@@ -301,7 +301,7 @@
         self.now = self.now.max(now);
         match input {
             ControllerInput::Message { from, message } => self.on_message(from, message),
-            ControllerInput::Operator { number, ask } => self.on_operator(number, ask),
+            ControllerInput::Operator { number, request } => self.on_operator(number, request),
             ControllerInput::Abandoned { number } => {
                 self.waiting.remove(&number);
             }
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -105,7 +105,7 @@
             0,
             ControllerInput::Operator {
                 number,
-                ask: OperatorRequest::Read(Query::Latest),
+                request: OperatorRequest::Read(Query::Latest),
             },
         )
     }
@@ -120,7 +120,7 @@
             0,
             ControllerInput::Operator {
                 number,
-                ask: OperatorRequest::Propose(proposal),
+                request: OperatorRequest::Propose(proposal),
             },
         )
     }
@@ -435,7 +435,7 @@
             5,
             ControllerInput::Operator {
                 number,
-                ask: OperatorRequest::Propose(proposal),
+                request: OperatorRequest::Propose(proposal),
             },
         )
     }
--- a/crates/controller/src/discovery/diskless_controller.rs
+++ b/crates/controller/src/discovery/diskless_controller.rs
@@ -7,7 +7,7 @@
 
 /// What a relay is told.
 #[derive(Debug, Clone)]
-pub enum RelayInput {
+pub enum DisklessControllerInput {
     /// A letter came.
     Message {
         /// From there.
@@ -36,16 +36,20 @@
     }
 
     /// Takes an input in; gives the letters that are to be sent.
-    pub fn step(&mut self, now: MonotonicInstant, input: RelayInput) -> Vec<(Address, Message)> {
+    pub fn step(
+        &mut self,
+        now: MonotonicInstant,
+        input: DisklessControllerInput,
+    ) -> Vec<(Address, Message)> {
         match input {
-            RelayInput::Message { from, message } => {
+            DisklessControllerInput::Message { from, message } => {
                 self.on_message(now, from, message).into_iter().collect()
             }
-            RelayInput::Seeds(seeds) => {
+            DisklessControllerInput::Seeds(seeds) => {
                 self.contacts.set_seeds(now, seeds);
                 self.contacts.on_clock(now)
             }
-            RelayInput::ClockEvent => self.contacts.on_clock(now),
+            DisklessControllerInput::ClockEvent => self.contacts.on_clock(now),
         }
     }
 
--- a/crates/controller/src/discovery/diskless_controller/tests.rs
+++ b/crates/controller/src/discovery/diskless_controller/tests.rs
@@ -1,4 +1,4 @@
-use crate::discovery::diskless_controller::{DisklessController, RelayInput};
+use crate::discovery::diskless_controller::{DisklessController, DisklessControllerInput};
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, ViewNumber};
 use wire::{ControllerContact, CoreLocation, LeaseRequest, LeaseResponse, Member, Message};
 
@@ -6,7 +6,7 @@
     Address::loopback(port)
 }
 
-fn poll(from: u16) -> RelayInput {
+fn poll(from: u16) -> DisklessControllerInput {
     let member = Member {
         address: at(from),
         zone: "east".into(),
@@ -19,7 +19,7 @@
         has_key: false,
         reachable_peers: vec![],
     };
-    RelayInput::Message {
+    DisklessControllerInput::Message {
         from: at(from),
         message: Message::LeaseRequest {
             poll: Box::new(poll),
@@ -27,7 +27,7 @@
     }
 }
 
-fn location(view: u64, voters: Vec<Address>) -> RelayInput {
+fn location(view: u64, voters: Vec<Address>) -> DisklessControllerInput {
     let controllers = vec![ControllerContact {
         inner: at(1),
         admin: at(51),
@@ -38,7 +38,7 @@
         voters,
         controllers,
     });
-    RelayInput::Message {
+    DisklessControllerInput::Message {
         from: at(1),
         message: Message::CoreLocation {
             location,
@@ -78,15 +78,21 @@
     let asked = |messages: Vec<(Address, Message)>| {
         messages.into_iter().map(|(to, _)| to).collect::<Vec<_>>()
     };
-    assert_eq!(asked(relay.step(now, RelayInput::ClockEvent)), [at(8)]);
     assert_eq!(
-        asked(relay.step(now + Milliseconds(50), RelayInput::Seeds(vec![at(8)]))),
+        asked(relay.step(now, DisklessControllerInput::ClockEvent)),
+        [at(8)]
+    );
+    assert_eq!(
+        asked(relay.step(
+            now + Milliseconds(50),
+            DisklessControllerInput::Seeds(vec![at(8)])
+        )),
         []
     );
     assert_eq!(
         asked(relay.step(
             now + Milliseconds(60),
-            RelayInput::Seeds(vec![at(7), at(6)])
+            DisklessControllerInput::Seeds(vec![at(7), at(6)])
         )),
         [at(7), at(6)]
     );
--- a/crates/controller/src/discovery/diskless_daemon.rs
+++ b/crates/controller/src/discovery/diskless_daemon.rs
@@ -1,123 +1,153 @@
-//! Runs a controller without a disk.
+//! The process of a controller without a disk: startup, event loop and redirects of operators.
 
-use crate::discovery::diskless_controller::{DisklessController, RelayInput};
+use crate::discovery::diskless_controller::{DisklessController, DisklessControllerInput};
 use crate::discovery::redirect::Redirector;
-use crate::process::Dialects;
-use crate::process::{SETTINGS_PERIOD, operators_gate, stop_flag};
+use crate::error::StartupError;
+use crate::process::{
+    Dialects, ReadSeeds, SETTINGS_PERIOD, bind_inner, bind_operators, parse_address,
+    spawn_http_server, stop_flag,
+};
 use crate::settings::Settings;
 use config::parse_addresses;
 use std::net::TcpListener;
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
 use transport::{MessageClass, MessageTransport};
 use types::{Address, Clock, Milliseconds, MonotonicInstant};
 
-/// Letters that may wait for the control thread.
-const QUEUE: usize = 1024;
-/// Whether the process is to stop is asked at least this often.
-const LONGEST_WAIT: Milliseconds = Milliseconds(200);
+/// Messages that may be queued for the control thread; further ones are dropped, and their senders repeat them.
+const QUEUE_CAPACITY: usize = 1024;
+/// The longest time between two checks whether the process is to stop.
+const MAX_WAIT: Milliseconds = Milliseconds(200);
 
-/// Runs a relay until it's told to stop.
-pub(crate) fn run_relay(settings: &Settings, dialects: &Dialects) -> Result<(), String> {
-    let listen: Address = settings.listen.parse()?;
-    let inner: Address = settings.inner.parse()?;
-    let listener =
-        TcpListener::bind(inner.0).map_err(|fault| format!("inner = {inner}: {fault}"))?;
-    let (sender, messages) = flume::bounded(QUEUE);
-    let post = MessageTransport::open(listener, move |from, message| {
-        drop(sender.try_send(RelayInput::Message { from, message }))
-    });
-    let post = post.map_err(|fault| format!("inner = {inner}: {fault}"))?;
-    let stop = stop_flag()?;
-    let served = Arc::new(RwLock::new(vec![]));
-    serve_operators(settings, dialects, served.clone())?;
-    tracing::info!(
-        "controller: listens at {listen}, inner {inner}, has no disk and sends operators on."
-    );
+/// Addresses where operators are served, written by the control thread and read by connection threads.
+type KnownAddresses = Arc<RwLock<Vec<Address>>>;
+
+/// Runs a controller without a disk until a signal stops it.
+pub(crate) fn run_diskless(settings: &Settings, dialects: &Dialects) -> Result<(), StartupError> {
+    let listen = parse_address(&settings.listen)?;
+    let inner = parse_address(&settings.inner)?;
+    let listener = bind_inner(inner)?;
+    let (sender, messages) = flume::bounded(QUEUE_CAPACITY);
+    let post = open_transport(inner, listener, sender)?;
+    let stop_signal = stop_flag()?;
+    let known_addresses = KnownAddresses::default();
+    serve_operators(listen, settings, dialects, known_addresses.clone())?;
+    tracing::info!(%listen, %inner, "controller: started without a disk; operators are redirected");
     let now = Clock::now();
-    let relay = DisklessController::new(inner, parse_addresses(&settings.seeds), now);
-    let mut daemon = RelayDaemon {
-        relay,
+    let daemon = DisklessDaemon {
+        controller: DisklessController::new(inner, parse_addresses(&settings.seeds), now),
         post,
-        served,
+        known_addresses,
+        read_seeds: dialects.seeds.clone(),
+        next_settings_read: now,
     };
-    let mut next_reading = now;
-    while !stop.load(Ordering::Relaxed) {
-        let now = Clock::now();
-        if now >= next_reading {
-            next_reading = now + SETTINGS_PERIOD;
-            let seeds = dialects.seeds.as_ref().and_then(|read| read());
-            seeds
-                .into_iter()
-                .for_each(|seeds| daemon.take(now, RelayInput::Seeds(seeds)));
-        }
-        if now >= daemon.relay.next_timer() {
-            daemon.take(now, RelayInput::ClockEvent);
-        }
-        let wait = now
-            .until(daemon.relay.next_timer())
-            .min(now.until(next_reading))
-            .min(LONGEST_WAIT);
-        match messages.recv_timeout(wait.duration()) {
-            Ok(message) => daemon.take(Clock::now(), message),
-            Err(flume::RecvTimeoutError::Timeout) => {}
-            Err(flume::RecvTimeoutError::Disconnected) => break,
-        }
-    }
-    tracing::info!("controller: stopped.");
+    daemon.run(&messages, &stop_signal);
+    tracing::info!("controller: stopped");
     Ok(())
 }
 
-/// Sends operators on to where they are served, or, while that isn't known, to whom the settings name.
+fn open_transport(
+    inner: Address,
+    listener: TcpListener,
+    sender: flume::Sender<DisklessControllerInput>,
+) -> Result<MessageTransport, StartupError> {
+    let receive = move |from, message| {
+        drop(sender.try_send(DisklessControllerInput::Message { from, message }));
+    };
+    MessageTransport::open(listener, receive).map_err(|source| StartupError::Bind {
+        setting: "inner",
+        address: inner,
+        source,
+    })
+}
+
+/// Redirects operators to controllers that are known to serve them, or, while none is known, to the addresses of the
+/// settings.
 fn serve_operators(
+    listen: Address,
     settings: &Settings,
     dialects: &Dialects,
-    served: Arc<RwLock<Vec<Address>>>,
-) -> Result<(), String> {
-    let listen: Address = settings.listen.parse()?;
-    let named = parse_addresses(&settings.admin_addresses);
-    let read_named = dialects
+    known_addresses: KnownAddresses,
+) -> Result<(), StartupError> {
+    let configured = parse_addresses(&settings.admin_addresses);
+    let read_configured = dialects
         .others
         .clone()
-        .unwrap_or_else(|| Arc::new(move || named.clone()));
+        .unwrap_or_else(|| Arc::new(move || configured.clone()));
     let read_others = move || {
-        let known = served
+        let known = known_addresses
             .read()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        let others = if known.is_empty() {
-            read_named()
+        let mut others = if known.is_empty() {
+            read_configured()
         } else {
             known
         };
+        others.retain(|other| *other != listen);
         others
-            .into_iter()
-            .filter(|other| *other != listen)
-            .collect()
     };
-    let http_server = operators_gate(listen)?;
+    let server = bind_operators(listen)?;
     let redirector = Arc::new(Redirector::new(Arc::new(read_others)));
-    let http_server_thread = move || http_server.serve(move |request| redirector.respond(&request));
-    let spawned = std::thread::Builder::new()
-        .name("gate".into())
-        .spawn(http_server_thread);
-    spawned.map(drop).map_err(|fault| fault.to_string())
+    spawn_http_server(server, move |request| redirector.respond(&request))
 }
 
-struct RelayDaemon {
-    relay: DisklessController,
+/// The control thread's state.
+struct DisklessDaemon {
+    controller: DisklessController,
     post: MessageTransport,
-    /// What the gate's threads read.
-    served: Arc<RwLock<Vec<Address>>>,
+    known_addresses: KnownAddresses,
+    read_seeds: Option<ReadSeeds>,
+    next_settings_read: MonotonicInstant,
 }
 
-impl RelayDaemon {
-    fn take(&mut self, now: MonotonicInstant, input: RelayInput) {
-        for (to, message) in self.relay.step(now, input) {
+impl DisklessDaemon {
+    fn run(
+        mut self,
+        messages: &flume::Receiver<DisklessControllerInput>,
+        stop_signal: &AtomicBool,
+    ) {
+        while !stop_signal.load(Ordering::Relaxed) {
+            let now = Clock::now();
+            self.reload_seeds(now);
+            if now >= self.controller.next_timer() {
+                self.step(now, DisklessControllerInput::ClockEvent);
+            }
+            match messages.recv_timeout(self.next_wait(now).duration()) {
+                Ok(input) => self.step(Clock::now(), input),
+                Err(flume::RecvTimeoutError::Timeout) => {}
+                Err(flume::RecvTimeoutError::Disconnected) => return,
+            }
+        }
+    }
+
+    fn reload_seeds(&mut self, now: MonotonicInstant) {
+        if now < self.next_settings_read {
+            return;
+        }
+        self.next_settings_read = now + SETTINGS_PERIOD;
+        let seeds = self.read_seeds.as_ref().and_then(|read| read());
+        if let Some(seeds) = seeds {
+            self.step(now, DisklessControllerInput::Seeds(seeds));
+        }
+    }
+
+    fn next_wait(&self, now: MonotonicInstant) -> Milliseconds {
+        now.until(self.controller.next_timer())
+            .min(now.until(self.next_settings_read))
+            .min(MAX_WAIT)
+    }
+
+    fn step(&mut self, now: MonotonicInstant, input: DisklessControllerInput) {
+        for (to, message) in self.controller.step(now, input) {
             self.post
                 .send(to, MessageClass::of(&message, false), message);
         }
-        *self.served.write().unwrap_or_else(PoisonError::into_inner) =
-            self.relay.admin_addresses(now);
+        let addresses = self.controller.admin_addresses(now);
+        *self
+            .known_addresses
+            .write()
+            .unwrap_or_else(PoisonError::into_inner) = addresses;
     }
 }
--- a/crates/controller/src/discovery/peer_discovery.rs
+++ b/crates/controller/src/discovery/peer_discovery.rs
@@ -9,7 +9,7 @@
 
 /// The spans and bounds that the exchange goes by.
 #[derive(Debug, Clone, Copy)]
-pub struct ContactTiming {
+pub struct DiscoveryTiming {
     /// Between exchanges of a controller with a disk with the seeds.
     pub exchange: Milliseconds,
     /// The same of one without, which has nothing of its own to tell.
@@ -19,17 +19,17 @@
     /// Operators are sent to controllers that were heard within this time, where there are any.
     pub recent: Milliseconds,
     /// A controller that nobody heard for this long is told of no more.
-    pub incarnation: Milliseconds,
+    pub expire_after: Milliseconds,
 }
 
-impl Default for ContactTiming {
+impl Default for DiscoveryTiming {
     fn default() -> Self {
-        ContactTiming {
+        DiscoveryTiming {
             exchange: Milliseconds(2000),
             relay_exchange: Milliseconds(4000),
             first_exchange: Milliseconds(250),
             recent: Milliseconds::seconds(7),
-            incarnation: Milliseconds::seconds(30),
+            expire_after: Milliseconds::seconds(30),
         }
     }
 }
@@ -54,7 +54,7 @@
     /// Where operators reach this one, if it has a disk.
     own_admin: Option<Address>,
     seeds: Vec<Address>,
-    timing: ContactTiming,
+    timing: DiscoveryTiming,
     view: ViewNumber,
     voters: Vec<Address>,
     controllers: BTreeMap<Address, Contact>,
@@ -74,7 +74,7 @@
             own,
             own_admin,
             seeds,
-            timing: ContactTiming::default(),
+            timing: DiscoveryTiming::default(),
             view: ViewNumber(0),
             voters: vec![],
             controllers: BTreeMap::new(),
@@ -116,9 +116,9 @@
             (true, None) => self.timing.relay_exchange,
         };
         self.next_exchange = now + pause;
-        let incarnation = self.timing.incarnation;
+        let expire_after = self.timing.expire_after;
         self.controllers
-            .retain(|_, contact| now.since(contact.heard) < incarnation);
+            .retain(|_, contact| now.since(contact.heard) < expire_after);
         let others = self.seeds.iter().filter(|seed| **seed != self.own);
         let message = Message::CoreLocation {
             location: Box::new(self.question(now)),
@@ -247,7 +247,7 @@
             }
         };
         let mut found: Vec<ControllerContact> = self.controllers.iter().map(contact).collect();
-        found.retain(|contact| contact.age < self.timing.incarnation);
+        found.retain(|contact| contact.age < self.timing.expire_after);
         found.sort_by_key(|contact| (contact.age, contact.inner));
         found
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,29 +1,38 @@
-//! The control plane: a controller keeps the ledger on its disk, as one of a chain, and tells the
-//! routers what is in force.
+//! The control plane: a controller is one replica of the fleet's configuration, and brings it to the routers.
+//!
+//! - [`Controller`] is the state machine, without threads, clocks or I/O of its own. Its parts are in `consensus` (the
+//!   driver of the replicated log), `membership` (leases of routers), `admin` (operators' requests), `discovery` (where
+//!   the core is) and `quotas` (tenants' credit).
+//! - `startup`, `event_loop` and `node` run it in a process with a disk, until `shutdown` is complete.
+//! - [`DisklessController`] is run on machines without a disk: it replicates nothing and redirects operators.
+
+#![warn(missing_docs)]
 
 mod admin;
 mod consensus;
 mod controller;
 mod discovery;
+mod error;
 mod event_loop;
 mod membership;
 mod metrics;
+mod node;
 mod process;
 mod quotas;
 mod settings;
+mod shutdown;
 mod startup;
 
-pub use admin::control_client::{Attempt, ReplicationTransport, Told};
-pub use admin::task::{AdminAnswer, AdminCall, AdminDialect, AdminTask, SchedulerStep};
+pub use admin::command_line::{AdminCommand, AdminSubcommand};
+pub use admin::control_client::{Attempt, ControlClient, ControlResponse};
+pub use admin::task::{AdminAnswer, AdminCall, AdminDialect, AdminStep, AdminTask};
 pub use consensus::disk_thread::{DiskEvent, DiskThread};
 pub use controller::{
     Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
 };
-pub use discovery::diskless_controller::{DisklessController, RelayInput};
-pub use discovery::peer_discovery::{ContactTiming, PeerDiscovery};
+pub use discovery::diskless_controller::{DisklessController, DisklessControllerInput};
+pub use discovery::peer_discovery::{DiscoveryTiming, PeerDiscovery};
 pub use discovery::redirect::ReadAddresses;
 pub use process::{Dialects, ReadSeeds};
 pub use settings::Settings;
 pub use startup::run;
-
-pub use admin::command_line::{AdminCommand, AdminSubcommand};
--- a/crates/controller/src/process.rs
+++ b/crates/controller/src/process.rs
@@ -1,31 +1,40 @@
-//! What a controller's process has in common, with a disk and without.
+//! What both kinds of controller processes share, with a disk and without: the platform's hooks, the signals and the
+//! addresses that they listen at.
 
 use crate::admin::task::AdminDialect;
 use crate::discovery::redirect::ReadAddresses;
+use crate::error::StartupError;
 use config::{OwnPlans, PlanDialect};
+use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
-use transport::{HttpServer, HttpServerBounds};
+use transport::{HttpServer, HttpServerBounds, Request, Response};
 use types::{Address, Milliseconds};
 
-/// Between readings of the settings' seeds.
+/// The time between two readings of the settings' seeds.
 pub(crate) const SETTINGS_PERIOD: Milliseconds = Milliseconds(1000);
+/// Operators' connections that are served at once.
+const MAX_CONNECTIONS: usize = 128;
+/// The largest body of an operator's request: a complete plan.
+const MAX_BODY_BYTES: usize = 48 << 20;
+/// The longest that an operator's request may take to arrive.
+const READ_TIMEOUT: Milliseconds = Milliseconds::seconds(20);
 
-/// How operators speak to a controller.
+/// How operators and the platform speak to a controller. The default is the product's own interface.
 #[derive(Clone)]
 pub struct Dialects {
-    /// What plans look like.
+    /// The format of plans.
     pub plans: Arc<dyn PlanDialect>,
-    /// What operators' calls look like; `None`: as the product's own interface has them.
+    /// The format of operators' calls; `None` serves the product's own interface alone.
     pub admin: Option<Arc<dyn AdminDialect>>,
-    /// Where operators reach other controllers, read anew for each operator that is sent on; `None`: as the settings
-    /// had it at the start.
+    /// Where operators reach other controllers, read again for each operator that is redirected; `None` keeps the
+    /// addresses that the settings had at the start.
     pub others: Option<ReadAddresses>,
-    /// Reads the seeds anew: settings may change without a word. `None`: they stay as they were at the start.
+    /// Reads the seeds again, since settings may change without a signal; `None` keeps those of the start.
     pub seeds: Option<ReadSeeds>,
 }
 
-/// Gives the inner addresses of the seeds as the settings have them now, if they can be read.
+/// Returns the inner addresses of the seeds as the settings have them now, or `None` if they can't be read.
 pub type ReadSeeds = Arc<dyn Fn() -> Option<Vec<Address>> + Send + Sync>;
 
 impl Default for Dialects {
@@ -39,27 +48,64 @@
     }
 }
 
-/// What a signal to stop sets.
-pub(crate) fn stop_flag() -> Result<Arc<AtomicBool>, String> {
+/// A flag that SIGTERM and SIGINT set.
+pub(crate) fn stop_flag() -> Result<Arc<AtomicBool>, StartupError> {
+    let register = |signal, flag| {
+        signal_hook::flag::register(signal, flag)
+            .map(drop)
+            .map_err(StartupError::Process)
+    };
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
-        signal_hook::flag::register(signal, stop.clone()).map_err(|fault| fault.to_string())?;
+        register(signal, stop.clone())?;
     }
-    // That settings have changed must not end the process. Its seeds are read anew all the time, and the rest of its
-    // settings is fixed for its life.
-    let has_changed = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(signal_hook::consts::SIGHUP, has_changed)
-        .map_err(|fault| fault.to_string())?;
+    // SIGHUP announces changed settings and must not end the process. The seeds are read again periodically, and all
+    // other settings are fixed while the process runs.
+    register(
+        signal_hook::consts::SIGHUP,
+        Arc::new(AtomicBool::new(false)),
+    )?;
     Ok(stop)
 }
 
-/// The gate at which operators are served.
-pub(crate) fn operators_gate(listen: Address) -> Result<HttpServer, String> {
+/// Reads an address of the settings.
+pub(crate) fn parse_address(text: &str) -> Result<Address, StartupError> {
+    text.parse()
+        .map_err(|reason| StartupError::InvalidAddress { reason })
+}
+
+/// Binds the address at which other processes of the fleet reach this one.
+pub(crate) fn bind_inner(address: Address) -> Result<TcpListener, StartupError> {
+    TcpListener::bind(address.0).map_err(|source| StartupError::Bind {
+        setting: "inner",
+        address,
+        source,
+    })
+}
+
+/// Binds the address at which operators are served.
+pub(crate) fn bind_operators(address: Address) -> Result<HttpServer, StartupError> {
     let bounds = HttpServerBounds {
-        connections: 128,
-        body_bytes: 48 << 20,
-        read_timeout: Milliseconds::seconds(20),
+        connections: MAX_CONNECTIONS,
+        body_bytes: MAX_BODY_BYTES,
+        read_timeout: READ_TIMEOUT,
         ..HttpServerBounds::default()
     };
-    HttpServer::open(listen.0, bounds).map_err(|fault| format!("listen = {listen}: {fault}"))
+    HttpServer::open(address.0, bounds).map_err(|source| StartupError::Bind {
+        setting: "listen",
+        address,
+        source,
+    })
+}
+
+/// Serves operators on threads of their own, for as long as the process runs.
+pub(crate) fn spawn_http_server(
+    server: HttpServer,
+    respond: impl Fn(Request) -> Response + Send + Sync + Clone + 'static,
+) -> Result<(), StartupError> {
+    std::thread::Builder::new()
+        .name("gate".into())
+        .spawn(move || server.serve(respond))
+        .map(drop)
+        .map_err(StartupError::Process)
 }
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -6,9 +6,7 @@
 
 use config::{OwnPlans, Plan, PlanDialect, PlanError};
 use control::{Carriage, Core, Mutant};
-use controller::{
-    AdminAnswer, AdminCall, AdminTask, ControllerInput, OperatorRequest, SchedulerStep,
-};
+use controller::{AdminAnswer, AdminCall, AdminStep, AdminTask, ControllerInput, OperatorRequest};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{ResultCode, ZoneName};
 use wire::Query;
@@ -191,19 +189,24 @@
         number
     }
 
-    fn take_step(&mut self, number: u64, step: SchedulerStep) {
+    fn take_step(&mut self, number: u64, step: AdminStep) {
         let Some(door) = self.doors.get_mut(&number) else {
             return;
         };
         match step {
-            SchedulerStep::Ask(ask) => {
+            AdminStep::Request(ask) => {
                 door.is_about_fate =
                     matches!(ask, OperatorRequest::Read(Query::CommandStatus { .. }));
                 let machine = door.machine;
-                self.core
-                    .tell(machine, ControllerInput::Operator { number, ask });
+                self.core.tell(
+                    machine,
+                    ControllerInput::Operator {
+                        number,
+                        request: ask,
+                    },
+                );
             }
-            SchedulerStep::Answer(answer) => {
+            AdminStep::Answer(answer) => {
                 let is_about_fate = door.is_about_fate;
                 let operator = door.operator;
                 self.doors.remove(&number);
@@ -392,7 +395,7 @@
     fn mind_doors(&mut self) {
         while let Some((number, (status, body))) = self.core.answers.pop_first() {
             if let Some(door) = self.doors.get_mut(&number) {
-                let step = door.task.on_told(Some((status, body)));
+                let step = door.task.on_response(Some((status, body)));
                 self.take_step(number, step);
             }
         }
@@ -408,7 +411,7 @@
             let Some(door) = self.doors.get_mut(&number) else {
                 continue;
             };
-            let (machine, step) = (door.machine, door.task.on_told(None));
+            let (machine, step) = (door.machine, door.task.on_response(None));
             self.core
                 .tell(machine, ControllerInput::Abandoned { number });
             self.take_step(number, step);
--- a/crates/controller/tests/delayed_and_refused.rs
+++ b/crates/controller/tests/delayed_and_refused.rs
@@ -46,7 +46,13 @@
 }
 
 fn ask(core: &mut Core, machine: usize, number: u64, ask: OperatorRequest) {
-    core.tell(machine, ControllerInput::Operator { number, ask });
+    core.tell(
+        machine,
+        ControllerInput::Operator {
+            number,
+            request: ask,
+        },
+    );
 }
 
 fn status(core: &mut Core, machine: usize, number: u64, what: OperatorRequest) -> Option<u16> {
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -11,7 +11,7 @@
 use config::read_settings;
 use config::{Command, ConfigStateMachine, OriginalCommand, Proposal, TenantTable, parse_plan};
 use controller::{
-    ContactTiming, Controller, ControllerInput, ControllerOutput, ControllerTiming, DiskEvent,
+    Controller, ControllerInput, ControllerOutput, ControllerTiming, DiscoveryTiming, DiskEvent,
     DiskThread, OperatorRequest, PeerDiscovery, Quorum, Settings,
 };
 use quota::{Amount, TenantUse};
@@ -383,7 +383,10 @@
     fn ask(&mut self, ask: OperatorRequest) -> String {
         self.asked += 1;
         let number = self.asked;
-        let mut response = self.step(ControllerInput::Operator { number, ask });
+        let mut response = self.step(ControllerInput::Operator {
+            number,
+            request: ask,
+        });
         for _ in 0..1000 {
             response = response.or_else(|| self.tick());
         }
@@ -503,7 +506,7 @@
 #[test]
 fn the_spans_and_bounds_of_a_controller_are_as_ever() {
     let timing = ControllerTiming::default();
-    let contacts = golden_file::values_of(&ContactTiming::default());
+    let contacts = golden_file::values_of(&DiscoveryTiming::default());
     let text = format!("{}{contacts}", golden_file::values_of(&timing));
     golden_file::compare_text("timing.txt", &text);
 }
--- a/crates/simulator/src/world/door.rs
+++ b/crates/simulator/src/world/door.rs
@@ -95,7 +95,7 @@
             machine,
             ControllerInput::Operator {
                 number: call,
-                ask: OperatorRequest::Read(reading),
+                request: OperatorRequest::Read(reading),
             },
         );
     }
@@ -140,7 +140,7 @@
             machine,
             ControllerInput::Operator {
                 number: call,
-                ask: OperatorRequest::Propose(proposal),
+                request: OperatorRequest::Propose(proposal),
             },
         );
     }
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::world::{Mutant, World};
 use config::{History, MAX_HISTORY_ENTRIES};
-use controller::RelayInput;
+use controller::DisklessControllerInput;
 use placement::mix;
 use types::{Address, Milliseconds, MonotonicInstant, RequestId, TokenKey};
 use wire::LeaseResponse;
@@ -262,7 +262,7 @@
             self.make_stale(to, &mut message);
             self.step_node(machine, NodeInput::Message { from, message });
         } else if let Some(machine) = self.relays.iter().position(|m| m.address == to) {
-            self.step_relay(machine, RelayInput::Message { from, message });
+            self.step_relay(machine, DisklessControllerInput::Message { from, message });
         }
     }
 
--- a/crates/simulator/src/world/relays.rs
+++ b/crates/simulator/src/world/relays.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::world::{Mutant, World};
-use controller::{DisklessController, PeerDiscovery, RelayInput};
+use controller::{DisklessController, DisklessControllerInput, PeerDiscovery};
 use replication::LeaseStatus;
 use types::{Address, MonotonicInstant, ZoneName};
 
@@ -130,7 +130,7 @@
         }
     }
 
-    pub(super) fn step_relay(&mut self, machine: usize, input: RelayInput) {
+    pub(super) fn step_relay(&mut self, machine: usize, input: DisklessControllerInput) {
         let m = &mut self.relays[machine];
         let now = MonotonicInstant(self.now + m.offset);
         let address = m.address;
@@ -150,7 +150,7 @@
         if self.relays[machine].incarnation != incarnation {
             return;
         }
-        self.step_relay(machine, RelayInput::ClockEvent);
+        self.step_relay(machine, DisklessControllerInput::ClockEvent);
         let m = &self.relays[machine];
         let local = MonotonicInstant(self.now + m.offset);
         let pause = m
@@ -203,7 +203,7 @@
                 }
             }
             for machine in 0..self.relays.len() {
-                self.step_relay(machine, RelayInput::Seeds(seeds.clone()));
+                self.step_relay(machine, DisklessControllerInput::Seeds(seeds.clone()));
             }
         }
         for machine in 0..self.routers.len() {
