--- a/crates/controller/src/admin/pending_requests.rs
+++ b/crates/controller/src/admin/pending_requests.rs
@@ -1,9 +1,9 @@
-//! What operators wait for: readings at the tail and proposals to the head, tried again until their time is up.
+//! Operators' requests in flight: queries of the tail and proposals to the head, retried until their deadlines.
 
-use crate::controller::{Controller, ControllerOutput, OperatorRequest, Waiting};
+use crate::controller::{Controller, ControllerOutput, OperatorRequest};
 use config::{Command, Proposal};
 use replication::Input;
-use types::{Address, ConfigEpoch, Milliseconds, ResultCode};
+use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, ResultCode};
 use wire::{Message, Query};
 
 /// What the newest epoch was when a zone's change came in must be known within this, or it is not proposed: an
@@ -11,9 +11,31 @@
 /// turns to another controller.
 const SEEN_WITHIN: Milliseconds = Milliseconds(700);
 
+/// An operator's request in flight.
+pub(crate) struct PendingRequest {
+    /// What is requested.
+    pub(crate) request: OperatorRequest,
+    /// When it is attempted again; `None` while a response to its proposal is outstanding.
+    pub(crate) retry_at: Option<MonotonicInstant>,
+    /// A proposal that the core rejected for now is attempted again until then.
+    pub(crate) patience_deadline: MonotonicInstant,
+    /// Without a response by then the request ends: a query unanswered, a proposal with its fate unknown.
+    pub(crate) deadline: MonotonicInstant,
+    /// By then the tail must have answered what has to be known before the request is proposed.
+    pub(crate) precheck_deadline: MonotonicInstant,
+    /// Whether that is known: that the members to be removed are unreachable, or which epoch was the newest when a
+    /// zone's change came in.
+    pub(crate) is_prechecked: bool,
+    /// The number under which its query or its newest proposal goes out. No other request has it, in this incarnation
+    /// or an earlier one.
+    pub(crate) attempt: u64,
+    /// The replica that was queried last, while a query is outstanding. A response of any other is ignored.
+    pub(crate) queried: Option<Address>,
+}
+
 impl Controller {
-    pub(crate) fn on_operator(&mut self, number: u64, ask: OperatorRequest) {
-        let is_read = matches!(ask, OperatorRequest::Read(_));
+    pub(crate) fn on_operator(&mut self, number: u64, request: OperatorRequest) {
+        let is_read = matches!(request, OperatorRequest::Read(_));
         let deadline = self.now
             + if is_read {
                 self.timing.read_patience
@@ -21,103 +43,133 @@
                 self.timing.fate_deadline
             };
         let patience_deadline = self.now + self.timing.patience;
-        self.last_asked += 1;
-        let (next_try, asked) = (Some(self.now), self.last_asked);
-        let clear_deadline = match &ask {
+        self.last_attempt += 1;
+        let (retry_at, attempt) = (Some(self.now), self.last_attempt);
+        let precheck_deadline = match &request {
             OperatorRequest::Propose(proposal) if proposal.command.is_of_a_zone() => {
                 self.now + SEEN_WITHIN
             }
             _ => deadline,
         };
-        let is_cleared = false;
-        let waiting = Waiting {
-            ask,
-            next_try,
+        let is_prechecked = false;
+        let pending = PendingRequest {
+            request,
+            retry_at,
             patience_deadline,
             deadline,
-            clear_deadline,
-            is_cleared,
-            asked,
-            asked_of: None,
+            precheck_deadline,
+            is_prechecked,
+            attempt,
+            queried: None,
         };
-        self.waiting.insert(number, waiting);
+        self.pending.insert(number, pending);
         if !self.replica.has_reachable_majority(self.now) {
             // Nothing was asked or proposed yet, so this is final, and its operator loses no time here.
             return self.give_up(number, ResultCode::CoreNotReady);
         }
-        self.try_again(number);
+        self.retry(number);
     }
 
-    pub(crate) fn try_again(&mut self, number: u64) {
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+    /// Attempts a pending request again, unless one of its deadlines has passed.
+    pub(crate) fn retry(&mut self, number: u64) {
+        let Some(pending) = self.pending.get(&number) else {
             return;
         };
-        let retry_at = self.now + self.timing.replica.proposal_retry_interval;
-        if self.now >= waiting.deadline {
-            let code = match waiting.ask {
+        if self.now >= pending.deadline {
+            let code = match pending.request {
                 OperatorRequest::Read(_) => ResultCode::CoreNotReady,
                 OperatorRequest::Propose(_) => ResultCode::FateUnknown,
             };
             return self.give_up(number, code);
         }
-        if !waiting.is_cleared && self.now >= waiting.clear_deadline {
-            // Nothing was proposed; and what the tail tells from now on is newer than the request.
+        if !pending.is_prechecked && self.now >= pending.precheck_deadline {
+            // Nothing was proposed; and what the tail answers from now on is newer than the request.
             return self.give_up(number, ResultCode::CoreNotReady);
         }
-        match &waiting.ask {
-            OperatorRequest::Read(reading) => {
-                waiting.next_try = Some(retry_at);
-                let reading = reading.clone();
-                // A change's base may be read here: the head judges whether it's the newest.
-                let is_base = matches!(reading, Query::Base { at_least } if self.replica.state_machine().epoch >= at_least);
-                let is_known_here = || {
-                    let state = self.replica.state();
-                    state.is_healthy && state.view.contains(&state.me)
-                };
-                if self.may_respond() || (is_base && is_known_here()) {
-                    self.waiting.remove(&number);
-                    let (status, body) = self.read(&reading);
-                    self.outputs.push(ControllerOutput::Response {
-                        number,
-                        status,
-                        body,
-                    });
-                } else {
-                    self.ask_tail(number, reading);
-                }
-            }
-            OperatorRequest::Propose(proposal)
-                if !waiting.is_cleared
-                    && let Some(reading) = read_before(proposal) =>
-            {
-                waiting.next_try = Some(retry_at);
-                if self.may_respond() {
-                    let (status, body) = self.read(&reading);
-                    self.clear(number, status, body);
-                } else {
-                    self.ask_tail(number, reading);
-                }
-            }
+        match pending.request.clone() {
+            OperatorRequest::Read(query) => self.attempt_read(number, query),
             OperatorRequest::Propose(proposal) => {
-                // Each try has a number of its own: a late word on one says nothing of the next.
-                self.last_asked += 1;
-                (waiting.asked, waiting.asked_of) = (self.last_asked, None);
-                waiting.next_try = None;
-                let (number, body) = (waiting.asked, proposal.to_bytes());
-                self.drive(Input::Propose { number, body });
+                let precheck = precheck_query(&proposal).filter(|_| !pending.is_prechecked);
+                match precheck {
+                    Some(query) => self.attempt_precheck(number, query),
+                    None => self.attempt_proposal(number, &proposal),
+                }
             }
         }
     }
 
-    pub(crate) fn ask_tail(&mut self, number: u64, reading: Query) {
+    fn set_retry(&mut self, number: u64, retry_at: Option<MonotonicInstant>) {
+        if let Some(pending) = self.pending.get_mut(&number) {
+            pending.retry_at = retry_at;
+        }
+    }
+
+    fn attempt_read(&mut self, number: u64, query: Query) {
+        let retry_at = self.now + self.timing.replica.proposal_retry_interval;
+        self.set_retry(number, Some(retry_at));
+        if self.may_respond() || self.is_readable_here(&query) {
+            self.pending.remove(&number);
+            let (status, body) = self.read(&query);
+            self.respond(number, status, body);
+        } else {
+            self.query_tail(number, query);
+        }
+    }
+
+    /// Whether a replica that is not the tail may answer: the base of a change may be old, since the head rejects a
+    /// change of any but the newest.
+    fn is_readable_here(&self, query: &Query) -> bool {
+        let is_base = matches!(query, Query::Base { at_least } if self.replica.state_machine().epoch >= *at_least);
+        if !is_base {
+            return false;
+        }
+        let state = self.replica.state();
+        state.is_healthy && state.view.contains(&state.me)
+    }
+
+    /// Asks the tail what has to be known before the request may be proposed.
+    fn attempt_precheck(&mut self, number: u64, query: Query) {
+        let retry_at = self.now + self.timing.replica.proposal_retry_interval;
+        self.set_retry(number, Some(retry_at));
+        if self.may_respond() {
+            let (status, body) = self.read(&query);
+            self.on_precheck(number, status, body);
+        } else {
+            self.query_tail(number, query);
+        }
+    }
+
+    /// Proposes the change. Each attempt has a number of its own, so that a late response to one is not taken for a
+    /// response to the next.
+    fn attempt_proposal(&mut self, number: u64, proposal: &Proposal) {
+        let Some(pending) = self.pending.get_mut(&number) else {
+            return;
+        };
+        self.last_attempt += 1;
+        pending.attempt = self.last_attempt;
+        pending.queried = None;
+        pending.retry_at = None;
+        let (number, body) = (self.last_attempt, proposal.to_bytes());
+        self.drive(Input::Propose { number, body });
+    }
+
+    fn respond(&mut self, number: u64, status: u16, body: Vec<u8>) {
+        self.outputs.push(ControllerOutput::Response {
+            number,
+            status,
+            body,
+        });
+    }
+
+    pub(crate) fn query_tail(&mut self, number: u64, reading: Query) {
         let Some(tail) = self.replica.view().tail() else {
             return;
         };
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return;
         };
-        waiting.asked_of = Some(tail.address);
-        let number = waiting.asked;
+        pending.queried = Some(tail.address);
+        let number = pending.attempt;
         self.send(
             tail.address,
             Message::Ask {
@@ -129,61 +181,57 @@
 
     /// The tail's answer. It's taken only for the question that waits under this number, and only from
     /// the one that was asked last.
-    pub(crate) fn on_told(&mut self, from: Address, asked: u64, status: u16, body: Vec<u8>) {
-        let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of == Some(from);
-        let Some((&number, waiting)) = self.waiting.iter().find(|(_, waiting)| is_its(waiting))
+    pub(crate) fn on_told(&mut self, from: Address, attempt: u64, status: u16, body: Vec<u8>) {
+        let matches_attempt =
+            |pending: &PendingRequest| pending.attempt == attempt && pending.queried == Some(from);
+        let Some((&number, pending)) = self
+            .pending
+            .iter()
+            .find(|(_, pending)| matches_attempt(pending))
         else {
             return;
         };
-        if matches!(waiting.ask, OperatorRequest::Propose(_)) {
-            return self.clear(number, status, body);
+        if matches!(pending.request, OperatorRequest::Propose(_)) {
+            return self.on_precheck(number, status, body);
         }
-        self.waiting.remove(&number);
-        self.outputs.push(ControllerOutput::Response {
-            number,
-            status,
-            body,
-        });
+        self.pending.remove(&number);
+        self.respond(number, status, body);
     }
 
     /// The tail's word on what is to be known before it's proposed: which epoch is the newest, or whether those
     /// to be forgotten are heard. If nobody hears them, it's proposed; a tail that does not know yet is asked
     /// again; any other word is the operator's answer.
-    pub(crate) fn clear(&mut self, number: u64, status: u16, body: Vec<u8>) {
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+    pub(crate) fn on_precheck(&mut self, number: u64, status: u16, body: Vec<u8>) {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return;
         };
-        if waiting.is_cleared {
+        if pending.is_prechecked {
             return;
         }
-        if self.now >= waiting.clear_deadline {
+        if self.now >= pending.precheck_deadline {
             return self.give_up(number, ResultCode::CoreNotReady);
         }
         match status {
             200 => {
-                if let OperatorRequest::Propose(proposal) = &mut waiting.ask
+                if let OperatorRequest::Propose(proposal) = &mut pending.request
                     && proposal.command.is_of_a_zone()
                 {
                     let Ok(newest) = body.try_into() else { return };
                     proposal.seen = ConfigEpoch(u64::from_be_bytes(newest));
                 }
-                waiting.is_cleared = true;
-                self.try_again(number);
+                pending.is_prechecked = true;
+                self.retry(number);
             }
-            503 if self.now < waiting.patience_deadline => {}
+            503 if self.now < pending.patience_deadline => {}
             _ => {
-                self.waiting.remove(&number);
-                self.outputs.push(ControllerOutput::Response {
-                    number,
-                    status,
-                    body,
-                });
+                self.pending.remove(&number);
+                self.respond(number, status, body);
             }
         }
     }
 
     pub(crate) fn give_up(&mut self, number: u64, code: ResultCode) {
-        self.waiting.remove(&number);
+        self.pending.remove(&number);
         let body = serde_json::json!({"code": code.number(), "result": code.word(), "why": code.meaning()});
         let body = serde_json::to_vec(&body).expect("a JSON value is JSON");
         self.outputs.push(ControllerOutput::Response {
@@ -194,23 +242,23 @@
     }
 
     /// The core's answer to a proposal made here, taken only for the newest try of an operator's.
-    pub(crate) fn on_response(&mut self, asked: u64, is_final: bool, body: Vec<u8>) {
-        let is_its = |waiting: &Waiting| waiting.asked == asked && waiting.asked_of.is_none();
-        let Some((&number, waiting)) = self.waiting.iter_mut().find(|(_, waiting)| is_its(waiting))
+    pub(crate) fn on_response(&mut self, attempt: u64, is_final: bool, body: Vec<u8>) {
+        let matches_attempt =
+            |pending: &PendingRequest| pending.attempt == attempt && pending.queried.is_none();
+        let Some((&number, pending)) = self
+            .pending
+            .iter_mut()
+            .find(|(_, pending)| matches_attempt(pending))
         else {
             return;
         };
         if is_final {
-            self.waiting.remove(&number);
+            self.pending.remove(&number);
             let status = status_of(&body);
-            self.outputs.push(ControllerOutput::Response {
-                number,
-                status,
-                body,
-            });
-        } else if self.now < waiting.patience_deadline {
+            self.respond(number, status, body);
+        } else if self.now < pending.patience_deadline {
             // The core did not take it, so asking again can't do it twice.
-            waiting.next_try = Some(self.now + self.timing.replica.proposal_retry_interval);
+            pending.retry_at = Some(self.now + self.timing.replica.proposal_retry_interval);
         } else {
             self.give_up(number, ResultCode::CoreNotReady);
         }
@@ -218,7 +266,7 @@
 }
 
 /// What the tail must be asked before this is proposed.
-fn read_before(proposal: &Proposal) -> Option<Query> {
+fn precheck_query(proposal: &Proposal) -> Option<Query> {
     match &proposal.command {
         Command::ForceRemove { members } => Some(Query::Heard {
             id: proposal.id.clone(),
--- a/crates/controller/src/admin/queries.rs
+++ b/crates/controller/src/admin/queries.rs
@@ -70,7 +70,8 @@
                     at.is_some_and(|at| self.now.since(*at) < FORGET_AFTER)
                 };
                 let is_heard = |member: &&Address| {
-                    is_recent(self.seen.get(*member)) || is_recent(self.told_of.get(*member))
+                    is_recent(self.seen.get(*member))
+                        || is_recent(self.reported_reachable.get(*member))
                 };
                 let heard: Vec<String> = members
                     .iter()
--- a/crates/controller/src/consensus.rs
+++ b/crates/controller/src/consensus.rs
@@ -1,3 +1,4 @@
-//! Driver of the replicated log: the thread that owns the data folder.
+//! Driver of the replicated log: the thread that owns the data folder, and the inputs and outputs of the replica.
 
 pub(crate) mod disk_thread;
+mod driver;
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,164 +1,26 @@
+//! The controller's state machine: it takes one input at a time and returns what is to be done, without threads, clocks
+//! or I/O of its own.
+
+use crate::admin::pending_requests::PendingRequest;
 use crate::discovery::peer_discovery::PeerDiscovery;
-use config::{Command, ConfigStateMachine, Proposal};
-use quota::{QuotaAuthority, QuotaBounds};
-use replication::{
-    ChangeRequestId, Input, LeaseTable, Output, Record, Replica, ReplicationMessage, Timing, View,
-};
-use schematic::ConfigEnum;
+use config::{Command, ConfigStateMachine};
+use quota::QuotaAuthority;
+use replication::{ChangeRequestId, Input, LeaseTable, Replica};
 use std::collections::{BTreeMap, VecDeque};
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TokenKey, ViewNumber};
-use wire::{CoreLocation, LeaseRequest, Message, Query, SPLICE_MOST};
-
-/// The spans that a controller goes by besides the replica's own.
-#[derive(Debug, Clone, Copy)]
-pub struct ControllerTiming {
-    /// The replica's.
-    pub replica: Timing,
-    /// A member's lease.
-    pub lease: Milliseconds,
-    /// Between changes of the membership by which newcomers are let in.
-    pub join: Milliseconds,
-    /// A proposal that the core can't take is tried again for this long.
-    pub patience: Milliseconds,
-    /// A reading that the tail doesn't answer is given up after this, before its operator turns elsewhere (after a
-    /// second of silence on the users' platform).
-    pub read_patience: Milliseconds,
-    /// Without an answer by then, a proposal's fate is unknown.
-    pub fate_deadline: Milliseconds,
-    /// A member without a lease for this long is a member no more.
-    pub retire_after: Milliseconds,
-    /// Who must know a change.
-    pub quorum: Quorum,
-    /// By how much tenants' quotas may be exceeded.
-    pub quota: QuotaBounds,
-}
+use wire::{LeaseRequest, Message};
 
-impl Default for ControllerTiming {
-    fn default() -> Self {
-        ControllerTiming {
-            replica: Timing::default(),
-            lease: Milliseconds(2000),
-            join: Milliseconds(1000),
-            patience: Milliseconds(4000),
-            read_patience: Milliseconds(700),
-            fate_deadline: Milliseconds(8000),
-            retire_after: Milliseconds::seconds(60),
-            quorum: Quorum::Majority,
-            quota: QuotaBounds::default(),
-        }
-    }
-}
+mod events;
+mod timing;
 
-/// Who must know a change before it is told as accepted (docs/isolation.md).
-#[derive(
-    Debug,
-    Clone,
-    Copy,
-    Default,
-    PartialEq,
-    Eq,
-    ConfigEnum,
-    clap::ValueEnum,
-    serde::Serialize,
-    serde::Deserialize,
-)]
-#[serde(rename_all = "kebab-case")]
-pub enum Quorum {
-    /// More than half of the members; and changes are taken only while as many hold leases. Whoever is
-    /// cut off from the core stops, however many they are.
-    #[default]
-    Majority,
-    /// Whoever holds a lease, however few these are. A group without leases that is at least half of the
-    /// members goes on as it was, until it meets the core again.
-    Holders,
-}
+pub use events::{ControllerInput, ControllerOutput, OperatorRequest};
+pub use timing::{ControllerTiming, Quorum};
 
-/// What an operator wants.
-#[derive(Debug, Clone)]
-pub enum OperatorRequest {
-    /// Something read at the tail.
-    Read(Query),
-    /// Something changed.
-    Propose(Proposal),
-}
-
-/// What a controller is told.
-#[derive(Debug, Clone)]
-pub enum ControllerInput {
-    /// A letter came.
-    Message {
-        /// From there.
-        from: Address,
-        /// It.
-        message: Message,
-    },
-    /// An operator asks, under this number.
-    Operator {
-        /// The number.
-        number: u64,
-        /// What.
-        request: OperatorRequest,
-    },
-    /// Whoever asked under this number has gone, or waits no longer: nothing more is done for it.
-    Abandoned {
-        /// The number.
-        number: u64,
-    },
-    /// The settings name these seeds now.
-    Seeds(Vec<Address>),
-    /// Time has passed.
-    ClockEvent,
-    /// Writes are synced.
-    Written {
-        /// Up to this one.
-        id: u64,
-    },
-    /// The disk refused a write.
-    DiskFault,
-    /// This process is to stop.
-    Leave,
-}
-
-/// What a controller wants done.
-#[allow(clippy::large_enum_variant)] // A letter is moved once, straight to its line.
-#[derive(Debug, Clone, PartialEq)]
-pub enum ControllerOutput {
-    /// Send a letter.
-    Send {
-        /// To there.
-        to: Address,
-        /// On the bulk line.
-        is_bulk: bool,
-        /// It.
-        message: Message,
-    },
-    /// Write records.
-    Write {
-        /// Under this id.
-        id: u64,
-        /// They.
-        records: Vec<Record>,
-        /// In place of all before.
-        is_whole: bool,
-    },
-    /// Answer an operator.
-    Response {
-        /// Its number.
-        number: u64,
-        /// HTTP status.
-        status: u16,
-        /// The body.
-        body: Vec<u8>,
-    },
-    /// The view changed.
-    ViewChanged(View),
-}
-
-/// A controller's control state: the replica with the ledger, the members' leases, and who waits for
-/// what.
+/// A controller's state: the replica with the configuration, the members' leases, and the requests in flight.
 ///
-/// Invariants: news and answers leave only while the replica may answer. "Accepted" is said only once
-/// as many members as the quorum asks for are known to have the news.
+/// Invariants: configuration updates and responses leave only while the replica may answer for the core, that is while
+/// it is the tail and holds its lease. A change is acknowledged to its operator only once as many members as
+/// [`Quorum`] requires are known to have it.
 pub struct Controller {
     pub(crate) replica: Replica<ConfigStateMachine>,
     /// Where the core is, for those who ask here and for this one, should it have been away.
@@ -173,7 +35,7 @@
     pub(crate) leases_since: MonotonicInstant,
     pub(crate) seen: BTreeMap<Address, MonotonicInstant>,
     /// When any member last said that it hears this one.
-    pub(crate) told_of: BTreeMap<Address, MonotonicInstant>,
+    pub(crate) reported_reachable: BTreeMap<Address, MonotonicInstant>,
     /// Since when it has replied for the core without a break.
     pub(crate) responses_since: Option<MonotonicInstant>,
     /// Members that polled lately: they are told news at once.
@@ -186,12 +48,12 @@
     pub(crate) settle_deadline: MonotonicInstant,
     pub(crate) retire_deadline: MonotonicInstant,
     /// When members without a lease are called next, and who was called last.
-    pub(crate) next_call: MonotonicInstant,
-    pub(crate) last_called: Option<Address>,
-    pub(crate) settled: VecDeque<Settled>,
-    pub(crate) waiting: BTreeMap<u64, Waiting>,
+    pub(crate) next_notification: MonotonicInstant,
+    pub(crate) last_notified: Option<Address>,
+    pub(crate) committed: VecDeque<CommittedChange>,
+    pub(crate) pending: BTreeMap<u64, PendingRequest>,
     /// The last number under which something went out for an operator.
-    pub(crate) last_asked: u64,
+    pub(crate) last_attempt: u64,
     pub(crate) next_inner: u64,
     pub(crate) outputs: Vec<ControllerOutput>,
     pub(crate) poll_count: u64,
@@ -203,32 +65,15 @@
     pub(crate) deadline: MonotonicInstant,
 }
 
-pub(crate) struct Settled {
+pub(crate) struct CommittedChange {
     pub(crate) epoch: ConfigEpoch,
     pub(crate) request_id: ChangeRequestId,
     pub(crate) body: Vec<u8>,
     pub(crate) deadline: MonotonicInstant,
 }
 
-pub(crate) struct Waiting {
-    pub(crate) ask: OperatorRequest,
-    pub(crate) next_try: Option<MonotonicInstant>,
-    pub(crate) patience_deadline: MonotonicInstant,
-    pub(crate) deadline: MonotonicInstant,
-    /// By then the tail must have said what is to be known before it's proposed.
-    pub(crate) clear_deadline: MonotonicInstant,
-    /// Whether that is known: that nobody hears those whom it would forget, or what was the newest epoch when
-    /// a zone's change came in.
-    pub(crate) is_cleared: bool,
-    /// The number under which its question, or its newest proposal, goes out; no other has it, in this
-    /// life or an earlier one.
-    pub(crate) asked: u64,
-    /// Who was asked, while it's a question that waits. Nobody else answers it.
-    pub(crate) asked_of: Option<Address>,
-}
-
-/// Numbers from here on are the controller's own proposals.
-pub(crate) const INNER: u64 = 1 << 62;
+/// Request numbers from here on are those of the controller's own proposals; operators' are below.
+pub(crate) const INTERNAL_REQUESTS: u64 = 1 << 62;
 
 impl Controller {
     /// A controller around a replica at the start of its life. `contacts` knows where it is reached and its seeds.
@@ -243,7 +88,7 @@
         incarnation: u64,
         now: MonotonicInstant,
     ) -> Self {
-        let first = incarnation % (INNER / 2);
+        let first = incarnation % (INTERNAL_REQUESTS / 2);
         Controller {
             replica,
             contacts,
@@ -254,7 +99,7 @@
             leases: LeaseTable::default(),
             leases_since: now,
             seen: BTreeMap::new(),
-            told_of: BTreeMap::new(),
+            reported_reachable: BTreeMap::new(),
             responses_since: None,
             subscribers: BTreeMap::new(),
             joining: BTreeMap::new(),
@@ -262,12 +107,12 @@
             join_deadline: now,
             settle_deadline: now,
             retire_deadline: now + timing.retire_after,
-            next_call: now,
-            last_called: None,
-            settled: VecDeque::new(),
-            waiting: BTreeMap::new(),
-            last_asked: first,
-            next_inner: INNER + first,
+            next_notification: now,
+            last_notified: None,
+            committed: VecDeque::new(),
+            pending: BTreeMap::new(),
+            last_attempt: first,
+            next_inner: INTERNAL_REQUESTS + first,
             outputs: vec![],
             poll_count: 0,
         }
@@ -284,7 +129,7 @@
     /// When the next clock event is due at the latest.
     pub fn next_timer(&self) -> MonotonicInstant {
         let is_pending =
-            !self.waiting.is_empty() || !self.settled.is_empty() || !self.joining.is_empty();
+            !self.pending.is_empty() || !self.committed.is_empty() || !self.joining.is_empty();
         if is_pending || self.replica.is_busy() {
             self.now + Milliseconds(25)
         } else {
@@ -303,7 +148,7 @@
             ControllerInput::Message { from, message } => self.on_message(from, message),
             ControllerInput::Operator { number, request } => self.on_operator(number, request),
             ControllerInput::Abandoned { number } => {
-                self.waiting.remove(&number);
+                self.pending.remove(&number);
             }
             ControllerInput::ClockEvent => {
                 self.drive(Input::Tick);
@@ -323,73 +168,6 @@
         self.replica.may_respond(self.now)
     }
 
-    /// Has the replica take an input, and does what it wants.
-    pub(crate) fn drive(&mut self, input: Input) {
-        for output in self.replica.step(self.now, input) {
-            match output {
-                Output::Send { to, message } => self.send_message(to, message),
-                Output::Write {
-                    id,
-                    records,
-                    replaces_all: is_whole,
-                } => {
-                    self.outputs.push(ControllerOutput::Write {
-                        id,
-                        records,
-                        is_whole,
-                    });
-                }
-                Output::Response {
-                    number,
-                    is_final,
-                    body,
-                } => self.on_response(number, is_final, body),
-                Output::ChangeRejected { request_id, body }
-                    if self.is_firm(self.replica.state_machine().epoch) =>
-                {
-                    self.answer(request_id, body);
-                }
-                Output::Committed { request_id, body }
-                | Output::ChangeRejected { request_id, body } => {
-                    let epoch = self.replica.state_machine().epoch;
-                    let deadline = self.now + self.timing.fate_deadline;
-                    self.settled.push_back(Settled {
-                        epoch,
-                        request_id,
-                        body,
-                        deadline,
-                    });
-                }
-                Output::ViewChanged(view) => {
-                    self.keep_quotas(&view);
-                    self.leases.clear();
-                    self.leases_since = self.now;
-                    self.retire_deadline = self.now + self.timing.retire_after;
-                    self.outputs.push(ControllerOutput::ViewChanged(view));
-                }
-            }
-        }
-    }
-
-    pub(crate) fn send_message(&mut self, to: Address, message: ReplicationMessage) {
-        let is_bulk = match &message {
-            ReplicationMessage::SnapshotChunk { .. } | ReplicationMessage::CatchUpBatch { .. } => {
-                true
-            }
-            ReplicationMessage::Forward { change, .. } => change.body.len() > 64 << 10,
-            ReplicationMessage::Propose { body, .. }
-            | ReplicationMessage::ConfirmRejection { body, .. } => body.len() > 64 << 10,
-            _ => false,
-        };
-        self.outputs.push(ControllerOutput::Send {
-            to,
-            is_bulk,
-            message: Message::Replication {
-                message: Box::new(message),
-            },
-        });
-    }
-
     pub(crate) fn send(&mut self, to: Address, message: Message) {
         let is_bulk = matches!(message, Message::PlanChunk { .. } | Message::Told { .. });
         self.outputs.push(ControllerOutput::Send {
@@ -451,33 +229,6 @@
         }
     }
 
-    /// Another controller tells where the core is.
-    pub(crate) fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
-        self.contacts
-            .learn(self.replica.view().epoch, self.voters());
-        let answer = self
-            .contacts
-            .on_location(self.now, from, location, is_answer);
-        let (view, voters) = self.contacts.core();
-        self.replica.learn_contacts(view, voters);
-        answer
-            .into_iter()
-            .for_each(|message| self.send(from, message));
-    }
-
-    /// Tells the seeds where the core is, once in a while.
-    pub(crate) fn exchange_contacts(&mut self) {
-        if self.now < self.contacts.next_timer() {
-            return;
-        }
-        self.contacts
-            .learn(self.replica.view().epoch, self.voters());
-        let messages = self.contacts.on_clock(self.now);
-        messages
-            .into_iter()
-            .for_each(|(seed, message)| self.send(seed, message));
-    }
-
     pub(crate) fn voters(&self) -> Vec<Address> {
         self.replica
             .view()
@@ -487,47 +238,6 @@
             .collect()
     }
 
-    /// Gives an answer for the core, if this is still the tail and may.
-    pub(crate) fn answer(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
-        match self.replica.respond(self.now, request_id, body) {
-            Some(Output::Send { to, message }) => self.send_message(to, message),
-            Some(Output::Response {
-                number,
-                is_final,
-                body,
-            }) => self.on_response(number, is_final, body),
-            _ => {}
-        }
-    }
-
-    /// Whether as many know this epoch as must.
-    pub(crate) fn is_known(&self, epoch: ConfigEpoch) -> bool {
-        let membership = &self.replica.state_machine().membership;
-        match self.timing.quorum {
-            Quorum::Majority => self.leases.is_known_to_most(membership, epoch),
-            // A new tail doesn't know what leases the last one gave: they must have run out.
-            Quorum::Holders => {
-                let is_old_gone = self.now.since(self.leases_since) >= self.timing.lease;
-                self.leases.is_known_to_all(membership, epoch)
-                    || (is_old_gone && self.leases.is_known_to_holders(epoch, self.now))
-            }
-        }
-    }
-
-    /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
-    /// members must know it, its answer alone waits for them: they may be gone since.
-    pub(crate) fn is_firm(&self, epoch: ConfigEpoch) -> bool {
-        self.replica.has_min_chain_length()
-            && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
-    }
-
-    pub(crate) fn has_quorum(&self) -> bool {
-        let membership = &self.replica.state_machine().membership;
-        let has_member_majority =
-            self.timing.quorum == Quorum::Holders || self.leases.has_majority(membership, self.now);
-        self.may_respond() && has_member_majority
-    }
-
     pub(crate) fn on_clock_event(&mut self) {
         let has_majority = self.has_quorum();
         self.replica.set_has_member_majority(has_majority);
@@ -543,7 +253,7 @@
                 self.propose_inner(Command::SetTokenKey { key: self.key });
             }
             self.admit();
-            self.call_members();
+            self.notify_unleased();
             if has_majority {
                 self.settle();
                 self.retire();
@@ -553,52 +263,16 @@
         self.subscribers
             .retain(|_, subscriber| now < subscriber.deadline);
         let deadline: Vec<u64> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| {
-                waiting.next_try.is_some_and(|at| now >= at) || now >= waiting.deadline
+            .filter(|(_, pending)| {
+                pending.retry_at.is_some_and(|at| now >= at) || now >= pending.deadline
             })
             .map(|(number, _)| *number)
             .collect();
         for number in deadline {
-            self.try_again(number);
-        }
-    }
-
-    pub(crate) fn propose_inner(&mut self, command: Command) {
-        self.next_inner += 1;
-        let proposal = Proposal {
-            id: String::new(),
-            builds_on: None,
-            seen: ConfigEpoch(0),
-            command,
-        };
-        self.drive(Input::Propose {
-            number: self.next_inner,
-            body: proposal.to_bytes(),
-        });
-    }
-
-    pub(crate) fn on_plan_ask(
-        &mut self,
-        from: Address,
-        epoch: ConfigEpoch,
-        offset: u64,
-        have: ConfigEpoch,
-    ) {
-        let config_state = self.replica.state_machine();
-        if let Some((base, delta)) = &config_state.newest
-            && (epoch, have, offset) == (config_state.plan_epoch, *base, 0)
-            && delta.inserted.len() <= SPLICE_MOST
-        {
-            let (base, delta) = (*base, delta.clone());
-            return self.send(from, Message::PlanDelta { epoch, base, delta });
+            self.retry(number);
         }
-        let piece = Message::plan_chunk(epoch, &config_state.plan, offset)
-            .filter(|_| config_state.plan_epoch == epoch);
-        piece
-            .into_iter()
-            .for_each(|message| self.send(from, message));
     }
 }
 
--- a/crates/controller/src/discovery.rs
+++ b/crates/controller/src/discovery.rs
@@ -2,5 +2,6 @@
 
 pub(crate) mod diskless_controller;
 pub(crate) mod diskless_daemon;
+mod exchange;
 pub(crate) mod peer_discovery;
 pub(crate) mod redirect;
--- a/crates/controller/src/discovery/diskless_controller/tests.rs
+++ b/crates/controller/src/discovery/diskless_controller/tests.rs
@@ -75,22 +75,22 @@
 fn it_asks_its_seeds_and_heeds_new_ones_at_once() {
     let now = MonotonicInstant(100_000);
     let mut relay = DisklessController::new(at(9), vec![at(8)], now);
-    let asked = |messages: Vec<(Address, Message)>| {
+    let attempt = |messages: Vec<(Address, Message)>| {
         messages.into_iter().map(|(to, _)| to).collect::<Vec<_>>()
     };
     assert_eq!(
-        asked(relay.step(now, DisklessControllerInput::ClockEvent)),
+        attempt(relay.step(now, DisklessControllerInput::ClockEvent)),
         [at(8)]
     );
     assert_eq!(
-        asked(relay.step(
+        attempt(relay.step(
             now + Milliseconds(50),
             DisklessControllerInput::Seeds(vec![at(8)])
         )),
         []
     );
     assert_eq!(
-        asked(relay.step(
+        attempt(relay.step(
             now + Milliseconds(60),
             DisklessControllerInput::Seeds(vec![at(7), at(6)])
         )),
--- /dev/null
+++ b/crates/controller/src/discovery/exchange.rs
@@ -0,0 +1,87 @@
+//! A controller's exchange of the core's location with its seeds and with other controllers.
+
+use crate::controller::Controller;
+use std::collections::BTreeSet;
+use types::{Address, Milliseconds};
+use wire::{CoreLocation, Message};
+
+/// Between calls of members without a lease,
+const NOTIFICATION_PERIOD: Milliseconds = Milliseconds(1000);
+/// and how many are called at once: 5 KB a second at most.
+const NOTIFIED_AT_ONCE: usize = 16;
+
+impl Controller {
+    /// Another controller tells where the core is.
+    pub(crate) fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
+        self.contacts
+            .learn(self.replica.view().epoch, self.voters());
+        let answer = self
+            .contacts
+            .on_location(self.now, from, location, is_answer);
+        let (view, voters) = self.contacts.core();
+        self.replica.learn_contacts(view, voters);
+        answer
+            .into_iter()
+            .for_each(|message| self.send(from, message));
+    }
+
+    /// Tells the seeds where the core is, once in a while.
+    pub(crate) fn exchange_contacts(&mut self) {
+        if self.now < self.contacts.next_timer() {
+            return;
+        }
+        self.contacts
+            .learn(self.replica.view().epoch, self.voters());
+        let messages = self.contacts.on_clock(self.now);
+        messages
+            .into_iter()
+            .for_each(|(seed, message)| self.send(seed, message));
+    }
+
+    /// Tells members without a lease where the core is: those whose seeds are all gone can't ask. Some at a time, by
+    /// turns, and only once all that know it had time to ask.
+    pub(crate) fn notify_unleased(&mut self) {
+        let has_listened = self
+            .responses_since
+            .is_some_and(|since| self.now.since(since) >= self.timing.lease);
+        if !has_listened || self.now < self.next_notification {
+            return;
+        }
+        self.next_notification = self.now + NOTIFICATION_PERIOD;
+        let leased: BTreeSet<Address> = self
+            .leases
+            .live(self.now)
+            .into_iter()
+            .map(|(member, _)| member)
+            .collect();
+        let members = &self.replica.state_machine().membership.members;
+        let mut unleased: Vec<Address> = members
+            .iter()
+            .filter(|member| !leased.contains(member))
+            .copied()
+            .collect();
+        unleased.sort();
+        let behind_last = unleased
+            .iter()
+            .take_while(|member| Some(**member) <= self.last_notified)
+            .count();
+        unleased.rotate_left(behind_last);
+        unleased.truncate(NOTIFIED_AT_ONCE);
+        let location = CoreLocation {
+            view: self.replica.view().epoch,
+            voters: self.voters(),
+            controllers: vec![],
+        };
+        for member in unleased {
+            self.last_notified = Some(member);
+            let location = Box::new(location.clone());
+            self.send(
+                member,
+                Message::CoreLocation {
+                    location,
+                    is_answer: true,
+                },
+            );
+        }
+    }
+}
--- a/crates/controller/src/discovery/peer_discovery.rs
+++ b/crates/controller/src/discovery/peer_discovery.rs
@@ -35,13 +35,13 @@
 }
 
 /// Controllers that one letter tells of: with the voters of the largest core it fits a datagram.
-const MOST_TOLD: usize = 6;
+const MAX_CONTACTS: usize = 6;
 
 /// A controller with a disk, as it was last heard of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Contact {
     admin: Address,
-    heard: MonotonicInstant,
+    last_seen: MonotonicInstant,
 }
 
 /// What a controller knows of where the core is.
@@ -59,7 +59,7 @@
     voters: Vec<Address>,
     controllers: BTreeMap<Address, Contact>,
     next_exchange: MonotonicInstant,
-    has_answer: bool,
+    is_answered: bool,
 }
 
 impl PeerDiscovery {
@@ -79,7 +79,7 @@
             voters: vec![],
             controllers: BTreeMap::new(),
             next_exchange: now,
-            has_answer: false,
+            is_answered: false,
         }
     }
 
@@ -88,7 +88,7 @@
         if seeds != self.seeds {
             self.seeds = seeds;
             self.next_exchange = now;
-            self.has_answer = false;
+            self.is_answered = false;
         }
     }
 
@@ -110,7 +110,7 @@
         if now < self.next_exchange {
             return vec![];
         }
-        let pause = match (self.has_answer, self.own_admin) {
+        let pause = match (self.is_answered, self.own_admin) {
             (false, _) => self.timing.first_exchange,
             (true, Some(_)) => self.timing.exchange,
             (true, None) => self.timing.relay_exchange,
@@ -118,10 +118,10 @@
         self.next_exchange = now + pause;
         let expire_after = self.timing.expire_after;
         self.controllers
-            .retain(|_, contact| now.since(contact.heard) < expire_after);
+            .retain(|_, contact| now.since(contact.last_seen) < expire_after);
         let others = self.seeds.iter().filter(|seed| **seed != self.own);
         let message = Message::CoreLocation {
-            location: Box::new(self.question(now)),
+            location: Box::new(self.own_location(now)),
             is_answer: false,
         };
         others.map(|seed| (*seed, message.clone())).collect()
@@ -140,7 +140,7 @@
         location: &CoreLocation,
         is_answer: bool,
     ) -> Option<Message> {
-        self.has_answer |= is_answer;
+        self.is_answered |= is_answer;
         self.learn(location.view, location.voters.iter().copied());
         let own = self.own;
         let others = location
@@ -148,23 +148,23 @@
             .iter()
             .filter(|contact| contact.inner != own);
         others.for_each(|contact| self.take_contact(now, contact));
-        let answer = || Message::CoreLocation {
-            location: Box::new(self.answer(now, from, location)),
+        let response_to = || Message::CoreLocation {
+            location: Box::new(self.response_to(now, from, location)),
             is_answer: true,
         };
-        (!is_answer).then(answer)
+        (!is_answer).then(response_to)
     }
 
     fn take_contact(&mut self, now: MonotonicInstant, contact: &ControllerContact) {
-        let heard = now - contact.age;
+        let last_seen = now - contact.age;
         let known = self.controllers.entry(contact.inner).or_insert(Contact {
             admin: contact.admin,
-            heard,
+            last_seen,
         });
-        if heard >= known.heard {
+        if last_seen >= known.last_seen {
             *known = Contact {
                 admin: contact.admin,
-                heard,
+                last_seen,
             };
         }
     }
@@ -191,10 +191,10 @@
     }
 
     /// What it tells its seeds. One with a disk tells of itself alone, as each other such one does.
-    fn question(&self, now: MonotonicInstant) -> CoreLocation {
+    fn own_location(&self, now: MonotonicInstant) -> CoreLocation {
         let controllers = self
             .own_contact()
-            .map_or_else(|| self.told(now), |own| vec![own]);
+            .map_or_else(|| self.known_controllers(now), |own| vec![own]);
         CoreLocation {
             view: self.view,
             voters: self.voters.clone(),
@@ -203,17 +203,26 @@
     }
 
     /// What the asker lacks: the voters if its view is older, and whom operators may be sent to if it has no disk.
-    fn answer(&self, now: MonotonicInstant, asker: Address, asked: &CoreLocation) -> CoreLocation {
-        let has_disk = asked
+    fn response_to(
+        &self,
+        now: MonotonicInstant,
+        requester: Address,
+        request: &CoreLocation,
+    ) -> CoreLocation {
+        let has_disk = request
             .controllers
             .iter()
-            .any(|contact| contact.inner == asker);
-        let voters = if asked.view < self.view {
+            .any(|contact| contact.inner == requester);
+        let voters = if request.view < self.view {
             self.voters.clone()
         } else {
             vec![]
         };
-        let controllers = if has_disk { vec![] } else { self.told(now) };
+        let controllers = if has_disk {
+            vec![]
+        } else {
+            self.known_controllers(now)
+        };
         CoreLocation {
             view: self.view,
             voters,
@@ -229,17 +238,17 @@
         })
     }
 
-    fn told(&self, now: MonotonicInstant) -> Vec<ControllerContact> {
+    fn known_controllers(&self, now: MonotonicInstant) -> Vec<ControllerContact> {
         self.own_contact()
             .into_iter()
             .chain(self.latest(now))
-            .take(MOST_TOLD)
+            .take(MAX_CONTACTS)
             .collect()
     }
 
     fn latest(&self, now: MonotonicInstant) -> Vec<ControllerContact> {
         let contact = |(inner, contact): (&Address, &Contact)| {
-            let (admin, age) = (contact.admin, now.since(contact.heard));
+            let (admin, age) = (contact.admin, now.since(contact.last_seen));
             ControllerContact {
                 inner: *inner,
                 admin,
--- a/crates/controller/src/discovery/peer_discovery/tests.rs
+++ b/crates/controller/src/discovery/peer_discovery/tests.rs
@@ -59,9 +59,9 @@
     );
     // A newcomer with a disk that knows the seed alone.
     let mut newcomer = PeerDiscovery::new(at(3), Some(at(53)), vec![at(9)], start);
-    let asked = newcomer.on_clock(start + Milliseconds(6));
+    let attempt = newcomer.on_clock(start + Milliseconds(6));
     let answer = seed
-        .on_location(start + Milliseconds(7), at(3), said(&asked[0].1), false)
+        .on_location(start + Milliseconds(7), at(3), said(&attempt[0].1), false)
         .expect("an answer");
     assert_eq!(
         newcomer.on_location(start + Milliseconds(8), at(9), said(&answer), true),
@@ -70,9 +70,9 @@
     assert_eq!(newcomer.core(), (ViewNumber(4), &[at(1), at(2)][..]));
     // One without a disk that is no seed.
     let mut relay = PeerDiscovery::new(at(7), None, vec![at(9)], start);
-    let asked = relay.on_clock(start + Milliseconds(9));
+    let attempt = relay.on_clock(start + Milliseconds(9));
     let answer = seed
-        .on_location(start + Milliseconds(10), at(7), said(&asked[0].1), false)
+        .on_location(start + Milliseconds(10), at(7), said(&attempt[0].1), false)
         .expect("an answer");
     relay.on_location(start + Milliseconds(11), at(9), said(&answer), true);
     assert_eq!(relay.core(), newcomer.core());
@@ -88,8 +88,8 @@
     let mut relay = PeerDiscovery::new(at(7), None, vec![at(9)], start);
     relay.on_location(start, at(1), &location(4, &[1, 2], &[(1, 0)]), true);
     let mut seed = PeerDiscovery::new(at(9), None, vec![at(7)], start);
-    let asked = relay.on_clock(start + Milliseconds(5));
-    seed.on_location(start + Milliseconds(10), at(7), said(&asked[0].1), false);
+    let attempt = relay.on_clock(start + Milliseconds(5));
+    seed.on_location(start + Milliseconds(10), at(7), said(&attempt[0].1), false);
     assert_eq!(
         (seed.core(), seed.admin_addresses(start + Milliseconds(10))),
         (relay.core(), vec![at(51)])
@@ -233,7 +233,10 @@
         .iter()
         .map(|contact| contact.inner)
         .collect();
-    assert_eq!((told[0], told[1], told.len()), (at(99), at(1), MOST_TOLD));
+    assert_eq!(
+        (told[0], told[1], told.len()),
+        (at(99), at(1), MAX_CONTACTS)
+    );
 }
 
 /// 14 controllers in seven zones, half of them with a disk, five of which vote; all name the same three seeds. A seed
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -1,3 +1,8 @@
-//! Membership of routers: their leases, the configuration updates that they are sent, and who joins and leaves.
+//! Membership of routers: their leases, the configuration updates that they are sent and acknowledge, and who joins and
+//! leaves.
 
+mod acknowledgements;
+mod changes;
+mod config_updates;
 mod leases;
+mod plan_transfer;
--- /dev/null
+++ b/crates/controller/src/membership/acknowledgements.rs
@@ -0,0 +1,34 @@
+//! Acknowledgements of a configuration: which members must know an epoch before it counts as accepted.
+
+use crate::controller::{Controller, Quorum};
+use types::ConfigEpoch;
+
+impl Controller {
+    /// Whether as many know this epoch as must.
+    pub(crate) fn is_known(&self, epoch: ConfigEpoch) -> bool {
+        let membership = &self.replica.state_machine().membership;
+        match self.timing.quorum {
+            Quorum::Majority => self.leases.is_known_to_most(membership, epoch),
+            // A new tail doesn't know what leases the last one gave: they must have run out.
+            Quorum::Holders => {
+                let is_old_gone = self.now.since(self.leases_since) >= self.timing.lease;
+                self.leases.is_known_to_all(membership, epoch)
+                    || (is_old_gone && self.leases.is_known_to_holders(epoch, self.now))
+            }
+        }
+    }
+
+    /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
+    /// members must know it, its answer alone waits for them: they may be gone since.
+    pub(crate) fn is_firm(&self, epoch: ConfigEpoch) -> bool {
+        self.replica.has_min_chain_length()
+            && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
+    }
+
+    pub(crate) fn has_quorum(&self) -> bool {
+        let membership = &self.replica.state_machine().membership;
+        let has_member_majority =
+            self.timing.quorum == Quorum::Holders || self.leases.has_majority(membership, self.now);
+        self.may_respond() && has_member_majority
+    }
+}
