--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -10,6 +10,8 @@
 use types::{Address, ConfigEpoch, DiskId, MonotonicInstant, ResultCode, TokenKey, ViewNumber};
 use wire::{LeaseRequest, Member, Message, Query};
 
+mod unsettled_membership;
+
 /// Controller 2 in a chain of 1, 2, 3: it proposes to 1 and asks 3.
 struct Played {
     controller: Controller,
