--- a/crates/router/src/control/node.rs
+++ b/crates/router/src/control/node.rs
@@ -1,4 +1,6 @@
-use crate::discovery::endpoint_list::{ListOutput, ListPeers, ListTiming, ServerList};
+use crate::discovery::endpoint_list::{
+    EndpointList, EndpointListOutput, EndpointListPeers, EndpointListTiming,
+};
 use crate::dissemination::{DigestTiming, Dissemination};
 use config::{KeyHasher, Plan, TenantTable};
 use placement::{
@@ -27,21 +29,21 @@
 #[derive(Debug, Clone, Copy)]
 pub struct NodeTiming {
     /// Between polls.
-    pub poll: Milliseconds,
+    pub lease_request_interval: Milliseconds,
     /// With less than this left of the lease, members are checked.
-    pub peer_check_from: Milliseconds,
+    pub peer_check_before_expiry: Milliseconds,
     /// Between peer checks.
-    pub peer_check: Milliseconds,
+    pub peer_check_interval: Milliseconds,
     /// Between peer checks of one that is alone, at most.
-    pub peer_check_alone: Milliseconds,
+    pub peer_check_interval_alone: Milliseconds,
     /// A peer counts as checked for this long.
-    pub peer_check_life: Milliseconds,
+    pub peer_check_validity: Milliseconds,
     /// Between the scheduler's ticks.
-    pub tick: Milliseconds,
+    pub tick_interval: Milliseconds,
     /// A poll without an answer is given up after this.
-    pub poll_deadline: Milliseconds,
+    pub lease_request_timeout: Milliseconds,
     /// Without a clock event for this long, the machine slept.
-    pub slept: Milliseconds,
+    pub sleep_threshold: Milliseconds,
     /// Of digests.
     pub digest: DigestTiming,
 }
@@ -49,14 +51,14 @@
 impl Default for NodeTiming {
     fn default() -> Self {
         NodeTiming {
-            poll: Milliseconds(1000),
-            peer_check_from: Milliseconds(600),
-            peer_check: Milliseconds(400),
-            peer_check_alone: Milliseconds(1600),
-            peer_check_life: Milliseconds(1000),
-            tick: Milliseconds(250),
-            poll_deadline: Milliseconds(400),
-            slept: Milliseconds(1000),
+            lease_request_interval: Milliseconds(1000),
+            peer_check_before_expiry: Milliseconds(600),
+            peer_check_interval: Milliseconds(400),
+            peer_check_interval_alone: Milliseconds(1600),
+            peer_check_validity: Milliseconds(1000),
+            tick_interval: Milliseconds(250),
+            lease_request_timeout: Milliseconds(400),
+            sleep_threshold: Milliseconds(1000),
             digest: DigestTiming::default(),
         }
     }
@@ -97,50 +99,50 @@
     voters: Vec<Address>,
     /// Whose voters they are.
     view: ViewNumber,
-    target: usize,
+    source_index: usize,
     tail: Option<Address>,
-    poll_round: u64,
-    polled: Option<MonotonicInstant>,
-    next_poll: MonotonicInstant,
-    fetching: Option<Fetching>,
+    lease_request_round: u64,
+    lease_request_sent_at: Option<MonotonicInstant>,
+    next_lease_request_at: MonotonicInstant,
+    pending_update: Option<PendingUpdate>,
     peer_check_round: u64,
     peer_checks: VecDeque<(u64, MonotonicInstant)>,
     next_peer_check: MonotonicInstant,
-    peer_check_pause: Milliseconds,
+    peer_check_backoff: Milliseconds,
     /// When others were last heard.
-    heard: BTreeMap<Address, MonotonicInstant>,
-    news_asked: MonotonicInstant,
+    last_seen: BTreeMap<Address, MonotonicInstant>,
+    config_update_requested_at: MonotonicInstant,
     dissemination: Dissemination,
     next_tick: MonotonicInstant,
     last_event: MonotonicInstant,
-    has_server_list: bool,
+    has_endpoint_list: bool,
     /// How the platform's list is known, unless it comes as [`Event::ServerList`].
-    server_list: Option<ServerList>,
+    endpoint_list: Option<EndpointList>,
     /// Where the listed servers are reached whose names are not their addresses.
     addresses: BTreeMap<ServerName, String>,
-    list_awaited_until: Option<MonotonicInstant>,
+    endpoint_list_deadline: Option<MonotonicInstant>,
     is_draining: bool,
     /// What tokens are sealed and opened with.
     key: Option<TokenKey>,
     /// Requests in hand, with their numbers.
-    open: BTreeMap<RequestId, u64>,
+    in_flight: BTreeMap<RequestId, u64>,
     /// The newest ids of requests that a server may have run, oldest first.
-    ended: VecDeque<RequestId>,
-    ended_ids: BTreeSet<RequestId>,
-    last_reason: LeaseStatus,
+    finished: VecDeque<RequestId>,
+    finished_ids: BTreeSet<RequestId>,
+    last_lease_status: LeaseStatus,
     outputs: Vec<NodeOutput>,
 }
 
 /// News whose plan is still coming.
 #[derive(Clone)]
-struct Fetching {
+struct PendingUpdate {
     update: ConfigUpdate,
     lease_deadline: Option<MonotonicInstant>,
     from: Address,
     bytes: Vec<u8>,
-    asked: MonotonicInstant,
+    requested_at: MonotonicInstant,
     /// Whether all of it has come and is being read.
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl Node {
@@ -163,7 +165,7 @@
             incarnation,
             timing,
             now,
-            lease_state: LeaseState::new(own, timing.peer_check_life),
+            lease_state: LeaseState::new(own, timing.peer_check_validity),
             scheduler,
             plan: None,
             plan_bytes: Arc::default(),
@@ -179,45 +181,45 @@
             seeds,
             voters: vec![],
             view: ViewNumber(0),
-            target: own.0.port() as usize,
+            source_index: own.0.port() as usize,
             tail: None,
-            poll_round: incarnation,
-            polled: None,
-            next_poll: now,
-            fetching: None,
+            lease_request_round: incarnation,
+            lease_request_sent_at: None,
+            next_lease_request_at: now,
+            pending_update: None,
             peer_check_round: incarnation,
             peer_checks: VecDeque::new(),
             next_peer_check: now,
-            peer_check_pause: timing.peer_check,
-            heard: BTreeMap::new(),
-            news_asked: MonotonicInstant(0),
+            peer_check_backoff: timing.peer_check_interval,
+            last_seen: BTreeMap::new(),
+            config_update_requested_at: MonotonicInstant(0),
             dissemination: Dissemination::new(own, zone, incarnation, timing.digest, now),
             next_tick: now,
             last_event: now,
-            has_server_list: false,
-            server_list: None,
+            has_endpoint_list: false,
+            endpoint_list: None,
             addresses: BTreeMap::new(),
-            list_awaited_until: None,
+            endpoint_list_deadline: None,
             is_draining: false,
             key: None,
-            open: BTreeMap::new(),
-            ended: VecDeque::new(),
-            ended_ids: BTreeSet::new(),
-            last_reason: LeaseStatus::NeverLeased,
+            in_flight: BTreeMap::new(),
+            finished: VecDeque::new(),
+            finished_ids: BTreeSet::new(),
+            last_lease_status: LeaseStatus::NeverLeased,
             outputs: vec![],
         }
     }
 
     /// This node reads the platform's list, or is told it by its zone's collector.
-    pub fn reading_list(self, timing: ListTiming) -> Self {
-        let server_list = Some(ServerList::new(
+    pub fn with_endpoint_list(self, timing: EndpointListTiming) -> Self {
+        let endpoint_list = Some(EndpointList::new(
             self.own,
             self.incarnation,
             timing,
             self.now,
         ));
         Node {
-            server_list,
+            endpoint_list,
             ..self
         }
     }
@@ -228,15 +230,15 @@
         match input {
             NodeInput::Message { from, message } => self.on_message(from, message),
             NodeInput::Event(Event::ServerList { servers }) => {
-                self.list_awaited_until = None;
-                self.take_server_list(servers);
+                self.endpoint_list_deadline = None;
+                self.apply_server_entries(servers);
             }
-            NodeInput::Event(event) => self.tell_scheduler(event),
+            NodeInput::Event(event) => self.notify_scheduler(event),
             NodeInput::List(reading) => {
-                self.step_list(|list, now, _| list.on_reading(now, reading))
+                self.step_endpoint_list(|list, now, _| list.on_reading(now, reading))
             }
             NodeInput::Seeds(seeds) => self.seeds = seeds,
-            NodeInput::Place(ask) => self.on_place(ask),
+            NodeInput::Place(placement_request) => self.on_place(placement_request),
             NodeInput::Resume { number, token } => {
                 let outcome = self.resume(number, &token);
                 self.outputs.push(NodeOutput::Resume { number, outcome });
@@ -247,10 +249,10 @@
                 may_have_run,
             } => {
                 self.abandon_credit(number);
-                if self.open.get(&request) == Some(&number) {
-                    self.open.remove(&request);
+                if self.in_flight.get(&request) == Some(&number) {
+                    self.in_flight.remove(&request);
                     if may_have_run {
-                        self.remember(request);
+                        self.remember_finished_id(request);
                     }
                 }
             }
@@ -262,21 +264,21 @@
             NodeInput::ClockEvent => self.on_clock_event(),
             NodeInput::Drain => self.is_draining = true,
         }
-        self.ask_for_credit();
+        self.request_credit();
         std::mem::take(&mut self.outputs)
     }
 
     /// Until when requests that are placed may be sent; asked again right before each is sent.
     pub fn may_act_until(&self, now: MonotonicInstant) -> MonotonicInstant {
-        let is_whole = self.plan.is_some()
+        let is_configured = self.plan.is_some()
             && self.key.is_some()
-            && self.has_server_list
+            && self.has_endpoint_list
             && self
-                .list_awaited_until
+                .endpoint_list_deadline
                 .is_none_or(|deadline| now >= deadline);
         match self.lease_state.may_act_until(now) {
             // Never beyond what the control thread could take back if it's alive.
-            Some(deadline) if is_whole => deadline.min(now + self.timing.slept),
+            Some(deadline) if is_configured => deadline.min(now + self.timing.sleep_threshold),
             _ => MonotonicInstant(0),
         }
     }
@@ -286,7 +288,7 @@
     }
     /// Whether it's stopping and nothing is in hand.
     pub fn is_drained(&self) -> bool {
-        self.is_draining && self.open.is_empty()
+        self.is_draining && self.in_flight.is_empty()
     }
     /// The scheduler.
     pub fn scheduler(&self) -> &Scheduler {
@@ -309,7 +311,7 @@
         &self.tenants
     }
     /// Tenants with a quota, and what this node has let in of them.
-    pub fn held_credit(&self) -> Vec<ReservedCredit> {
+    pub fn reserved_credit(&self) -> Vec<ReservedCredit> {
         self.credit.tenants()
     }
     /// How many nodes share the servers, as far as known here.
@@ -326,7 +328,7 @@
     }
     /// How many requests are open.
     pub fn open_count(&self) -> usize {
-        self.open.len()
+        self.in_flight.len()
     }
 
     fn send(&mut self, to: Address, message: Message) {
@@ -338,44 +340,48 @@
         });
     }
 
-    fn take_server_list(&mut self, servers: Vec<ServerEntry>) {
-        self.has_server_list = true;
+    fn apply_server_entries(&mut self, servers: Vec<ServerEntry>) {
+        self.has_endpoint_list = true;
         self.addresses = servers
             .iter()
             .filter_map(|entry| Some((entry.server.clone(), entry.address.clone()?)))
             .collect();
-        self.tell_scheduler(Event::ServerList { servers });
+        self.notify_scheduler(Event::ServerList { servers });
     }
 
-    fn step_list(
+    fn step_endpoint_list(
         &mut self,
-        step: impl FnOnce(&mut ServerList, MonotonicInstant, ListPeers) -> Vec<ListOutput>,
+        step: impl FnOnce(
+            &mut EndpointList,
+            MonotonicInstant,
+            EndpointListPeers,
+        ) -> Vec<EndpointListOutput>,
     ) {
-        let Some(list) = &mut self.server_list else {
+        let Some(list) = &mut self.endpoint_list else {
             return;
         };
         let zone = self.dissemination.members_of(&self.zone);
         let collector = self.dissemination.collector(&self.zone);
-        let peers = ListPeers {
+        let peers = EndpointListPeers {
             zone,
             collector,
             fleet: self.members.len(),
         };
         let outputs = step(list, self.now, peers);
-        if list.is_known() {
-            self.list_awaited_until = None;
+        if list.is_fresh() {
+            self.endpoint_list_deadline = None;
         }
         for output in outputs {
             match output {
-                ListOutput::Read(effort) => self.outputs.push(NodeOutput::ReadList(effort)),
-                ListOutput::Send { to, message } => self.send(to, message),
-                ListOutput::Servers(servers) => self.take_server_list(servers),
-                ListOutput::Unheard(collector) => {
+                EndpointListOutput::Read(effort) => self.outputs.push(NodeOutput::ReadList(effort)),
+                EndpointListOutput::Send { to, message } => self.send(to, message),
+                EndpointListOutput::Servers(servers) => self.apply_server_entries(servers),
+                EndpointListOutput::CollectorUnreachable(collector) => {
                     // One that is there and can't read the list collects digests all the same.
                     if self
-                        .heard
+                        .last_seen
                         .get(&collector)
-                        .is_none_or(|at| self.now.since(*at) >= HEARD_FOR)
+                        .is_none_or(|at| self.now.since(*at) >= LAST_SEEN_VALIDITY)
                     {
                         self.dissemination.suspect(collector);
                     }
@@ -384,13 +390,13 @@
         }
     }
 
-    fn tell_scheduler(&mut self, event: Event) {
-        let dated = Timestamped {
+    fn notify_scheduler(&mut self, event: Event) {
+        let timestamped = Timestamped {
             at: self.now,
             event,
         };
-        self.outputs.push(NodeOutput::Event(dated.clone()));
-        for decision in self.scheduler.take(dated) {
+        self.outputs.push(NodeOutput::Event(timestamped.clone()));
+        for decision in self.scheduler.take(timestamped) {
             match &decision {
                 Decision::Warm {
                     prefix,
@@ -421,52 +427,57 @@
     }
 
     fn on_clock_event(&mut self) {
-        if self.now.since(self.last_event) >= self.timing.slept {
+        if self.now.since(self.last_event) >= self.timing.sleep_threshold {
             // What the server list said before may have changed while this machine slept.
-            self.list_awaited_until = Some(self.now + Milliseconds(1500));
+            self.endpoint_list_deadline = Some(self.now + Milliseconds(1500));
             self.outputs.push(NodeOutput::Log(
                 "node: the machine slept; the server list is read anew".into(),
             ));
         }
         self.last_event = self.now;
-        self.settle_credit();
-        self.step_list(ServerList::on_clock);
-        self.poll();
+        self.expire_waiting_requests();
+        self.step_endpoint_list(EndpointList::on_clock);
+        self.request_lease();
         self.check_peers();
         if self.now >= self.next_tick {
-            self.next_tick = self.now + self.timing.tick;
-            self.tell_scheduler(Event::Tick);
+            self.next_tick = self.now + self.timing.tick_interval;
+            self.notify_scheduler(Event::Tick);
             let sketch = self.scheduler.sketch(self.now);
             let messages = self.dissemination.on_clock(self.now, Digest::of(&sketch));
             self.send_digests(messages);
         }
-        let reason = self.lease_state.status(self.now);
-        if reason != self.last_reason {
+        let status = self.lease_state.status(self.now);
+        if status != self.last_lease_status {
             let line = format!(
                 "node: lease state is {}, epoch {}",
-                reason.word(),
+                status.word(),
                 self.lease_state.epoch()
             );
             self.outputs.push(NodeOutput::Log(line));
-            self.last_reason = reason;
+            self.last_lease_status = status;
         }
     }
 
     /// When the next clock event is due at the latest.
     pub fn next_timer(&self) -> MonotonicInstant {
-        let poll = self
-            .polled
-            .map_or(self.next_poll, |sent| sent + self.timing.poll_deadline);
+        let lease_request = self
+            .lease_request_sent_at
+            .map_or(self.next_lease_request_at, |sent| {
+                sent + self.timing.lease_request_timeout
+            });
         let peer_check = match self.lease_state.lease_deadline() {
-            Some(deadline) => (deadline - self.timing.peer_check_from).max(self.next_peer_check),
+            Some(deadline) => {
+                (deadline - self.timing.peer_check_before_expiry).max(self.next_peer_check)
+            }
             None => self.next_tick,
         };
         let list = self
-            .server_list
+            .endpoint_list
             .as_ref()
-            .map_or(self.next_tick, ServerList::next_timer);
+            .map_or(self.next_tick, EndpointList::next_timer);
         let credit = self.credit.next_timer().unwrap_or(self.next_tick);
-        poll.min(peer_check)
+        lease_request
+            .min(peer_check)
             .min(list)
             .min(credit)
             .min(self.next_tick)
@@ -476,7 +487,7 @@
         messages
             .into_iter()
             .for_each(|(to, message)| self.send(to, message));
-        let Some((incarnation, number, sum)) = self.dissemination.take_update() else {
+        let Some((incarnation, number, sum)) = self.dissemination.take_fleet_digest() else {
             return;
         };
         let servers = self
@@ -485,7 +496,7 @@
             .iter()
             .map(|(name, server)| (name, server.incarnation.unwrap_or(0)));
         let sketch = sum.sketch(incarnation, number, servers);
-        self.tell_scheduler(Event::PeerSketch {
+        self.notify_scheduler(Event::PeerSketch {
             from: FLEET,
             sketch,
         });
@@ -497,10 +508,10 @@
     }
 
     fn on_message(&mut self, from: Address, message: Message) {
-        self.heard.insert(from, self.now);
+        self.last_seen.insert(from, self.now);
         match message {
             Message::LeaseResponse { round, response } => {
-                self.on_poll_response(from, round, *response)
+                self.on_lease_response(from, round, *response)
             }
             Message::PlanRequest { epoch, offset, .. } => {
                 let piece = Message::plan_chunk(epoch, &self.plan_bytes, offset)
@@ -591,7 +602,7 @@
             | Message::ListChange { .. }
             | Message::ServerListRequest { .. }
             | Message::ServerListChunk { .. } => {
-                self.step_list(|list, now, _| list.on_message(now, from, &message))
+                self.step_endpoint_list(|list, now, _| list.on_message(now, from, &message))
             }
             Message::CoreLocation { location, .. } => self.on_core_location(from, *location),
             Message::CreditGrant { grant } => self.on_credit_grant(from, &grant),
@@ -606,9 +617,9 @@
 
 /// News that was told of, and whose plan has not come, is waited for this long after it was last told of. A
 /// core in reach tells again within it: each poll asks another of its machines.
-const TOLD_FOR: Milliseconds = Milliseconds(3000);
+const ANNOUNCEMENT_VALIDITY: Milliseconds = Milliseconds(3000);
 /// Others that were heard within this time are told of to the core.
-const HEARD_FOR: Milliseconds = Milliseconds(2000);
+const LAST_SEEN_VALIDITY: Milliseconds = Milliseconds(2000);
 
 #[cfg(test)]
 mod tests;
--- a/crates/router/src/control/node/config_updates.rs
+++ b/crates/router/src/control/node/config_updates.rs
@@ -26,8 +26,8 @@
     pub(super) fn request_config_update(&mut self, from: Address, epoch: ConfigEpoch) {
         let is_newer =
             epoch > self.lease_state.epoch() && self.lease_state.lease_deadline().is_some();
-        if is_newer && self.now.since(self.news_asked) >= Milliseconds(100) {
-            self.news_asked = self.now;
+        if is_newer && self.now.since(self.config_update_requested_at) >= Milliseconds(100) {
+            self.config_update_requested_at = self.now;
             self.send(from, Message::ConfigUpdateRequest);
         }
     }
@@ -42,50 +42,51 @@
             return;
         }
         self.lease_state
-            .announce_epoch(update.epoch, self.now + TOLD_FOR);
+            .announce_epoch(update.epoch, self.now + ANNOUNCEMENT_VALIDITY);
         if update.members.is_none() {
             let under_way = self
-                .fetching
+                .pending_update
                 .as_ref()
-                .filter(|fetching| fetching.update.epoch >= update.members_since);
+                .filter(|pending_update| pending_update.update.epoch >= update.members_since);
             update.members = match under_way {
-                Some(fetching) => fetching.update.members.clone(),
+                Some(pending_update) => pending_update.update.members.clone(),
                 None if self.lease_state.epoch() >= update.members_since => {
                     Some(self.members.clone())
                 }
                 // Earlier news was lost on the way.
                 None => {
-                    self.next_poll = self.now;
-                    return self.poll();
+                    self.next_lease_request_at = self.now;
+                    return self.request_lease();
                 }
             };
         }
         if update.plan_epoch == self.plan_epoch {
-            return self.take_up(update, lease_deadline);
+            return self.apply_config_update(update, lease_deadline);
         }
         // Withdrawals don't wait for a large plan.
         if update.epoch > self.lease_state.epoch() {
             self.withdrawn = update.withdrawn.clone();
-            self.push_rules();
-        }
-        self.next_poll = self.now + Milliseconds(400);
-        match &mut self.fetching {
-            Some(fetching) if fetching.update.plan_epoch == update.plan_epoch => {
-                if update.epoch >= fetching.update.epoch {
-                    fetching.lease_deadline = lease_deadline.max(fetching.lease_deadline);
-                    fetching.update = update;
+            self.update_scheduler_rules();
+        }
+        self.next_lease_request_at = self.now + Milliseconds(400);
+        match &mut self.pending_update {
+            Some(pending_update) if pending_update.update.plan_epoch == update.plan_epoch => {
+                if update.epoch >= pending_update.update.epoch {
+                    pending_update.lease_deadline =
+                        lease_deadline.max(pending_update.lease_deadline);
+                    pending_update.update = update;
                 }
             }
-            Some(fetching) if fetching.update.plan_epoch > update.plan_epoch => {}
+            Some(pending_update) if pending_update.update.plan_epoch > update.plan_epoch => {}
             _ => {
                 let epoch = update.plan_epoch;
-                self.fetching = Some(Fetching {
+                self.pending_update = Some(PendingUpdate {
                     update,
                     lease_deadline,
                     from,
                     bytes: vec![],
-                    asked: self.now,
-                    is_whole: false,
+                    requested_at: self.now,
+                    is_complete: false,
                 });
                 self.send(
                     from,
@@ -107,20 +108,20 @@
         length: u64,
         bytes: &[u8],
     ) {
-        let Some(fetching) = &mut self.fetching else {
+        let Some(pending_update) = &mut self.pending_update else {
             return;
         };
-        let is_next = !fetching.is_whole
-            && fetching.from == from
-            && fetching.update.plan_epoch == epoch
-            && offset == fetching.bytes.len() as u64
+        let is_next = !pending_update.is_complete
+            && pending_update.from == from
+            && pending_update.update.plan_epoch == epoch
+            && offset == pending_update.bytes.len() as u64
             && offset + bytes.len() as u64 <= length;
         if !is_next {
             return;
         }
-        fetching.bytes.extend_from_slice(bytes);
-        fetching.asked = self.now;
-        let have = fetching.bytes.len() as u64;
+        pending_update.bytes.extend_from_slice(bytes);
+        pending_update.requested_at = self.now;
+        let have = pending_update.bytes.len() as u64;
         if have < length {
             return self.send(
                 from,
@@ -131,7 +132,7 @@
                 },
             );
         }
-        self.on_whole_plan();
+        self.on_complete_plan();
     }
 
     /// A plan came as what differs from the one held.
@@ -142,30 +143,31 @@
         base: ConfigEpoch,
         delta: &Delta,
     ) {
-        let Some(fetching) = &mut self.fetching else {
+        let Some(pending_update) = &mut self.pending_update else {
             return;
         };
-        let is_awaited =
-            !fetching.is_whole && fetching.from == from && fetching.update.plan_epoch == epoch;
-        if !is_awaited || !fetching.bytes.is_empty() || base != self.plan_epoch {
+        let is_awaited = !pending_update.is_complete
+            && pending_update.from == from
+            && pending_update.update.plan_epoch == epoch;
+        if !is_awaited || !pending_update.bytes.is_empty() || base != self.plan_epoch {
             return;
         }
         if let Some(bytes) = delta.apply(&self.plan_bytes) {
-            fetching.bytes = bytes;
-            self.on_whole_plan();
+            pending_update.bytes = bytes;
+            self.on_complete_plan();
         }
     }
 
     /// All of a plan is here; another thread reads it.
-    pub(super) fn on_whole_plan(&mut self) {
-        let Some(fetching) = &mut self.fetching else {
+    pub(super) fn on_complete_plan(&mut self) {
+        let Some(pending_update) = &mut self.pending_update else {
             return;
         };
         let (plan_epoch, bytes) = (
-            fetching.update.plan_epoch,
-            Arc::new(std::mem::take(&mut fetching.bytes)),
+            pending_update.update.plan_epoch,
+            Arc::new(std::mem::take(&mut pending_update.bytes)),
         );
-        fetching.is_whole = true;
+        pending_update.is_complete = true;
         self.outputs.push(NodeOutput::Read { plan_epoch, bytes });
     }
 
@@ -175,9 +177,9 @@
         plan: Result<Arc<Plan>, Vec<PlanError>>,
         bytes: Arc<Vec<u8>>,
     ) {
-        let Some(fetching) = self
-            .fetching
-            .take_if(|f| f.is_whole && f.update.plan_epoch == plan_epoch)
+        let Some(pending_update) = self
+            .pending_update
+            .take_if(|f| f.is_complete && f.update.plan_epoch == plan_epoch)
         else {
             return;
         };
@@ -186,9 +188,9 @@
                 self.plan = Some(plan);
                 self.plan_bytes = bytes;
                 self.plan_epoch = plan_epoch;
-                self.take_tenants();
-                self.next_poll = self.now;
-                self.take_up(fetching.update, fetching.lease_deadline);
+                self.update_tenants();
+                self.next_lease_request_at = self.now;
+                self.apply_config_update(pending_update.update, pending_update.lease_deadline);
             }
             Err(faults) => {
                 let code = ResultCode::BadMessage;
@@ -201,7 +203,7 @@
     }
 
     /// News is whole here: it's in force.
-    pub(super) fn take_up(
+    pub(super) fn apply_config_update(
         &mut self,
         update: ConfigUpdate,
         lease_deadline: Option<MonotonicInstant>,
@@ -210,7 +212,7 @@
         // Filled in when it came.
         let listed_members = update.members.unwrap_or_default();
         let since = update.members_since;
-        let has_other_members = listed_members != self.members || since > self.members_since;
+        let have_members_changed = listed_members != self.members || since > self.members_since;
         let members: Vec<Address> = listed_members.iter().map(|member| member.address).collect();
         match lease_deadline {
             Some(deadline) => self
@@ -222,34 +224,34 @@
         }
         if is_newer {
             self.withdrawn = update.withdrawn;
-            self.push_rules();
+            self.update_scheduler_rules();
             let line = format!(
                 "node: epoch {} is in force, plan {}",
                 update.epoch, self.plan_epoch
             );
             self.outputs.push(NodeOutput::Log(line));
             // The core is to know that it's in force here.
-            self.next_poll = self.now;
-            self.poll();
+            self.next_lease_request_at = self.now;
+            self.request_lease();
         }
-        if has_other_members {
+        if have_members_changed {
             self.dissemination.set_members(&listed_members);
             self.members = listed_members;
             self.members_since = since;
-            self.tell_scheduler(Event::Members { members, since });
+            self.notify_scheduler(Event::Members { members, since });
         }
         if let Some(until) = lease_deadline {
-            self.tell_scheduler(Event::Lease {
+            self.notify_scheduler(Event::Lease {
                 until,
                 span: self.lease_span,
             });
         }
     }
 
-    pub(super) fn push_rules(&mut self) {
+    pub(super) fn update_scheduler_rules(&mut self) {
         if let Some(plan) = self.plan.clone() {
             let rules = plan.rules(self.lease_state.epoch(), self.withdrawn.clone());
-            self.tell_scheduler(Event::Rules { rules });
+            self.notify_scheduler(Event::Rules { rules });
         }
     }
 }
--- a/crates/router/src/control/node/lease.rs
+++ b/crates/router/src/control/node/lease.rs
@@ -18,33 +18,35 @@
         sources
     }
 
-    pub(super) fn poll(&mut self) {
-        if let Some(sent) = self.polled {
-            if self.now < sent + self.timing.poll_deadline {
+    pub(super) fn request_lease(&mut self) {
+        if let Some(sent) = self.lease_request_sent_at {
+            if self.now < sent + self.timing.lease_request_timeout {
                 return;
             }
-            self.polled = None;
+            self.lease_request_sent_at = None;
             self.tail = None;
-            self.target += 1;
-            self.next_poll = self.now;
+            self.source_index += 1;
+            self.next_lease_request_at = self.now;
         }
-        if let Some(fetching) = &self.fetching
-            && self.now >= fetching.asked + FETCH_DEADLINE
-            && !fetching.is_whole
+        if let Some(pending_update) = &self.pending_update
+            && self.now >= pending_update.requested_at + FETCH_DEADLINE
+            && !pending_update.is_complete
         {
-            self.fetching = None;
+            self.pending_update = None;
         }
-        if self.now < self.next_poll {
+        if self.now < self.next_lease_request_at {
             return;
         }
         let sources = self.sources();
         if sources.is_empty() {
             return;
         }
-        let to = self.tail.unwrap_or(sources[self.target % sources.len()]);
-        self.next_poll = self.now + self.timing.poll;
-        self.poll_round += 1;
-        self.polled = Some(self.now);
+        let to = self
+            .tail
+            .unwrap_or(sources[self.source_index % sources.len()]);
+        self.next_lease_request_at = self.now + self.timing.lease_request_interval;
+        self.lease_request_round += 1;
+        self.lease_request_sent_at = Some(self.now);
         let (now, member) = (
             self.now,
             Member {
@@ -52,17 +54,18 @@
                 zone: self.zone.clone(),
             },
         );
-        self.heard.retain(|_, at| now.since(*at) < HEARD_FOR);
+        self.last_seen
+            .retain(|_, at| now.since(*at) < LAST_SEEN_VALIDITY);
         let has_key = self.key.is_some();
         let reachable_peers = self
-            .heard
+            .last_seen
             .keys()
             .copied()
             .filter(|one| self.lease_state.members().contains(one))
             .collect();
-        let poll = LeaseRequest {
+        let lease_request = LeaseRequest {
             member,
-            round: self.poll_round,
+            round: self.lease_request_round,
             epoch: self.lease_state.epoch(),
             view: self.view,
             has_key,
@@ -71,7 +74,7 @@
         self.send(
             to,
             Message::LeaseRequest {
-                poll: Box::new(poll),
+                poll: Box::new(lease_request),
             },
         );
     }
@@ -83,15 +86,22 @@
             return;
         }
         (self.view, self.voters) = (location.view, location.voters);
-        (self.tail, self.polled, self.next_poll) = (Some(from), None, self.now);
-        self.poll();
+        (
+            self.tail,
+            self.lease_request_sent_at,
+            self.next_lease_request_at,
+        ) = (Some(from), None, self.now);
+        self.request_lease();
     }
 
-    pub(super) fn on_poll_response(&mut self, from: Address, round: u64, response: LeaseResponse) {
-        let Some(sent) = self.polled.filter(|_| round == self.poll_round) else {
+    pub(super) fn on_lease_response(&mut self, from: Address, round: u64, response: LeaseResponse) {
+        let Some(sent) = self
+            .lease_request_sent_at
+            .filter(|_| round == self.lease_request_round)
+        else {
             return;
         };
-        self.polled = None;
+        self.lease_request_sent_at = None;
         match response {
             LeaseResponse::Elsewhere { view, tail, voters } => {
                 // One that was away may name machines that are all gone: what is known here is newer.
@@ -99,8 +109,8 @@
                     (self.view, self.voters) = (view, voters);
                     self.tail = tail.filter(|tail| *tail != from);
                 }
-                self.target += 1;
-                self.next_poll = self.now + Milliseconds(60);
+                self.source_index += 1;
+                self.next_lease_request_at = self.now + Milliseconds(60);
             }
             LeaseResponse::Lease {
                 span,
@@ -117,7 +127,8 @@
                 }
                 let lease_deadline = Some(sent + span);
                 self.lease_span = self.lease_span.max(span);
-                self.lease_state.announce_epoch(epoch, self.now + TOLD_FOR);
+                self.lease_state
+                    .announce_epoch(epoch, self.now + ANNOUNCEMENT_VALIDITY);
                 match update {
                     Some(update) => self.on_config_update(from, update, lease_deadline),
                     // Nothing is newer there than what is here, whole.
@@ -127,7 +138,7 @@
                             epoch,
                             self.lease_state.members().to_vec(),
                         );
-                        self.tell_scheduler(Event::Lease {
+                        self.notify_scheduler(Event::Lease {
                             until: sent + span,
                             span: self.lease_span,
                         });
@@ -143,19 +154,21 @@
         let Some(deadline) = self.lease_state.lease_deadline() else {
             return;
         };
-        if self.now + self.timing.peer_check_from < deadline {
-            self.peer_check_pause = self.timing.peer_check;
+        if self.now + self.timing.peer_check_before_expiry < deadline {
+            self.peer_check_backoff = self.timing.peer_check_interval;
             return;
         }
         if self.now < self.next_peer_check {
             return;
         }
         let is_alone = self.lease_state.status(self.now) == LeaseStatus::Isolated;
-        self.peer_check_pause = match is_alone {
-            true => Milliseconds((self.peer_check_pause.0 * 2).min(self.timing.peer_check_alone.0)),
-            false => self.timing.peer_check,
+        self.peer_check_backoff = match is_alone {
+            true => Milliseconds(
+                (self.peer_check_backoff.0 * 2).min(self.timing.peer_check_interval_alone.0),
+            ),
+            false => self.timing.peer_check_interval,
         };
-        self.next_peer_check = self.now + self.peer_check_pause;
+        self.next_peer_check = self.now + self.peer_check_backoff;
         self.peer_check_round += 1;
         self.peer_checks
             .push_back((self.peer_check_round, self.now));
--- a/crates/router/src/control/node/messages.rs
+++ b/crates/router/src/control/node/messages.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::dialect::Access;
-use crate::discovery::endpoint_list::{ListReading, ReadEffort};
+use crate::discovery::endpoint_list::{EndpointListReading, ReadRetryPolicy};
 use crate::request::resume_token::Token;
 use config::{KeyDigest, Plan, PlanError, ServiceKind};
 use placement::{Decision, Event, PrefixHash, RequestCost, Timestamped};
@@ -83,7 +83,7 @@
         bytes: Arc<Vec<u8>>,
     },
     /// The platform's list was read, as asked for by [`NodeOutput::ReadList`].
-    List(ListReading),
+    List(EndpointListReading),
     /// Time has passed.
     ClockEvent,
     /// The process is to stop: no new work.
@@ -181,7 +181,7 @@
         bytes: Arc<Vec<u8>>,
     },
     /// Read the platform's list of servers, on another thread, and say [`NodeInput::List`].
-    ReadList(ReadEffort),
+    ReadList(ReadRetryPolicy),
     /// Order servers to copy or drop KV.
     Kv(KvTask),
     /// For the journal of events.
--- a/crates/router/src/control/node/quota_credit.rs
+++ b/crates/router/src/control/node/quota_credit.rs
@@ -12,7 +12,7 @@
 
 impl Node {
     /// The plan was replaced: its tenants and their limits are taken up.
-    pub(super) fn take_tenants(&mut self) {
+    pub(super) fn update_tenants(&mut self) {
         let Some(plan) = self.plan.clone() else {
             return;
         };
@@ -23,7 +23,7 @@
         let limits: Vec<(TenantName, QuotaLimit)> =
             plan.tenants.iter().filter_map(limited).collect();
         let released = self.credit.set_limits(self.plan_epoch, &limits);
-        self.settle(released);
+        self.resolve_waiting(released);
     }
 
     /// By whose right a request goes, under the plan held.
@@ -54,47 +54,47 @@
     }
 
     /// A request wants a server: it gets one once its tenant's quota has room for it.
-    pub(super) fn on_place(&mut self, ask: PlacementRequest) {
-        let number = ask.number;
-        match self.admit(&ask) {
-            Admission::Admitted => self.place_admitted(ask),
-            Admission::Waits => drop(self.waiting_for_credit.insert(number, ask)),
+    pub(super) fn on_place(&mut self, request: PlacementRequest) {
+        let number = request.number;
+        match self.admit(&request) {
+            Admission::Admitted => self.place_admitted(request),
+            Admission::Waits => drop(self.waiting_for_credit.insert(number, request)),
             Admission::Denied(rejection) => {
-                let outcome = Err(refusal(rejection));
+                let outcome = Err(rejection_of(rejection));
                 self.outputs.push(NodeOutput::Place { number, outcome });
             }
         }
     }
 
-    fn admit(&mut self, ask: &PlacementRequest) -> Admission {
-        let Some((tenant, amount)) = self.quota_of(ask) else {
+    fn admit(&mut self, request: &PlacementRequest) -> Admission {
+        let Some((tenant, amount)) = self.quota_of(request) else {
             return Admission::Admitted;
         };
-        if ask.round == 0 {
-            return self.credit.admit(self.now, ask.number, &tenant, amount);
+        if request.round == 0 {
+            return self.credit.admit(self.now, request.number, &tenant, amount);
         }
         // It has been let in. If the server before may have run it, it counts once more.
-        if ask.may_have_run {
+        if request.may_have_run {
             self.credit.spend_again(self.now, &tenant, amount);
         }
         Admission::Admitted
     }
 
     /// Whose quota a request takes from, and how much of it.
-    fn quota_of(&self, ask: &PlacementRequest) -> Option<(TenantName, Amount)> {
+    fn quota_of(&self, request: &PlacementRequest) -> Option<(TenantName, Amount)> {
         let tenant = self
             .tenants
-            .tenant(ask.key.as_ref()?)
+            .tenant(request.key.as_ref()?)
             .filter(|tenant| tenant.is_limited())?;
         Some((
             tenant.name.as_str().into(),
-            quota_amount(tenant, &ask.request_cost),
+            quota_amount(tenant, &request.request_cost),
         ))
     }
 
-    fn place_admitted(&mut self, ask: PlacementRequest) {
-        let (number, round, taken) = (ask.number, ask.round, self.quota_of(&ask));
-        let outcome = self.place(ask);
+    fn place_admitted(&mut self, request: PlacementRequest) {
+        let (number, round, taken) = (request.number, request.round, self.quota_of(&request));
+        let outcome = self.place(request);
         if let (Err(_), 0, Some((tenant, amount))) = (&outcome, round, taken) {
             self.credit.give_back(self.now, &tenant, amount);
         }
@@ -102,30 +102,30 @@
     }
 
     /// What waited is placed or turned away.
-    fn settle(&mut self, settlements: Vec<Settlement>) {
+    fn resolve_waiting(&mut self, settlements: Vec<Settlement>) {
         for settlement in settlements {
             let number = settlement.number;
-            let Some(ask) = self.waiting_for_credit.remove(&number) else {
+            let Some(request) = self.waiting_for_credit.remove(&number) else {
                 continue;
             };
             match settlement.outcome {
-                Ok(()) => self.place_admitted(ask),
+                Ok(()) => self.place_admitted(request),
                 Err(rejection) => self.outputs.push(NodeOutput::Place {
                     number,
-                    outcome: Err(refusal(rejection)),
+                    outcome: Err(rejection_of(rejection)),
                 }),
             }
         }
     }
 
-    pub(super) fn settle_credit(&mut self) {
+    pub(super) fn expire_waiting_requests(&mut self) {
         let settled = self.credit.on_clock(self.now);
-        self.settle(settled);
+        self.resolve_waiting(settled);
     }
 
     pub(super) fn on_credit_grant(&mut self, from: Address, grant: &CreditGrant) {
         let settled = self.credit.on_grant(self.now, from, grant);
-        self.settle(settled);
+        self.resolve_waiting(settled);
     }
 
     /// Nobody waits for this request any more.
@@ -136,14 +136,14 @@
     }
 
     /// Asks the tail for credit, where some is wanted.
-    pub(super) fn ask_for_credit(&mut self) {
+    pub(super) fn request_credit(&mut self) {
         if let Some((tail, ask)) = self.credit.ask(self.now, self.tail) {
             self.send(tail, Message::CreditAsk { ask: Box::new(ask) });
         }
     }
 }
 
-fn refusal(rejection: QuotaRejection) -> Rejection {
+fn rejection_of(rejection: QuotaRejection) -> Rejection {
     match rejection {
         QuotaRejection::OverQuota { retry_after } => Rejection {
             code: ResultCode::OverQuota,
--- a/crates/router/src/control/node/request_placement.rs
+++ b/crates/router/src/control/node/request_placement.rs
@@ -7,10 +7,13 @@
 use types::{Milliseconds, RequestId, ResultCode, ServerName};
 
 /// Ids of ended requests that are remembered.
-pub(super) const ENDED_IDS: usize = 8192;
+pub(super) const MAX_FINISHED_IDS: usize = 8192;
 
 impl Node {
-    pub(super) fn place(&mut self, ask: PlacementRequest) -> Result<Placement, Rejection> {
+    pub(super) fn place(
+        &mut self,
+        placement_request: PlacementRequest,
+    ) -> Result<Placement, Rejection> {
         let PlacementRequest {
             number,
             request,
@@ -24,8 +27,8 @@
             tried,
             may_have_run,
             run,
-        } = ask;
-        let deny = |code: ResultCode, why: &str, retry_after: u64| {
+        } = placement_request;
+        let reject = |code: ResultCode, why: &str, retry_after: u64| {
             Err(Rejection {
                 code,
                 why: why.to_owned(),
@@ -33,23 +36,23 @@
             })
         };
         if self.is_draining {
-            return deny(
+            return reject(
                 ResultCode::Draining,
                 "this node is stopping; another takes it",
                 0,
             );
         }
-        let reason = self.lease_state.status(self.now);
-        if !reason.may_act() || self.now >= self.may_act_until(self.now) {
-            let why = format!("this node's lease state is `{}`", reason.word());
-            return deny(ResultCode::NotReady, &why, 1000);
+        let status = self.lease_state.status(self.now);
+        if !status.may_act() || self.now >= self.may_act_until(self.now) {
+            let why = format!("this node's lease state is `{}`", status.word());
+            return reject(ResultCode::NotReady, &why, 1000);
         }
         let (Some(plan), Some(token_key)) = (self.plan.clone(), self.key) else {
-            return deny(ResultCode::NotReady, "no configuration yet", 1000);
+            return reject(ResultCode::NotReady, "no configuration yet", 1000);
         };
         let is_kind = |found: &&ServicePlan| route.is_some() || found.kind == kind;
         let Some(of_service) = plan.services.get(service.as_str()).filter(is_kind) else {
-            return deny(
+            return reject(
                 ResultCode::UnknownService,
                 "no accepted plan allows this service in this way",
                 0,
@@ -61,7 +64,7 @@
                 Some(found) => found.may_repeat(),
                 // The plan has changed since it was read here: its client may come back under the new one.
                 None => {
-                    return deny(
+                    return reject(
                         ResultCode::NotReady,
                         "the plan in force has this route no more",
                         50,
@@ -71,27 +74,27 @@
         };
         let access = self.access(&plan, route.as_deref(), key.as_ref())?;
         if may_have_run && !may_repeat {
-            return deny(
+            return reject(
                 ResultCode::NoServer,
                 "the plan in force lets no request that may have run repeat",
                 0,
             );
         }
-        let holder = *self.open.entry(request.clone()).or_insert(number);
+        let holder = *self.in_flight.entry(request.clone()).or_insert(number);
         if holder != number {
-            return deny(
+            return reject(
                 ResultCode::RequestIdTaken,
                 "a request of this id is in hand here",
                 0,
             );
         }
-        if round == 0 && self.ended_ids.contains(&request) {
+        if round == 0 && self.finished_ids.contains(&request) {
             let why = "a request of this id was given to a server here; that one may have run";
-            return deny(ResultCode::RequestIdTaken, why, 0);
+            return reject(ResultCode::RequestIdTaken, why, 0);
         }
         let before = self.outputs.len();
         let token_service = service.clone();
-        self.tell_scheduler(Event::Prompt {
+        self.notify_scheduler(Event::Prompt {
             request: request.clone(),
             service,
             hashes,
@@ -139,7 +142,7 @@
                 }
                 _ => None,
             });
-        let (server, expected) = decided.unwrap_or_else(deny_no_decision)?;
+        let (server, expected) = decided.unwrap_or_else(no_decision)?;
         let address = self
             .addresses
             .get(&server)
@@ -181,7 +184,7 @@
     /// Which run a token is good for, if it is one of this fleet's and names a server that is known
     /// here. Reading on is no new work: it needs no lease, and a withdrawn zone's runs end well.
     pub(super) fn resume(&mut self, number: u64, token: &str) -> Result<Token, Rejection> {
-        let deny = |code: ResultCode, why: String| {
+        let reject = |code: ResultCode, why: String| {
             Err(Rejection {
                 code,
                 why,
@@ -189,40 +192,40 @@
             })
         };
         if self.is_draining {
-            return deny(
+            return reject(
                 ResultCode::Draining,
                 "this node is stopping; another reads it on".into(),
             );
         }
-        let Some(key) = self.key.filter(|_| self.has_server_list) else {
+        let Some(key) = self.key.filter(|_| self.has_endpoint_list) else {
             let why = "this node has just started; nothing of the run is lost".into();
-            return deny(ResultCode::NotReady, why);
+            return reject(ResultCode::NotReady, why);
         };
         let Some(token) = Token::open(token, &key) else {
-            return deny(
+            return reject(
                 ResultCode::BadToken,
                 "the token is not one of this fleet's".into(),
             );
         };
         if !self.scheduler.servers().contains_key(&token.server) {
-            return deny(
+            return reject(
                 ResultCode::ResumeFailed,
                 format!("server {} is no more listed", token.server),
             );
         }
-        self.open.insert(resume_id(number), number);
+        self.in_flight.insert(resume_id(number), number);
         Ok(token)
     }
 
     /// Remembers an id that may have run, and forgets the oldest beyond the bound.
-    pub(super) fn remember(&mut self, request: RequestId) {
-        if self.ended_ids.insert(request.clone()) {
-            self.ended.push_back(request);
+    pub(super) fn remember_finished_id(&mut self, request: RequestId) {
+        if self.finished_ids.insert(request.clone()) {
+            self.finished.push_back(request);
         }
-        if self.ended.len() > ENDED_IDS
-            && let Some(oldest) = self.ended.pop_front()
+        if self.finished.len() > MAX_FINISHED_IDS
+            && let Some(oldest) = self.finished.pop_front()
         {
-            self.ended_ids.remove(&oldest);
+            self.finished_ids.remove(&oldest);
         }
     }
 }
@@ -232,7 +235,7 @@
     RequestId(format!("resume/{number}"))
 }
 
-fn deny_no_decision() -> Result<(ServerName, Milliseconds), Rejection> {
+fn no_decision() -> Result<(ServerName, Milliseconds), Rejection> {
     let why = "the scheduler decided nothing".to_owned();
     Err(Rejection {
         code: ResultCode::NoServer,
--- a/crates/router/src/control/node/tests.rs
+++ b/crates/router/src/control/node/tests.rs
@@ -1,10 +1,10 @@
-use super::request_placement::ENDED_IDS;
+use super::request_placement::MAX_FINISHED_IDS;
 use super::*;
 use crate::control::node::{
     Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, resume_id,
 };
 use crate::dialect::Access;
-use crate::discovery::endpoint_list::{ListReading, ListTiming};
+use crate::discovery::endpoint_list::{EndpointListReading, EndpointListTiming};
 use crate::request::resume_token::{Token, run_id};
 use config::{ServiceKind, parse_plan};
 use placement::{Event, Outcome, RequestCost, SchedulerRules, ServerEntry};
@@ -70,9 +70,9 @@
     }
     /// The core responds to the poll that is under way, or to the next.
     fn lease(&mut self, epoch: u64, plan_epoch: u64) -> Vec<NodeOutput> {
-        self.at = self.at.max(self.node.next_poll.0);
+        self.at = self.at.max(self.node.next_lease_request_at.0);
         self.step(NodeInput::ClockEvent);
-        self.lease_of(self.node.poll_round, epoch, plan_epoch)
+        self.lease_of(self.node.lease_request_round, epoch, plan_epoch)
     }
     fn lease_of(&mut self, round: u64, epoch: u64, plan_epoch: u64) -> Vec<NodeOutput> {
         let response = LeaseResponse::Lease {
@@ -110,7 +110,7 @@
             }
         }
     }
-    fn server_list(&mut self) {
+    fn endpoint_list(&mut self) {
         let entry = |name: &str| ServerEntry {
             server: name.into(),
             zone: "east".into(),
@@ -174,7 +174,7 @@
         let mut played = Played::new();
         played.lease(3, 2);
         played.plan(2);
-        played.server_list();
+        played.endpoint_list();
         played
     }
 }
@@ -222,7 +222,10 @@
         ConfigEpoch(4),
         "the membership of epoch 5 never came"
     );
-    assert!(played.node.polled.is_some(), "the core is asked for it");
+    assert!(
+        played.node.lease_request_sent_at.is_some(),
+        "the core is asked for it"
+    );
 }
 
 /// A lease is reckoned from when this life asked, a peer check from when it sent: what answers an earlier life
@@ -233,7 +236,7 @@
     let mut played = Played::of_life(2 << 40);
     earlier.lease(3, 2);
     played.step(NodeInput::ClockEvent);
-    played.lease_of(earlier.node.poll_round, 3, 2);
+    played.lease_of(earlier.node.lease_request_round, 3, 2);
     played.plan(2);
     assert_eq!(
         played
@@ -251,7 +254,7 @@
             .status(MonotonicInstant(played.at)),
         LeaseStatus::Leased
     );
-    for (echoes_earlier, reason) in [
+    for (echoes_earlier, status) in [
         (true, LeaseStatus::Isolated),
         (false, LeaseStatus::PeerQuorum),
     ] {
@@ -278,7 +281,7 @@
                 .node
                 .lease_state()
                 .status(MonotonicInstant(played.at)),
-            reason
+            status
         );
     }
 }
@@ -303,7 +306,7 @@
         Some(ResultCode::NotReady),
         "no server list"
     );
-    played.server_list();
+    played.endpoint_list();
     assert_eq!(
         played.place(1, "a", "other").err(),
         Some(ResultCode::UnknownService)
@@ -340,7 +343,7 @@
             });
         }
     }
-    played.server_list();
+    played.endpoint_list();
     for (number, service, is_again) in [(1, "once", false), (2, "kept", false), (3, "free", true)] {
         assert!(played.place(number, service, service).is_ok());
         // Some more, so that a repeat is within the service's fifth.
@@ -439,7 +442,7 @@
         played.step(NodeInput::ClockEvent);
         let echo = played.node.peer_check_round;
         assert!(!asks_news(played.tell(8, response(3, echo))));
-        played.server_list();
+        played.endpoint_list();
     }
     assert_eq!(
         played
@@ -571,8 +574,8 @@
 #[test]
 fn a_poll_and_its_answer_are_small_when_nothing_is_new() {
     let mut played = Played::serving();
-    let asked = sent_within(&mut played, 1500);
-    let poll = asked
+    let requested_at = sent_within(&mut played, 1500);
+    let poll = requested_at
         .iter()
         .find(|(_, _, message)| matches!(message, Message::LeaseRequest { .. }))
         .expect("a poll");
@@ -628,9 +631,9 @@
         "what never ran may come again"
     );
     close(&mut played, "refused", false);
-    for n in 0..ENDED_IDS {
+    for n in 0..MAX_FINISHED_IDS {
         let id = RequestId(format!("more-{n}"));
-        played.node.open.insert(id.clone(), 1);
+        played.node.in_flight.insert(id.clone(), 1);
         close(&mut played, id.as_str(), true);
     }
     assert!(
@@ -638,8 +641,8 @@
         "the oldest is forgotten"
     );
     assert_eq!(
-        (played.node.ended.len(), played.node.ended_ids.len()),
-        (ENDED_IDS, ENDED_IDS)
+        (played.node.finished.len(), played.node.finished_ids.len()),
+        (MAX_FINISHED_IDS, MAX_FINISHED_IDS)
     );
 }
 
@@ -706,15 +709,15 @@
 /// After a sleep the list may be another: nothing is placed until it was read anew.
 #[test]
 fn a_node_that_reads_the_list_places_nothing_after_a_sleep_until_it_has_read_it_anew() {
-    let reading = |asked: u64| {
+    let reading = |requested_at: u64| {
         let entry = ServerEntry {
             server: "s0".into(),
             zone: "east".into(),
             pool: "model".into(),
             ..ServerEntry::default()
         };
-        NodeInput::List(ListReading {
-            asked: MonotonicInstant(asked),
+        NodeInput::List(EndpointListReading {
+            requested_at: MonotonicInstant(requested_at),
             calls: 1,
             servers: Some(vec![entry]),
         })
@@ -725,7 +728,9 @@
             .any(|output| matches!(output, NodeOutput::ReadList(_)))
     };
     let mut played = Played::new();
-    played.node = played.node.reading_list(ListTiming::default());
+    played.node = played
+        .node
+        .with_endpoint_list(EndpointListTiming::default());
     assert!(reads(played.step(NodeInput::ClockEvent)));
     played.lease(3, 2);
     played.plan(2);
@@ -737,11 +742,11 @@
     played.step(reading(played.at));
     played.report("s0", 1, Milliseconds::seconds(60));
     assert!(played.place(1, "a", "drafts").is_ok());
-    let asked = played.at;
+    let requested_at = played.at;
     played.at += 5000;
     assert!(reads(played.step(NodeInput::ClockEvent)));
     played.lease(3, 2);
-    played.step(reading(asked));
+    played.step(reading(requested_at));
     assert_eq!(
         played.place(2, "b", "drafts").err(),
         Some(ResultCode::NotReady),
@@ -761,8 +766,8 @@
             .map(|voter| voter.0.port())
             .collect::<Vec<_>>()
     };
-    let polled = |played: &mut Played, view: u64, voters: [u16; 2]| {
-        played.at = played.at.max(played.node.next_poll.0);
+    let lease_request_sent_at = |played: &mut Played, view: u64, voters: [u16; 2]| {
+        played.at = played.at.max(played.node.next_lease_request_at.0);
         played.step(NodeInput::ClockEvent);
         let voters = voters.map(Address::loopback).to_vec();
         let response = LeaseResponse::Elsewhere {
@@ -773,23 +778,23 @@
         played.tell(
             5,
             Message::LeaseResponse {
-                round: played.node.poll_round,
+                round: played.node.lease_request_round,
                 response: Box::new(response),
             },
         );
     };
-    polled(&mut played, 4, [21, 22]);
+    lease_request_sent_at(&mut played, 4, [21, 22]);
     assert_eq!(ports(&played.node), [21, 22]);
-    polled(&mut played, 3, [11, 12]);
+    lease_request_sent_at(&mut played, 3, [11, 12]);
     assert_eq!(ports(&played.node), [21, 22], "an older view");
-    polled(&mut played, 5, [31, 32]);
+    lease_request_sent_at(&mut played, 5, [31, 32]);
     assert_eq!(ports(&played.node), [31, 32]);
     assert_eq!(played.node.tail, Some(Address::loopback(31)));
 }
 
 fn events(outputs: Vec<NodeOutput>) -> Vec<Event> {
     let event_of = |output| match output {
-        NodeOutput::Event(dated) => Some(dated.event),
+        NodeOutput::Event(timestamped) => Some(timestamped.event),
         _ => None,
     };
     outputs.into_iter().filter_map(event_of).collect()
@@ -877,7 +882,7 @@
 }
 
 /// Whom these outputs poll.
-fn polled(outputs: Vec<NodeOutput>) -> Vec<u16> {
+fn lease_request_sent_at(outputs: Vec<NodeOutput>) -> Vec<u16> {
     let to = |output| match output {
         NodeOutput::Send {
             to,
@@ -905,26 +910,30 @@
         }
     };
     let mut played = Played::new();
-    assert_eq!(polled(played.step(NodeInput::ClockEvent)), [1], "its seed");
-    assert_eq!(polled(played.tell(5, call(3, &[4, 5]))), [5]);
     assert_eq!(
-        polled(played.tell(6, call(2, &[6]))),
+        lease_request_sent_at(played.step(NodeInput::ClockEvent)),
+        [1],
+        "its seed"
+    );
+    assert_eq!(lease_request_sent_at(played.tell(5, call(3, &[4, 5]))), [5]);
+    assert_eq!(
+        lease_request_sent_at(played.tell(6, call(2, &[6]))),
         Vec::<u16>::new(),
         "an older view"
     );
     assert_eq!(
-        polled(played.tell(6, call(4, &[]))),
+        lease_request_sent_at(played.tell(6, call(4, &[]))),
         Vec::<u16>::new(),
         "nobody is named"
     );
     // It goes on asking those that it was told of.
     played.at += 400;
-    let next = polled(played.step(NodeInput::ClockEvent));
+    let next = lease_request_sent_at(played.step(NodeInput::ClockEvent));
     assert!(next == [4] || next == [5] || next == [1], "{next:?}");
 
     let mut leased = Played::serving();
     assert_eq!(
-        polled(leased.tell(5, call(9, &[5]))),
+        lease_request_sent_at(leased.tell(5, call(9, &[5]))),
         Vec::<u16>::new(),
         "one with a lease needs no call"
     );
@@ -945,7 +954,7 @@
     fn take_plan(&mut self, epoch: u64, plan: &str) {
         self.at += 500;
         self.step(NodeInput::ClockEvent);
-        self.lease_of(self.node.poll_round, epoch, epoch);
+        self.lease_of(self.node.lease_request_round, epoch, epoch);
         let (length, bytes) = (plan.len() as u64, plan.as_bytes().to_vec());
         let piece = Message::PlanChunk {
             epoch: ConfigEpoch(epoch),
@@ -967,7 +976,7 @@
     fn with_tenants() -> Self {
         let mut played = Played::new();
         played.take_plan(3, TENANTS);
-        played.server_list();
+        played.endpoint_list();
         // The tail is told first that nothing is held.
         let number = played.newest_ask;
         played.grant(number, 0, 0);
@@ -1130,7 +1139,7 @@
     said += &format!("{:?}", played.place_as(2, "s3cret-but-wrong"));
     said += &format!(
         "{:?} {:?}",
-        played.node.held_credit(),
+        played.node.reserved_credit(),
         played.node.tenants()
     );
     assert!(!said.contains("s3cret"), "{said}");
--- a/crates/router/src/discovery/endpoint_list.rs
+++ b/crates/router/src/discovery/endpoint_list.rs
@@ -5,42 +5,42 @@
 
 /// The spans and bounds that the list of servers is read and told by.
 #[derive(Debug, Clone, Copy)]
-pub struct ListTiming {
+pub struct EndpointListTiming {
     /// Between two readings by one node.
-    pub period: Milliseconds,
+    pub reading_interval: Milliseconds,
     /// A member that has heard no collector for this long reads the list itself.
-    pub silence: Milliseconds,
+    pub collector_timeout: Milliseconds,
     /// Calls a second that the platform bears from the whole fleet.
-    pub rate: u64,
+    pub max_calls_per_second: u64,
     /// After a reading that failed, the first time.
-    pub retry: Milliseconds,
+    pub initial_backoff: Milliseconds,
     /// Cold servers warm up as time passes: what differs by no more than this from that is no change.
-    pub cold_tolerance: Milliseconds,
+    pub warm_up_tolerance: Milliseconds,
     /// Without a clock event for this long, the machine slept.
-    pub slept: Milliseconds,
+    pub sleep_threshold: Milliseconds,
     /// What others say is not heard for so long after it: their letters may have lain here meanwhile.
-    pub deafness: Milliseconds,
+    pub ignore_span_after_sleep: Milliseconds,
 }
 
-impl Default for ListTiming {
+impl Default for EndpointListTiming {
     fn default() -> Self {
-        ListTiming {
-            period: Milliseconds(1000),
-            silence: Milliseconds(2000),
-            rate: 50,
-            retry: Milliseconds(250),
-            cold_tolerance: Milliseconds(300),
-            slept: Milliseconds(1000),
-            deafness: Milliseconds(1000),
+        EndpointListTiming {
+            reading_interval: Milliseconds(1000),
+            collector_timeout: Milliseconds(2000),
+            max_calls_per_second: 50,
+            initial_backoff: Milliseconds(250),
+            warm_up_tolerance: Milliseconds(300),
+            sleep_threshold: Milliseconds(1000),
+            ignore_span_after_sleep: Milliseconds(1000),
         }
     }
 }
 
 /// What the list's reader found.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ListReading {
+pub struct EndpointListReading {
     /// When it began to read.
-    pub asked: MonotonicInstant,
+    pub requested_at: MonotonicInstant,
     /// Calls that it made.
     pub calls: usize,
     /// The whole list, if it could be read.
@@ -49,7 +49,7 @@
 
 /// What a reading does where the platform takes no more calls for the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadEffort {
+pub enum ReadRetryPolicy {
     /// It is given up: whoever reads for itself alone must not hold up those who read for many.
     Once,
     /// The page that was refused is asked for again, for a while.
@@ -58,9 +58,9 @@
 
 /// What is to be done about the list of servers.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListOutput {
+pub enum EndpointListOutput {
     /// Read the list, on another thread.
-    Read(ReadEffort),
+    Read(ReadRetryPolicy),
     /// Send a letter.
     Send {
         /// To there.
@@ -71,12 +71,12 @@
     /// The list has changed: this is the whole of it, as of now.
     Servers(Vec<ServerEntry>),
     /// This one, who should tell the list, has not done so for long, though it can be read or is not known here.
-    Unheard(Address),
+    CollectorUnreachable(Address),
 }
 
 /// Who is there to tell the list, and to be told.
 #[derive(Debug, Clone, Copy)]
-pub struct ListPeers<'a> {
+pub struct EndpointListPeers<'a> {
     /// The members of the node's own zone.
     pub zone: Option<&'a BTreeSet<Address>>,
     /// Its collector, as this node sees it.
@@ -97,10 +97,10 @@
 /// machine nothing counts that may have been said before. `check` is that of `entries`. Without a list,
 /// `read_at` is `None` and nothing is told to others.
 #[derive(Debug, Clone)]
-pub struct ServerList {
-    own: Address,
+pub struct EndpointList {
+    own_address: Address,
     incarnation: u64,
-    timing: ListTiming,
+    timing: EndpointListTiming,
     now: MonotonicInstant,
     entries: BTreeMap<ServerName, Entry>,
     version: ListVersion,
@@ -115,9 +115,9 @@
     /// Whether this node reads for its zone: from when it is the collector until another is, and is heard.
     is_collecting: bool,
     /// Which collector last told or confirmed the list, and when.
-    heard: Option<(Address, MonotonicInstant)>,
+    last_confirmed: Option<(Address, MonotonicInstant)>,
     /// Whether the list is read here for want of a collector.
-    is_alone: bool,
+    reads_without_collector: bool,
     /// When the reading began that is under way.
     reading: Option<MonotonicInstant>,
     next_read: MonotonicInstant,
@@ -125,27 +125,27 @@
     /// Calls that a reading takes.
     calls: usize,
     /// When the machine last slept, if it did: what was known before counts no more.
-    woken: Option<MonotonicInstant>,
+    woke_at: Option<MonotonicInstant>,
     last_clock: MonotonicInstant,
-    fetching: Option<Fetching>,
-    chance: u64,
-    outputs: Vec<ListOutput>,
+    pending_transfer: Option<PendingTransfer>,
+    random_state: u64,
+    outputs: Vec<EndpointListOutput>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Entry {
-    /// Without `cold_left`.
+    /// Without `warm_up_left`.
     entry: ServerEntry,
-    cold_until: Option<MonotonicInstant>,
+    warming_up_until: Option<MonotonicInstant>,
 }
 
 /// A whole list under way, piece by piece.
 #[derive(Debug, Clone)]
-struct Fetching {
+struct PendingTransfer {
     from: Address,
     version: ListVersion,
     entries: Vec<Entry>,
-    asked: MonotonicInstant,
+    requested_at: MonotonicInstant,
 }
 
 /// A piece that has not come by then is asked for anew.
@@ -153,64 +153,79 @@
 /// A reading without an end by then has come to nothing.
 const READ_DEADLINE: Milliseconds = Milliseconds(30_000);
 /// Bytes of entries that one letter carries.
-const PIECE: usize = 200 << 10;
+const MAX_CHUNK_BYTES: usize = 200 << 10;
 
 impl Entry {
     fn new(mut entry: ServerEntry, now: MonotonicInstant) -> Entry {
-        let cold_until = entry.warm_up_left.take().map(|left| now + left);
-        Entry { entry, cold_until }
+        let warming_up_until = entry.warm_up_left.take().map(|left| now + left);
+        Entry {
+            entry,
+            warming_up_until,
+        }
     }
-    fn told(&self, now: MonotonicInstant) -> ServerEntry {
+    fn to_server_entry(&self, now: MonotonicInstant) -> ServerEntry {
         ServerEntry {
-            warm_up_left: self.cold_until.map(|deadline| now.until(deadline)),
+            warm_up_left: self.warming_up_until.map(|deadline| now.until(deadline)),
             ..self.entry.clone()
         }
     }
     /// Whether the other is the same, but that time has passed.
     fn is_like(&self, other: &Entry, now: MonotonicInstant, tolerance: Milliseconds) -> bool {
-        let is_as_cold = match (self.cold_until, other.cold_until) {
+        let has_same_warm_up = match (self.warming_up_until, other.warming_up_until) {
             (Some(one), Some(two)) => now.until(one).0.abs_diff(now.until(two).0) <= tolerance.0,
             (one, two) => one == two,
         };
-        is_as_cold && self.entry == other.entry
+        has_same_warm_up && self.entry == other.entry
     }
 }
 
 /// The same for the same entries, whatever is left of their cold time.
-fn check_of(entries: &BTreeMap<ServerName, Entry>) -> u64 {
+fn checksum(entries: &BTreeMap<ServerName, Entry>) -> u64 {
     let mut hasher = blake3::Hasher::new();
     let mut add = |bytes: &[u8]| {
         hasher.update(&(bytes.len() as u64).to_le_bytes());
         hasher.update(bytes);
     };
-    for Entry { entry, cold_until } in entries.values() {
+    for Entry {
+        entry,
+        warming_up_until,
+    } in entries.values()
+    {
         add(entry.server.as_str().as_bytes());
         add(entry.address.as_deref().unwrap_or_default().as_bytes());
         add(&entry.slots.map_or(u64::MAX, u64::from).to_le_bytes());
         add(entry.zone.as_str().as_bytes());
         add(entry.pool.as_bytes());
-        add(&[u8::from(entry.is_draining), u8::from(cold_until.is_some())]);
+        add(&[
+            u8::from(entry.is_draining),
+            u8::from(warming_up_until.is_some()),
+        ]);
     }
     let mut check = [0; 8];
     check.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
     u64::from_le_bytes(check)
 }
 
-fn bytes_of(entry: &ServerEntry) -> usize {
+fn estimated_bytes(entry: &ServerEntry) -> usize {
     let address = entry.address.as_ref().map_or(0, String::len);
     96 + entry.server.as_str().len() + entry.zone.as_str().len() + entry.pool.len() + address
 }
 
-impl ServerList {
+impl EndpointList {
     /// At the start of a node's life: nothing is known.
-    pub fn new(own: Address, incarnation: u64, timing: ListTiming, now: MonotonicInstant) -> Self {
+    pub fn new(
+        own_address: Address,
+        incarnation: u64,
+        timing: EndpointListTiming,
+        now: MonotonicInstant,
+    ) -> Self {
         let entries = BTreeMap::new();
-        ServerList {
-            own,
+        EndpointList {
+            own_address,
             incarnation,
             timing,
             now,
-            check: check_of(&entries),
+            check: checksum(&entries),
             entries,
             version: ListVersion {
                 incarnation,
@@ -222,24 +237,24 @@
             fleet: 1,
             collector: (None, now),
             is_collecting: false,
-            heard: None,
-            is_alone: true,
+            last_confirmed: None,
+            reads_without_collector: true,
             reading: None,
             next_read: now,
             failures: 0,
             calls: 1,
-            woken: None,
+            woke_at: None,
             last_clock: now,
-            fetching: None,
-            chance: incarnation ^ u64::from(own.0.port()) << 48,
+            pending_transfer: None,
+            random_state: incarnation ^ u64::from(own_address.0.port()) << 48,
             outputs: vec![],
         }
     }
 
     /// Whether a list is known whose reading began in this life, after the machine last slept.
-    pub fn is_known(&self) -> bool {
+    pub fn is_fresh(&self) -> bool {
         self.read_at
-            .is_some_and(|at| self.woken.is_none_or(|woken| at >= woken))
+            .is_some_and(|at| self.woke_at.is_none_or(|woke_at| at >= woke_at))
     }
     /// The version held.
     pub fn version(&self) -> ListVersion {
@@ -256,48 +271,61 @@
     /// When the next clock event is due at the latest.
     pub fn next_timer(&self) -> MonotonicInstant {
         match self.reading {
-            Some(asked) => asked + READ_DEADLINE,
-            None if self.reads_itself() => self.next_read,
-            None => self.heard.map_or(self.now, |(_, at)| at) + self.timing.silence,
+            Some(requested_at) => requested_at + READ_DEADLINE,
+            None if self.is_reader() => self.next_read,
+            None => {
+                self.last_confirmed.map_or(self.now, |(_, at)| at) + self.timing.collector_timeout
+            }
         }
     }
 
     /// Time has passed.
-    pub fn on_clock(&mut self, now: MonotonicInstant, peers: ListPeers) -> Vec<ListOutput> {
-        self.pass(now);
+    pub fn on_clock(
+        &mut self,
+        now: MonotonicInstant,
+        peers: EndpointListPeers,
+    ) -> Vec<EndpointListOutput> {
+        self.advance_clock(now);
         self.last_clock = self.now;
-        self.note_peers(peers);
-        if !self.is_known() {
-            self.doubt();
+        self.update_peers(peers);
+        if !self.is_fresh() {
+            self.check_collector();
         }
-        if self.is_silent() && !self.is_alone && !self.is_collecting {
-            self.is_alone = true;
+        if self.has_collector_timed_out() && !self.reads_without_collector && !self.is_collecting {
+            self.reads_without_collector = true;
             // Members that miss the same collector must not read together.
-            self.next_read = self.now + self.part_of(self.fleet_period());
+            self.next_read = self.now + self.random_below(self.fleet_period());
         }
         if self
             .reading
-            .is_some_and(|asked| self.now.since(asked) >= READ_DEADLINE)
+            .is_some_and(|requested_at| self.now.since(requested_at) >= READ_DEADLINE)
         {
             self.reading = None;
         }
-        if self.reading.is_none() && self.reads_itself() && self.now >= self.next_read {
+        if self.reading.is_none() && self.is_reader() && self.now >= self.next_read {
             self.reading = Some(self.now);
             let effort = if self.is_collecting {
-                ReadEffort::Persistent
+                ReadRetryPolicy::Persistent
             } else {
-                ReadEffort::Once
+                ReadRetryPolicy::Once
             };
-            self.outputs.push(ListOutput::Read(effort));
+            self.outputs.push(EndpointListOutput::Read(effort));
         }
         std::mem::take(&mut self.outputs)
     }
 
     /// The reader is done.
-    pub fn on_reading(&mut self, now: MonotonicInstant, reading: ListReading) -> Vec<ListOutput> {
-        self.pass(now);
+    pub fn on_reading(
+        &mut self,
+        now: MonotonicInstant,
+        reading: EndpointListReading,
+    ) -> Vec<EndpointListOutput> {
+        self.advance_clock(now);
         self.reading = None;
-        if self.woken.is_some_and(|woken| reading.asked < woken) {
+        if self
+            .woke_at
+            .is_some_and(|woke_at| reading.requested_at < woke_at)
+        {
             // What it read may be as old as the sleep was long.
             self.next_read = self.now;
             return std::mem::take(&mut self.outputs);
@@ -307,25 +335,29 @@
                 self.failures = 0;
                 self.calls = reading.calls;
                 self.next_read = match self.is_collecting {
-                    true => (reading.asked + self.timing.period).max(self.now),
-                    false => self.now + self.about(self.fleet_period()),
+                    true => (reading.requested_at + self.timing.reading_interval).max(self.now),
+                    false => self.now + self.with_jitter(self.fleet_period()),
                 };
-                self.take_reading(reading.asked, servers);
-                self.doubt();
+                self.apply_reading(reading.requested_at, servers);
+                self.check_collector();
             }
             None => {
                 // Whoever can't read says nothing, so that the others see for themselves.
                 let most = if self.is_collecting { 1 } else { 3 };
-                let pause = Milliseconds(self.timing.retry.0 << self.failures.min(most));
+                let pause = Milliseconds(self.timing.initial_backoff.0 << self.failures.min(most));
                 self.failures += 1;
                 let is_spare = self.read_at.is_some() && !self.is_collecting;
-                let pause = match self.has_teller() {
+                let pause = match self.has_other_collector() {
                     _ if is_spare => pause.max(self.fleet_period()),
                     // All that wait for the same list must leave room for those that read it for them.
-                    true => pause.max(fleet_period(self.fleet, 1, self.timing.rate)),
+                    true => pause.max(fleet_period(
+                        self.fleet,
+                        1,
+                        self.timing.max_calls_per_second,
+                    )),
                     false => pause,
                 };
-                self.next_read = self.now + self.about(pause);
+                self.next_read = self.now + self.with_jitter(pause);
             }
         }
         std::mem::take(&mut self.outputs)
@@ -337,12 +369,12 @@
         now: MonotonicInstant,
         from: Address,
         message: &Message,
-    ) -> Vec<ListOutput> {
-        self.pass(now);
+    ) -> Vec<EndpointListOutput> {
+        self.advance_clock(now);
         let is_deaf = self
-            .woken
-            .is_some_and(|woken| self.now < woken + self.timing.deafness);
-        if !is_deaf && from != self.own && self.zone.contains(&from) {
+            .woke_at
+            .is_some_and(|woke_at| self.now < woke_at + self.timing.ignore_span_after_sleep);
+        if !is_deaf && from != self.own_address && self.zone.contains(&from) {
             match message {
                 Message::ListFresh { state } => self.on_fresh(from, state),
                 Message::ListChange { change } => self.on_change(from, change),
@@ -356,19 +388,24 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn pass(&mut self, now: MonotonicInstant) {
+    fn advance_clock(&mut self, now: MonotonicInstant) {
         self.now = self.now.max(now);
-        if self.now.since(self.last_clock) < self.timing.slept {
+        if self.now.since(self.last_clock) < self.timing.sleep_threshold {
             return;
         }
         // What was read or said before may have lain here for as long as the machine slept.
         self.last_clock = self.now;
-        self.woken = Some(self.now);
-        (self.heard, self.fetching, self.is_alone, self.next_read) = (None, None, true, self.now);
+        self.woke_at = Some(self.now);
+        (
+            self.last_confirmed,
+            self.pending_transfer,
+            self.reads_without_collector,
+            self.next_read,
+        ) = (None, None, true, self.now);
         self.collector.1 = self.now;
     }
 
-    fn note_peers(&mut self, peers: ListPeers) {
+    fn update_peers(&mut self, peers: EndpointListPeers) {
         self.fleet = peers.fleet.max(1);
         if peers.zone != Some(&self.zone) {
             self.zone = peers.zone.cloned().unwrap_or_default();
@@ -376,49 +413,51 @@
         if peers.collector != self.collector.0 {
             self.collector = (peers.collector, self.now);
         }
-        if peers.collector == Some(self.own) {
+        if peers.collector == Some(self.own_address) {
             if !self.is_collecting {
                 self.next_read = self.now;
             }
             self.is_collecting = true;
-        } else if let Some((teller, _)) = self
-            .heard
-            .filter(|_| self.is_collecting && !self.is_silent())
+        } else if let Some((other_collector, _)) = self
+            .last_confirmed
+            .filter(|_| self.is_collecting && !self.has_collector_timed_out())
         {
             // Of two that are not chosen any more, the first goes on.
-            self.is_collecting = peers.collector != Some(teller) && teller > self.own;
+            self.is_collecting =
+                peers.collector != Some(other_collector) && other_collector > self.own_address;
         }
     }
 
     /// Whether another is to read for this node's zone.
-    fn has_teller(&self) -> bool {
+    fn has_other_collector(&self) -> bool {
         !self.is_collecting
-            && self.zone.contains(&self.own)
-            && self.collector.0.is_some_and(|one| one != self.own)
+            && self.zone.contains(&self.own_address)
+            && self.collector.0.is_some_and(|one| one != self.own_address)
     }
-    fn is_silent(&self) -> bool {
-        self.heard
-            .is_none_or(|(_, at)| self.now.since(at) >= self.timing.silence)
+    fn has_collector_timed_out(&self) -> bool {
+        self.last_confirmed
+            .is_none_or(|(_, at)| self.now.since(at) >= self.timing.collector_timeout)
     }
-    fn reads_itself(&self) -> bool {
-        self.is_collecting || self.is_alone
+    fn is_reader(&self) -> bool {
+        self.is_collecting || self.reads_without_collector
     }
     /// Between readings by each of the fleet, if all of it has to read.
     fn fleet_period(&self) -> Milliseconds {
-        fleet_period(self.fleet, self.calls, self.timing.rate).max(self.timing.period)
+        fleet_period(self.fleet, self.calls, self.timing.max_calls_per_second)
+            .max(self.timing.reading_interval)
     }
     /// By chance, less than the span.
-    fn part_of(&mut self, span: Milliseconds) -> Milliseconds {
+    fn random_below(&mut self, span: Milliseconds) -> Milliseconds {
         // SplitMix64.
-        self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.chance;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ mixed >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
         Milliseconds((mixed ^ mixed >> 31) % span.0.max(1))
     }
     /// The span, an eighth more or less.
-    fn about(&mut self, span: Milliseconds) -> Milliseconds {
-        Milliseconds(span.0 - span.0 / 8 + self.part_of(Milliseconds(span.0 / 4)).0)
+    fn with_jitter(&mut self, span: Milliseconds) -> Milliseconds {
+        Milliseconds(span.0 - span.0 / 8 + self.random_below(Milliseconds(span.0 / 4)).0)
     }
 
     fn state(&self) -> ListState {
@@ -426,33 +465,34 @@
         ListState {
             version: self.version,
             check: self.check,
-            cold: self.cold(),
+            cold: self.total_warm_up_left(),
             age,
         }
     }
     /// How long all servers together are still cold.
-    fn cold(&self) -> Milliseconds {
-        let left = self
-            .entries
-            .values()
-            .filter_map(|entry| entry.cold_until.map(|deadline| self.now.until(deadline).0));
+    fn total_warm_up_left(&self) -> Milliseconds {
+        let left = self.entries.values().filter_map(|entry| {
+            entry
+                .warming_up_until
+                .map(|deadline| self.now.until(deadline).0)
+        });
         Milliseconds(left.sum())
     }
     fn servers(&self) -> Vec<ServerEntry> {
         self.entries
             .values()
-            .map(|entry| entry.told(self.now))
+            .map(|entry| entry.to_server_entry(self.now))
             .collect()
     }
     fn send(&mut self, to: Address, message: Message) {
-        self.outputs.push(ListOutput::Send { to, message });
+        self.outputs.push(EndpointListOutput::Send { to, message });
     }
-    fn tell_zone(&mut self, message: &Message) {
+    fn send_to_zone(&mut self, message: &Message) {
         let others: Vec<Address> = self
             .zone
             .iter()
             .copied()
-            .filter(|one| *one != self.own)
+            .filter(|one| *one != self.own_address)
             .collect();
         others
             .into_iter()
@@ -460,24 +500,24 @@
     }
 
     /// This node has read the whole list.
-    fn take_reading(&mut self, asked: MonotonicInstant, servers: Vec<ServerEntry>) {
-        if self.read_at.is_some_and(|held| asked < held) {
+    fn apply_reading(&mut self, requested_at: MonotonicInstant, servers: Vec<ServerEntry>) {
+        if self.read_at.is_some_and(|held| requested_at < held) {
             return;
         }
-        let is_first = self.read_at.replace(asked).is_none();
+        let is_first = self.read_at.replace(requested_at).is_none();
         let now = self.now;
         let read = servers
             .into_iter()
             .map(|entry| (entry.server.clone(), Entry::new(entry, now)));
         let read: BTreeMap<ServerName, Entry> = read.collect();
-        let is_held = |(name, entry): &(&ServerName, &Entry)| {
+        let is_unchanged = |(name, entry): &(&ServerName, &Entry)| {
             self.entries
                 .get(*name)
-                .is_some_and(|held| held.is_like(entry, now, self.timing.cold_tolerance))
+                .is_some_and(|held| held.is_like(entry, now, self.timing.warm_up_tolerance))
         };
         let set: Vec<Entry> = read
             .iter()
-            .filter(|one| !is_held(one))
+            .filter(|one| !is_unchanged(one))
             .map(|(_, entry)| entry.clone())
             .collect();
         let gone: Vec<ServerName> = self
@@ -489,12 +529,13 @@
         if !is_first && set.is_empty() && gone.is_empty() {
             if self.is_collecting {
                 let state = self.state();
-                self.tell_zone(&Message::ListFresh { state });
+                self.send_to_zone(&Message::ListFresh { state });
             }
             return;
         }
         gone.iter().for_each(|name| drop(self.entries.remove(name)));
-        let told: Vec<ServerEntry> = set.iter().map(|entry| entry.told(now)).collect();
+        let changed_entries: Vec<ServerEntry> =
+            set.iter().map(|entry| entry.to_server_entry(now)).collect();
         self.entries.extend(
             set.into_iter()
                 .map(|entry| (entry.entry.server.clone(), entry)),
@@ -507,19 +548,21 @@
                 number: self.number,
             },
         );
-        self.check = check_of(&self.entries);
-        self.outputs.push(ListOutput::Servers(self.servers()));
+        self.check = checksum(&self.entries);
+        self.outputs
+            .push(EndpointListOutput::Servers(self.servers()));
         if self.is_collecting {
             let state = self.state();
-            let is_long = told.iter().map(bytes_of).sum::<usize>() > PIECE;
-            self.tell_zone(&match is_first || is_long {
+            let is_long =
+                changed_entries.iter().map(estimated_bytes).sum::<usize>() > MAX_CHUNK_BYTES;
+            self.send_to_zone(&match is_first || is_long {
                 // Whoever holds something else asks for the whole.
                 true => Message::ListFresh { state },
                 false => Message::ListChange {
                     change: Box::new(ListChange {
                         state,
                         base,
-                        set: told,
+                        set: changed_entries,
                         gone,
                     }),
                 },
@@ -529,52 +572,59 @@
 
     /// A collector that is silent for long should have told the list: reading here went well, or nothing is known
     /// here, and waiting for one that is gone would be for ever.
-    fn doubt(&mut self) {
+    fn check_collector(&mut self) {
         let (Some(collector), since) = self.collector else {
             return;
         };
-        let is_long = self.now.since(since) >= self.timing.silence;
-        if self.has_teller() && is_long && self.is_silent() {
-            self.outputs.push(ListOutput::Unheard(collector));
+        let is_long = self.now.since(since) >= self.timing.collector_timeout;
+        if self.has_other_collector() && is_long && self.has_collector_timed_out() {
+            self.outputs
+                .push(EndpointListOutput::CollectorUnreachable(collector));
         }
     }
 
     /// When the reading began that another tells of, if no list that is held here was read later.
-    fn date(&self, state: &ListState, told: MonotonicInstant) -> Option<MonotonicInstant> {
-        let at = told - state.age;
+    fn reading_time(
+        &self,
+        state: &ListState,
+        received_at: MonotonicInstant,
+    ) -> Option<MonotonicInstant> {
+        let at = received_at - state.age;
         self.read_at.is_none_or(|held| at >= held).then_some(at)
     }
     /// Whether what is held here is what the other holds: the same version, or the same entries, as cold.
-    fn has(&self, state: &ListState) -> bool {
-        let is_as_cold = || self.cold().0.abs_diff(state.cold.0) <= self.timing.cold_tolerance.0;
+    fn has_same_content(&self, state: &ListState) -> bool {
+        let has_same_warm_up = || {
+            self.total_warm_up_left().0.abs_diff(state.cold.0) <= self.timing.warm_up_tolerance.0
+        };
         self.read_at.is_some()
-            && (self.version == state.version || (self.check == state.check && is_as_cold()))
+            && (self.version == state.version || (self.check == state.check && has_same_warm_up()))
     }
     /// A collector has told that what is held here now is what the list shows.
-    fn confirm(&mut self, from: Address, state: &ListState, at: MonotonicInstant) {
+    fn confirm_version(&mut self, from: Address, state: &ListState, at: MonotonicInstant) {
         self.read_at = Some(at);
         self.version = state.version;
-        self.heard = Some((from, self.now));
-        self.is_alone = false;
-        self.fetching = None;
+        self.last_confirmed = Some((from, self.now));
+        self.reads_without_collector = false;
+        self.pending_transfer = None;
     }
 
     fn on_fresh(&mut self, from: Address, state: &ListState) {
-        let Some(at) = self.date(state, self.now) else {
+        let Some(at) = self.reading_time(state, self.now) else {
             return;
         };
-        match self.has(state) {
-            true => self.confirm(from, state, at),
-            false => self.ask(from, state),
+        match self.has_same_content(state) {
+            true => self.confirm_version(from, state, at),
+            false => self.request_full_list(from, state),
         }
     }
 
     fn on_change(&mut self, from: Address, change: &ListChange) {
-        let Some(at) = self.date(&change.state, self.now) else {
+        let Some(at) = self.reading_time(&change.state, self.now) else {
             return;
         };
-        if self.has(&change.state) {
-            return self.confirm(from, &change.state, at);
+        if self.has_same_content(&change.state) {
+            return self.confirm_version(from, &change.state, at);
         }
         if self.read_at.is_some() && self.version == change.base {
             let mut entries = self.entries.clone();
@@ -587,14 +637,14 @@
                 .iter()
                 .map(|entry| (entry.server.clone(), Entry::new(entry.clone(), self.now)));
             entries.extend(set);
-            if check_of(&entries) == change.state.check {
-                return self.take_entries(from, &change.state, at, entries);
+            if checksum(&entries) == change.state.check {
+                return self.replace_entries(from, &change.state, at, entries);
             }
         }
-        self.ask(from, &change.state);
+        self.request_full_list(from, &change.state);
     }
 
-    fn take_entries(
+    fn replace_entries(
         &mut self,
         from: Address,
         state: &ListState,
@@ -603,45 +653,48 @@
     ) {
         self.entries = entries;
         self.check = state.check;
-        self.confirm(from, state, at);
-        self.outputs.push(ListOutput::Servers(self.servers()));
+        self.confirm_version(from, state, at);
+        self.outputs
+            .push(EndpointListOutput::Servers(self.servers()));
     }
 
     /// Asks for the whole.
-    fn ask(&mut self, from: Address, state: &ListState) {
+    fn request_full_list(&mut self, from: Address, state: &ListState) {
         if self
-            .fetching
+            .pending_transfer
             .as_ref()
-            .is_some_and(|fetching| self.now.since(fetching.asked) < FETCH_DEADLINE)
+            .is_some_and(|pending_transfer| {
+                self.now.since(pending_transfer.requested_at) < FETCH_DEADLINE
+            })
         {
             return;
         }
-        let (version, asked) = (state.version, self.now);
-        self.fetching = Some(Fetching {
+        let (version, requested_at) = (state.version, self.now);
+        self.pending_transfer = Some(PendingTransfer {
             from,
             version,
             entries: vec![],
-            asked,
+            requested_at,
         });
         self.send(from, Message::ServerListRequest { version, offset: 0 });
     }
 
     fn on_ask(&mut self, from: Address, version: ListVersion, offset: u32) {
-        if !self.is_collecting || !self.is_known() {
+        if !self.is_collecting || !self.is_fresh() {
             return;
         }
         // The list may have changed since the piece before: then from its beginning.
         let offset = if version == self.version { offset } else { 0 };
         let mut bytes = 0;
         let fits = |entry: &ServerEntry| {
-            bytes += bytes_of(entry);
-            bytes <= PIECE
+            bytes += estimated_bytes(entry);
+            bytes <= MAX_CHUNK_BYTES
         };
         let rest = self
             .entries
             .values()
             .skip(offset as usize)
-            .map(|entry| entry.told(self.now));
+            .map(|entry| entry.to_server_entry(self.now));
         let entries = rest.take_while(fits).collect();
         let piece = ServerListChunk {
             state: self.state(),
@@ -658,7 +711,10 @@
     }
 
     fn on_piece(&mut self, from: Address, piece: &ServerListChunk) {
-        let Some(mut fetching) = self.fetching.take_if(|fetching| fetching.from == from) else {
+        let Some(mut pending_transfer) = self
+            .pending_transfer
+            .take_if(|pending_transfer| pending_transfer.from == from)
+        else {
             return;
         };
         let ServerListChunk {
@@ -667,33 +723,36 @@
             length,
             entries,
         } = piece;
-        if state.version != fetching.version {
-            (fetching.version, fetching.entries) = (state.version, vec![]);
+        if state.version != pending_transfer.version {
+            (pending_transfer.version, pending_transfer.entries) = (state.version, vec![]);
         }
-        if *offset as usize == fetching.entries.len() {
-            fetching.entries.extend(
+        if *offset as usize == pending_transfer.entries.len() {
+            pending_transfer.entries.extend(
                 entries
                     .iter()
                     .map(|entry| Entry::new(entry.clone(), self.now)),
             );
-            if fetching.entries.len() >= *length as usize {
+            if pending_transfer.entries.len() >= *length as usize {
                 // Read before this node asked, however long the letters took.
-                let at = self.date(state, fetching.asked);
-                let entries = fetching
+                let at = self.reading_time(state, pending_transfer.requested_at);
+                let entries = pending_transfer
                     .entries
                     .into_iter()
                     .map(|entry| (entry.entry.server.clone(), entry));
                 let entries: BTreeMap<ServerName, Entry> = entries.collect();
-                if let Some(at) = at.filter(|_| check_of(&entries) == state.check) {
-                    self.take_entries(from, state, at, entries);
+                if let Some(at) = at.filter(|_| checksum(&entries) == state.check) {
+                    self.replace_entries(from, state, at, entries);
                 }
                 return;
             }
-            fetching.asked = self.now;
-            let (version, offset) = (fetching.version, fetching.entries.len() as u32);
+            pending_transfer.requested_at = self.now;
+            let (version, offset) = (
+                pending_transfer.version,
+                pending_transfer.entries.len() as u32,
+            );
             self.send(from, Message::ServerListRequest { version, offset });
         }
-        self.fetching = Some(fetching);
+        self.pending_transfer = Some(pending_transfer);
     }
 }
 
--- a/crates/router/src/discovery/endpoint_list/tests.rs
+++ b/crates/router/src/discovery/endpoint_list/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::discovery::endpoint_list::{
-    ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList,
+    EndpointList, EndpointListOutput, EndpointListPeers, EndpointListReading, EndpointListTiming,
+    ReadRetryPolicy,
 };
 use placement::ServerEntry;
 use std::collections::VecDeque;
@@ -14,7 +15,7 @@
 /// within 20 ms. All see the same collector: the first that is not passed over.
 struct Zone {
     now: u64,
-    nodes: BTreeMap<Address, ServerList>,
+    nodes: BTreeMap<Address, EndpointList>,
     members: BTreeSet<Address>,
     passed_over: BTreeSet<Address>,
     dead: BTreeSet<Address>,
@@ -29,7 +30,7 @@
     does_pass_over: bool,
     calls: Vec<(u64, Address)>,
     messages: Vec<(u64, Address, Address, Message)>,
-    readings: Vec<(u64, Address, ListReading)>,
+    readings: Vec<(u64, Address, EndpointListReading)>,
     lists: BTreeMap<Address, Vec<ServerEntry>>,
     changes: usize,
     /// Letters that were sent, by kind: fresh, change, ask, piece.
@@ -42,14 +43,14 @@
 
 impl Zone {
     fn new(count: u16) -> Self {
-        Zone::of(count, 40, ListTiming::default())
+        Zone::of(count, 40, EndpointListTiming::default())
     }
-    fn of(count: u16, servers: u64, timing: ListTiming) -> Self {
+    fn of(count: u16, servers: u64, timing: EndpointListTiming) -> Self {
         let members: BTreeSet<Address> = (1..=count).map(node).collect();
         let fresh = |one: &Address| {
             (
                 *one,
-                ServerList::new(
+                EndpointList::new(
                     *one,
                     u64::from(one.0.port()),
                     timing,
@@ -79,13 +80,14 @@
         }
     }
     fn listed(&self) -> Vec<ServerEntry> {
-        let entry = |(name, (cold_until, is_draining)): (&String, &(u64, bool))| ServerEntry {
-            server: name.as_str().into(),
-            address: Some(format!("10.0.0.1:{name}")),
-            warm_up_left: Some(Milliseconds(cold_until.saturating_sub(self.now))),
-            is_draining: *is_draining,
-            ..ServerEntry::default()
-        };
+        let entry =
+            |(name, (warming_up_until, is_draining)): (&String, &(u64, bool))| ServerEntry {
+                server: name.as_str().into(),
+                address: Some(format!("10.0.0.1:{name}")),
+                warm_up_left: Some(Milliseconds(warming_up_until.saturating_sub(self.now))),
+                is_draining: *is_draining,
+                ..ServerEntry::default()
+            };
         self.platform.iter().map(entry).collect()
     }
     fn collector(&self) -> Option<Address> {
@@ -94,20 +96,20 @@
             .find(|one| !self.passed_over.contains(*one))
             .copied()
     }
-    fn take(&mut self, at: Address, outputs: Vec<ListOutput>) {
+    fn take(&mut self, at: Address, outputs: Vec<EndpointListOutput>) {
         for output in outputs {
             match output {
-                ListOutput::Read(_) => {
+                EndpointListOutput::Read(_) => {
                     self.calls.push((self.now, at));
                     let servers = (!self.cut_off.contains(&at)).then(|| self.listed());
-                    let reading = ListReading {
-                        asked: MonotonicInstant(self.now),
+                    let reading = EndpointListReading {
+                        requested_at: MonotonicInstant(self.now),
                         calls: 1,
                         servers,
                     };
                     self.readings.push((self.now + 20, at, reading));
                 }
-                ListOutput::Send { to, message } => {
+                EndpointListOutput::Send { to, message } => {
                     match message {
                         Message::ListFresh { .. } => self.sent[0] += 1,
                         Message::ListChange { .. } => self.sent[1] += 1,
@@ -118,11 +120,11 @@
                         self.messages.push((self.now + 5, at, to, message));
                     }
                 }
-                ListOutput::Servers(servers) => {
+                EndpointListOutput::Servers(servers) => {
                     self.changes += 1;
                     self.lists.insert(at, servers);
                 }
-                ListOutput::Unheard(collector) => {
+                EndpointListOutput::CollectorUnreachable(collector) => {
                     if self.does_pass_over {
                         self.passed_over.insert(collector);
                     }
@@ -156,7 +158,7 @@
                 .into_iter()
                 .partition(|(at, ..)| *at <= now);
             self.readings = later;
-            let readings: Vec<(u64, Address, ListReading)> = readings;
+            let readings: Vec<(u64, Address, EndpointListReading)> = readings;
             for (_, at, reading) in readings
                 .into_iter()
                 .filter(|reading| !self.dead.contains(&reading.1))
@@ -180,7 +182,7 @@
                     || (now + u64::from(at.0.port()) * 35).is_multiple_of(250);
                 if is_due {
                     let members = self.members.clone();
-                    let peers = ListPeers {
+                    let peers = EndpointListPeers {
                         zone: Some(&members),
                         collector: self.collector(),
                         fleet: self.fleet,
@@ -332,10 +334,10 @@
     assert_eq!(zone.calls_in(10_000), 10);
     // It is back, without what it knew.
     zone.dead.clear();
-    let again = ServerList::new(
+    let again = EndpointList::new(
         node(1),
         99,
-        ListTiming::default(),
+        EndpointListTiming::default(),
         MonotonicInstant(zone.now),
     );
     zone.nodes.insert(node(1), again);
@@ -349,9 +351,9 @@
     let mut zone = Zone::of(
         30,
         40,
-        ListTiming {
-            rate: 10,
-            ..ListTiming::default()
+        EndpointListTiming {
+            max_calls_per_second: 10,
+            ..EndpointListTiming::default()
         },
     );
     // It goes on collecting digests.
@@ -427,9 +429,9 @@
     let mut zone = Zone::new(3);
     zone.run(5000);
     let mut member = zone.nodes[&node(3)].clone();
-    let (version, asked) = (member.version(), MonotonicInstant(zone.now - 3000));
-    let reading = ListReading {
-        asked,
+    let (version, requested_at) = (member.version(), MonotonicInstant(zone.now - 3000));
+    let reading = EndpointListReading {
+        requested_at,
         calls: 1,
         servers: Some(vec![]),
     };
@@ -458,7 +460,7 @@
 
 #[test]
 fn a_long_list_comes_by_pieces_and_in_its_newest_version() {
-    let mut zone = Zone::of(2, 5000, ListTiming::default());
+    let mut zone = Zone::of(2, 5000, EndpointListTiming::default());
     zone.cut_off.insert(node(2));
     // Two versions within the pieces of one.
     zone.run_to_reading();
@@ -482,10 +484,10 @@
     zone.run(5000);
     zone.nodes.insert(
         node(5),
-        ServerList::new(
+        EndpointList::new(
             node(5),
             77,
-            ListTiming::default(),
+            EndpointListTiming::default(),
             MonotonicInstant(zone.now),
         ),
     );
@@ -506,31 +508,31 @@
     };
     let mut member = zone.nodes[&node(3)].clone();
     let later = zone.now + 4000;
-    assert!(member.is_known());
+    assert!(member.is_fresh());
     member.on_message(MonotonicInstant(later), node(1), &told);
     assert!(
-        !member.is_known(),
+        !member.is_fresh(),
         "a letter that came before the clock event"
     );
-    let old = ListReading {
-        asked: MonotonicInstant(zone.now),
+    let old = EndpointListReading {
+        requested_at: MonotonicInstant(zone.now),
         calls: 1,
         servers: Some(zone.listed()),
     };
     member.on_reading(MonotonicInstant(later + 1), old);
-    assert!(!member.is_known(), "a reading that was under way");
+    assert!(!member.is_fresh(), "a reading that was under way");
     let members = zone.members.clone();
-    let peers = ListPeers {
+    let peers = EndpointListPeers {
         zone: Some(&members),
         collector: Some(node(1)),
         fleet: 3,
     };
     assert_eq!(
         member.on_clock(MonotonicInstant(later + 2), peers),
-        vec![ListOutput::Read(ReadEffort::Once)]
+        vec![EndpointListOutput::Read(ReadRetryPolicy::Once)]
     );
-    let new = ListReading {
-        asked: MonotonicInstant(later + 2),
+    let new = EndpointListReading {
+        requested_at: MonotonicInstant(later + 2),
         calls: 1,
         servers: Some(zone.listed()),
     };
@@ -539,7 +541,7 @@
         vec![],
         "nobody is passed over for its own sleep"
     );
-    assert!(member.is_known());
+    assert!(member.is_fresh());
 }
 
 #[test]
@@ -576,7 +578,7 @@
     assert!(
         matches!(
             asks[..],
-            [ListOutput::Send {
+            [EndpointListOutput::Send {
                 message: Message::ServerListRequest { .. },
                 ..
             }]
@@ -584,18 +586,18 @@
         "{asks:?}"
     );
     // Meanwhile it reads the list itself.
-    let asked = MonotonicInstant(zone.now + 400);
+    let requested_at = MonotonicInstant(zone.now + 400);
     member.on_reading(
-        asked,
-        ListReading {
-            asked,
+        requested_at,
+        EndpointListReading {
+            requested_at,
             calls: 1,
             servers: Some(zone.listed()),
         },
     );
     let entries = BTreeMap::new();
     let state = ListState {
-        check: check_of(&entries),
+        check: checksum(&entries),
         cold: Milliseconds(0),
         ..other
     };
@@ -613,6 +615,6 @@
     );
     assert_eq!(
         (member.servers().len(), member.read_at()),
-        (40, Some(asked))
+        (40, Some(requested_at))
     );
 }
--- a/crates/router/src/discovery/endpoint_list/tests/restart.rs
+++ b/crates/router/src/discovery/endpoint_list/tests/restart.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 use crate::discovery::endpoint_list::{
-    ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList,
+    EndpointList, EndpointListOutput, EndpointListPeers, EndpointListReading, EndpointListTiming,
+    ReadRetryPolicy,
 };
 use placement::{ServerEntry, mix};
 use types::{Address, MonotonicInstant};
@@ -43,15 +44,15 @@
 
 /// A reading under way: when the next page is asked for.
 struct Reader {
-    asked: u64,
+    requested_at: u64,
     next_page: u64,
     pages: usize,
-    effort: ReadEffort,
+    effort: ReadRetryPolicy,
 }
 
 struct FleetStart {
     now: u64,
-    nodes: Vec<ServerList>,
+    nodes: Vec<EndpointList>,
     readers: Vec<Option<Reader>>,
     platform: Platform,
     pages: usize,
@@ -68,16 +69,16 @@
 impl FleetStart {
     /// The processes start within `spread`.
     fn new(zones: usize, pages: usize, rate: u64, spread: u64, seed: u64) -> Self {
-        let timing = ListTiming {
-            rate,
-            ..ListTiming::default()
+        let timing = EndpointListTiming {
+            max_calls_per_second: rate,
+            ..EndpointListTiming::default()
         };
         let incarnation = |place: usize| mix(seed << 20 | place as u64);
         let starts: Vec<u64> = (0..zones * ZONE_SIZE)
             .map(|place| 10_000 + mix(incarnation(place)) % spread)
             .collect();
         let fresh = |place: usize| {
-            ServerList::new(
+            EndpointList::new(
                 node(1 + place as u16),
                 incarnation(place),
                 timing,
@@ -107,27 +108,27 @@
         place % ZONE_SIZE < self.dead
     }
 
-    fn take(&mut self, place: usize, outputs: Vec<ListOutput>) {
+    fn take(&mut self, place: usize, outputs: Vec<EndpointListOutput>) {
         for output in outputs {
             match output {
-                ListOutput::Read(effort) => {
-                    let (asked, next_page) = (self.now, self.now + PAGE);
+                EndpointListOutput::Read(effort) => {
+                    let (requested_at, next_page) = (self.now, self.now + PAGE);
                     self.readers[place] = Some(Reader {
-                        asked,
+                        requested_at,
                         next_page,
                         pages: 0,
                         effort,
                     });
                 }
-                ListOutput::Send { to, message } => {
+                EndpointListOutput::Send { to, message } => {
                     self.messages
                         .push((self.now + LETTER, node(1 + place as u16), to, message));
                 }
-                ListOutput::Servers(_) => {
+                EndpointListOutput::Servers(_) => {
                     let now = self.now;
                     self.knows_since[place].get_or_insert(now);
                 }
-                ListOutput::Unheard(collector) => {
+                EndpointListOutput::CollectorUnreachable(collector) => {
                     self.passed_over[place].insert(collector);
                 }
             }
@@ -144,8 +145,8 @@
         }
         let is_taken = self.platform.takes(self.now);
         if !is_taken
-            && reader.effort == ReadEffort::Persistent
-            && self.now < reader.asked + PERSISTS_FOR
+            && reader.effort == ReadRetryPolicy::Persistent
+            && self.now < reader.requested_at + PERSISTS_FOR
         {
             reader.next_page = self.now + PAGE_PAUSE;
             return;
@@ -160,8 +161,8 @@
             ..ServerEntry::default()
         };
         let servers = is_taken.then(|| (0..160).map(entry).collect());
-        let reading = ListReading {
-            asked: MonotonicInstant(reader.asked),
+        let reading = EndpointListReading {
+            requested_at: MonotonicInstant(reader.requested_at),
             calls: reader.pages,
             servers,
         };
@@ -199,7 +200,7 @@
                     .map(|n| node(1 + n as u16))
                     .collect();
                 let is_leased = now >= self.starts[place] + LEASE;
-                let peers = ListPeers {
+                let peers = EndpointListPeers {
                     zone: is_leased.then_some(&zone),
                     collector: zone
                         .iter()
--- a/crates/router/src/discovery/list_reader.rs
+++ b/crates/router/src/discovery/list_reader.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's list of servers in a dialect, page by page, on a thread of its own.
 
 use crate::dialect::CallDialect;
-use crate::discovery::endpoint_list::{ListReading, ReadEffort};
+use crate::discovery::endpoint_list::{EndpointListReading, ReadRetryPolicy};
 use bytes::Bytes;
 use placement::ServerEntry;
 use std::sync::Arc;
@@ -24,8 +24,8 @@
 pub(crate) fn start(
     list: Address,
     dialect: Arc<dyn CallDialect>,
-    tell: impl Fn(ListReading) + Send + 'static,
-) -> std::io::Result<flume::Sender<ReadEffort>> {
+    tell: impl Fn(EndpointListReading) + Send + 'static,
+) -> std::io::Result<flume::Sender<ReadRetryPolicy>> {
     let lines = ConnectionPool::new(ConnectionPoolBounds {
         max_per_address: 2,
         max_idle_per_address: 1,
@@ -35,10 +35,10 @@
     let read = move || {
         let mut was_well = true;
         while let Ok(effort) = asks.recv() {
-            let asked = Clock::now();
+            let requested_at = Clock::now();
             let give_up_at = match effort {
-                ReadEffort::Once => asked,
-                ReadEffort::Persistent => asked + PERSISTS_FOR,
+                ReadRetryPolicy::Once => requested_at,
+                ReadRetryPolicy::Persistent => requested_at + PERSISTS_FOR,
             };
             let reader = PageReader {
                 lines: &lines,
@@ -53,8 +53,8 @@
             was_well = outcome.is_ok();
             let (calls, servers) =
                 outcome.map_or((1, None), |(calls, servers)| (calls, Some(servers)));
-            tell(ListReading {
-                asked,
+            tell(EndpointListReading {
+                requested_at,
                 calls,
                 servers,
             });
@@ -109,10 +109,10 @@
             may_send: &|| true,
             client: None,
         };
-        let asked = self
+        let sent = self
             .lines
             .send_request(self.list.0, self.dialect.list_request(page), &waits);
-        let mut line = asked.map_err(|fault| fault.to_string())?;
+        let mut line = sent.map_err(|fault| fault.to_string())?;
         let status = line.head().status.as_u16();
         let body = line
             .read_all(deadline, PAGE_MOST, None)
--- a/crates/router/src/discovery/list_reader/tests.rs
+++ b/crates/router/src/discovery/list_reader/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::discovery::endpoint_list::{ListReading, ReadEffort};
+use crate::discovery::endpoint_list::{EndpointListReading, ReadRetryPolicy};
 use crate::upstream::forwarding::tests::Plain;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use transport::{HttpServer, HttpServerBounds, Request, Response};
@@ -25,7 +25,7 @@
     (address, calls)
 }
 
-fn read(address: Address, effort: ReadEffort) -> ListReading {
+fn read(address: Address, effort: ReadRetryPolicy) -> EndpointListReading {
     let (tell, told) = flume::bounded(1);
     let reader = start(address, Arc::new(Plain), move |reading| {
         drop(tell.send(reading))
@@ -37,13 +37,13 @@
 }
 
 #[parameterized(
-    nothing_refused_once = { ReadEffort::Once, 0, true, 2 },
-    refused_once = { ReadEffort::Once, 1, false, 2 },
-    nothing_refused = { ReadEffort::Persistent, 0, true, 2 },
-    refused_for_a_while = { ReadEffort::Persistent, 3, true, 5 },
+    nothing_refused_once = { ReadRetryPolicy::Once, 0, true, 2 },
+    refused_once = { ReadRetryPolicy::Once, 1, false, 2 },
+    nothing_refused = { ReadRetryPolicy::Persistent, 0, true, 2 },
+    refused_for_a_while = { ReadRetryPolicy::Persistent, 3, true, 5 },
 )]
 fn a_page_that_is_refused_is_asked_for_again_by_whoever_reads_for_many(
-    effort: ReadEffort,
+    effort: ReadRetryPolicy,
     refusals: usize,
     is_read: bool,
     calls: usize,
--- a/crates/router/src/dissemination.rs
+++ b/crates/router/src/dissemination.rs
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct DigestTiming {
     /// Between two letters on a leg, at least; what changes after a quiet while leaves at once.
-    pub pause: Milliseconds,
+    pub min_interval: Milliseconds,
     /// And so many bytes a millisecond at most.
-    pub bytes_a_ms: u64,
+    pub bytes_per_ms: u64,
     /// What is not empty is told again after this though nothing changed.
-    pub refresh: Milliseconds,
+    pub refresh_interval: Milliseconds,
     /// What is not empty and was not told again for this long counts no more.
     pub incarnation: Milliseconds,
     /// A collector that has not answered for this long is passed over,
-    pub patience: Milliseconds,
+    pub acknowledgement_timeout: Milliseconds,
     /// for so long.
     pub suspicion: Milliseconds,
 }
@@ -24,11 +24,11 @@
 impl Default for DigestTiming {
     fn default() -> Self {
         DigestTiming {
-            pause: Milliseconds(250),
-            bytes_a_ms: 4,
-            refresh: Milliseconds(1000),
+            min_interval: Milliseconds(250),
+            bytes_per_ms: 4,
+            refresh_interval: Milliseconds(1000),
             incarnation: Milliseconds(3000),
-            patience: Milliseconds(800),
+            acknowledgement_timeout: Milliseconds(800),
             suspicion: Milliseconds(15_000),
         }
     }
@@ -42,7 +42,7 @@
 /// node that changed over counts twice until the older report has lapsed (`life`).
 ///
 /// Invariants: a node reports only what it saw itself. Nothing is sent while nothing changes and nothing
-/// is in hand. Bytes on a leg are bounded by `bytes_a_ms`, whatever the fleet's size.
+/// is in hand. Bytes on a leg are bounded by `bytes_per_ms`, whatever the fleet's size.
 #[derive(Debug, Clone)]
 pub struct Dissemination {
     own: Address,
@@ -54,68 +54,72 @@
     zones: BTreeMap<ZoneName, BTreeSet<Address>>,
     zone_of: BTreeMap<Address, ZoneName>,
     suspects: BTreeMap<Address, MonotonicInstant>,
-    seen: Digest,
+    local_digest: Digest,
     outgoing: BTreeMap<(DigestLeg, Address), Outgoing>,
     /// What was told here, by leg and teller.
     incoming: BTreeMap<(DigestLeg, Address), Incoming>,
     /// When silent members were last asked to report, and how often since they were heard.
-    asked: BTreeMap<Address, (MonotonicInstant, u32)>,
+    report_requests: BTreeMap<Address, (MonotonicInstant, u32)>,
     /// When another node last reported to this one, or another zone told its sum.
-    collected: Option<MonotonicInstant>,
-    next_collect: MonotonicInstant,
+    last_collected_at: Option<MonotonicInstant>,
+    next_collection_at: MonotonicInstant,
     sum: Option<(u64, u64, Digest)>,
     /// The newest of this node's own sums, and when it was made.
-    own_sum: (u64, Digest, MonotonicInstant),
+    own_fleet_digest: (u64, Digest, MonotonicInstant),
     messages: Vec<(Address, Message)>,
     nothing: Arc<Digest>,
 }
 
 /// How a digest is told to those who hold another.
-struct Told {
+struct DigestDelta {
     before: Arc<Digest>,
     change: DigestChange,
-    is_some: bool,
+    is_changed: bool,
     after: Arc<Digest>,
 }
 
-fn change_of<'a>(before: &Arc<Digest>, digest: &Digest, told: &'a mut Vec<Told>) -> &'a Told {
-    let place = told
+fn delta_from<'a>(
+    before: &Arc<Digest>,
+    digest: &Digest,
+    deltas: &'a mut Vec<DigestDelta>,
+) -> &'a DigestDelta {
+    let place = deltas
         .iter()
         .position(|known| Arc::ptr_eq(&known.before, before))
         .unwrap_or_else(|| {
             let change = digest.change_from(before);
-            let is_some = change.is_some();
+            let is_changed = change.is_some();
             let missing = || digest.missing.iter().copied().collect();
             let change = change.unwrap_or_else(|| DigestChange {
                 missing: missing(),
                 ..DigestChange::default()
             });
             let mut after = before.clone();
-            if is_some {
+            if is_changed {
                 Arc::make_mut(&mut after).apply(&change);
             }
-            told.push(Told {
+            deltas.push(DigestDelta {
                 before: before.clone(),
                 change,
-                is_some,
+                is_changed,
                 after,
             });
-            told.len() - 1
+            deltas.len() - 1
         });
-    &told[place]
+    &deltas[place]
 }
 
 /// A digest that is kept up to date at another node.
 #[derive(Debug, Clone)]
 struct Outgoing {
     /// As the other has it, if all letters came. Shared by all to whom the same was told.
-    held: Arc<Digest>,
+    last_sent: Arc<Digest>,
     number: u64,
     sent: MonotonicInstant,
     next: MonotonicInstant,
     /// Since when an answer is awaited.
-    awaited: Option<MonotonicInstant>,
-    is_whole_wanted: bool,
+    unacknowledged_since: Option<MonotonicInstant>,
+    is_full_digest_requested: bool,
 }
 
 /// A digest that another node keeps up to date here.
@@ -124,7 +128,7 @@
     incarnation: u64,
     number: u64,
     digest: Digest,
-    heard: MonotonicInstant,
+    last_seen: MonotonicInstant,
 }
 
 impl Dissemination {
@@ -145,14 +149,14 @@
             zones: BTreeMap::new(),
             zone_of: BTreeMap::new(),
             suspects: BTreeMap::new(),
-            seen: Digest::default(),
+            local_digest: Digest::default(),
             outgoing: BTreeMap::new(),
             incoming: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            collected: None,
-            next_collect: now,
+            report_requests: BTreeMap::new(),
+            last_collected_at: None,
+            next_collection_at: now,
             sum: None,
-            own_sum: (0, Digest::default(), MonotonicInstant(0)),
+            own_fleet_digest: (0, Digest::default(), MonotonicInstant(0)),
             messages: vec![],
             nothing: Arc::default(),
         }
@@ -175,7 +179,8 @@
         self.outgoing.retain(|(_, to), _| zone_of.contains_key(to));
         self.incoming
             .retain(|(_, from), _| zone_of.contains_key(from));
-        self.asked.retain(|member, _| zone_of.contains_key(member));
+        self.report_requests
+            .retain(|member, _| zone_of.contains_key(member));
         self.suspects
             .retain(|member, _| zone_of.contains_key(member));
     }
@@ -211,16 +216,20 @@
     }
 
     /// Time has passed, and this is what the node sees now. Gives letters to be sent.
-    pub fn on_clock(&mut self, now: MonotonicInstant, seen: Digest) -> Vec<(Address, Message)> {
+    pub fn on_clock(
+        &mut self,
+        now: MonotonicInstant,
+        local_digest: Digest,
+    ) -> Vec<(Address, Message)> {
         self.now = self.now.max(now);
-        self.seen = seen;
+        self.local_digest = local_digest;
         if self.zone_of.contains_key(&self.own) {
-            self.give_up();
+            self.expire_unacknowledged();
             self.expire();
             self.report();
             let is_collector =
-                self.collector(&self.zone) == Some(self.own) || self.collected.is_some();
-            if is_collector && self.now >= self.next_collect {
+                self.collector(&self.zone) == Some(self.own) || self.last_collected_at.is_some();
+            if is_collector && self.now >= self.next_collection_at {
                 self.collect();
             }
         }
@@ -245,17 +254,17 @@
         if !is_known || is_own_zone == (leg == DigestLeg::Zone) {
             return vec![];
         }
-        let heard = self.now;
-        let slot = self.incoming.entry((leg, from));
-        let slot = slot.or_insert(Incoming {
+        let last_seen = self.now;
+        let known = self.incoming.entry((leg, from));
+        let known = known.or_insert(Incoming {
             incarnation: 0,
             number: 0,
             digest: Digest::default(),
-            heard,
+            last_seen,
         });
         let follows =
-            slot.incarnation == incarnation && number == slot.number + 1 && slot.number > 0;
-        if slot.incarnation == incarnation && number <= slot.number && number > 0 {
+            known.incarnation == incarnation && number == known.number + 1 && known.number > 0;
+        if known.incarnation == incarnation && number <= known.number && number > 0 {
             // An older one, late.
             return vec![];
         }
@@ -265,14 +274,14 @@
             return std::mem::take(&mut self.messages);
         }
         if is_whole {
-            slot.digest = Digest::default();
+            known.digest = Digest::default();
         }
-        slot.digest.apply(change);
-        (slot.incarnation, slot.number, slot.heard) = (incarnation, number, heard);
+        known.digest.apply(change);
+        (known.incarnation, known.number, known.last_seen) = (incarnation, number, last_seen);
         match leg {
-            DigestLeg::Fleet => self.take_sum(from),
+            DigestLeg::Fleet => self.receive_fleet_digest(from),
             DigestLeg::Report | DigestLeg::Zone => {
-                self.collected = Some(self.now);
+                self.last_collected_at = Some(self.now);
                 self.messages
                     .push((from, Message::DigestAck { leg, number }));
             }
@@ -291,31 +300,32 @@
         self.now = self.now.max(now);
         let is_own_zone = self.zone_of.get(&from) == Some(&self.zone);
         if let Some(outgoing) = self.outgoing.get_mut(&(leg, from)) {
-            outgoing.is_whole_wanted |= number == 0;
+            outgoing.is_full_digest_requested |= number == 0;
             if number == 0 || number >= outgoing.number {
-                outgoing.awaited = None;
+                outgoing.unacknowledged_since = None;
             }
             self.suspects.remove(&from);
         } else if number == 0 && leg == DigestLeg::Report && is_own_zone {
             // A collector that this node does not report to, or has nothing to report to, wants to know.
-            let seen = self.seen.clone();
-            self.tell(leg, from, &seen, &mut vec![]);
+            let local_digest = self.local_digest.clone();
+            self.send_digest(leg, from, &local_digest, &mut vec![]);
         }
         std::mem::take(&mut self.messages)
     }
 
     /// The sum of all other nodes, if it's new: the life and the number of it, for the scheduler.
-    pub fn take_update(&mut self) -> Option<(u64, u64, Digest)> {
+    pub fn take_fleet_digest(&mut self) -> Option<(u64, u64, Digest)> {
         self.sum.take()
     }
 
     /// Those that have not answered are passed over.
-    fn give_up(&mut self) {
-        let is_late = |at: MonotonicInstant| self.now.since(at) >= self.timing.patience;
+    fn expire_unacknowledged(&mut self) {
+        let is_late =
+            |at: MonotonicInstant| self.now.since(at) >= self.timing.acknowledgement_timeout;
         let late = self
             .outgoing
             .iter()
-            .filter(|(_, out)| out.awaited.is_some_and(is_late));
+            .filter(|(_, out)| out.unacknowledged_since.is_some_and(is_late));
         let late: Vec<(DigestLeg, Address)> = late.map(|(key, _)| *key).collect();
         for key in late {
             self.outgoing.remove(&key);
@@ -329,28 +339,29 @@
         // One that is empty lasts: it says that its teller has nothing, until the teller says otherwise, or
         // another tells the same zone's sum.
         let zone_of = &self.zone_of;
-        let mut tellers: BTreeMap<&ZoneName, MonotonicInstant> = BTreeMap::new();
+        let mut newest_by_zone: BTreeMap<&ZoneName, MonotonicInstant> = BTreeMap::new();
         for ((_, from), incoming) in self
             .incoming
             .iter()
             .filter(|((leg, _), _)| *leg == DigestLeg::Zone)
         {
-            let newest = tellers.entry(&zone_of[from]).or_default();
-            *newest = incoming.heard.max(*newest);
+            let newest = newest_by_zone.entry(&zone_of[from]).or_default();
+            *newest = incoming.last_seen.max(*newest);
         }
         self.incoming.retain(|(leg, from), incoming| {
             let is_idle = match leg {
                 DigestLeg::Report => incoming.digest.is_empty(),
                 DigestLeg::Zone => {
-                    incoming.digest.is_empty() && tellers[&zone_of[from]] <= incoming.heard
+                    incoming.digest.is_empty()
+                        && newest_by_zone[&zone_of[from]] <= incoming.last_seen
                 }
                 DigestLeg::Fleet => false,
             };
-            is_idle || now.since(incoming.heard) < incarnation
+            is_idle || now.since(incoming.last_seen) < incarnation
         });
         let is_over = |at: MonotonicInstant| now.since(at) >= Milliseconds(incarnation.0 * 4);
-        if self.collected.is_some_and(is_over) {
-            self.collected = None;
+        if self.last_collected_at.is_some_and(is_over) {
+            self.last_collected_at = None;
         }
     }
 
@@ -364,18 +375,18 @@
         // One that was reported to before and is no more is not kept up.
         self.outgoing
             .retain(|(leg, to), _| *leg != DigestLeg::Report || *to == collector);
-        let seen = self.seen.clone();
-        self.keep_up(DigestLeg::Report, collector, &seen, &mut vec![]);
+        let local_digest = self.local_digest.clone();
+        self.send_if_changed(DigestLeg::Report, collector, &local_digest, &mut vec![]);
     }
 
     /// Sums up what was told here, and tells it on.
     fn collect(&mut self) {
         // The more there is to sum up, the less often.
-        self.next_collect =
-            self.now + Milliseconds(self.timing.pause.0 * (1 + self.reporters() as u64 / 32));
+        self.next_collection_at = self.now
+            + Milliseconds(self.timing.min_interval.0 * (1 + self.reporters() as u64 / 32));
         let is_collector = self.collector(&self.zone) == Some(self.own);
         let mut zone_sum = if is_collector {
-            self.seen.clone()
+            self.local_digest.clone()
         } else {
             Digest::default()
         };
@@ -393,13 +404,15 @@
         let has_other = self
             .incoming
             .iter()
-            .any(|((leg, _), told)| *leg == DigestLeg::Zone && !told.digest.is_empty());
-        if zone_sum.is_empty() && !has_other && self.collected.is_none() {
+            .any(|((leg, _), incoming)| *leg == DigestLeg::Zone && !incoming.digest.is_empty());
+        if zone_sum.is_empty() && !has_other && self.last_collected_at.is_none() {
             return;
         }
         let members = self.zones.get(&self.zone).cloned().unwrap_or_default();
-        let is_told = |member: &Address| self.incoming.contains_key(&(DigestLeg::Report, *member));
-        let is_in = |member: &Address| is_told(member) || (is_collector && *member == self.own);
+        let has_reported =
+            |member: &Address| self.incoming.contains_key(&(DigestLeg::Report, *member));
+        let is_in =
+            |member: &Address| has_reported(member) || (is_collector && *member == self.own);
         zone_sum.missing = members
             .iter()
             .copied()
@@ -407,15 +420,15 @@
             .collect();
         zone_sum.bound_sum();
         if is_collector {
-            self.ask_missing(&zone_sum.missing);
+            self.request_missing_reports(&zone_sum.missing);
         }
         let mut fleet = zone_sum.clone();
         for zone in self.zones.keys().filter(|zone| **zone != self.zone) {
-            let told = self.incoming.iter().filter(|((leg, from), _)| {
+            let reports = self.incoming.iter().filter(|((leg, from), _)| {
                 *leg == DigestLeg::Zone && self.zone_of.get(from) == Some(zone)
             });
             let mut missing = self.zones[zone].clone();
-            for (_, incoming) in told {
+            for (_, incoming) in reports {
                 fleet.add(&incoming.digest);
                 missing.retain(|member| incoming.digest.missing.contains(member));
             }
@@ -425,34 +438,35 @@
         for (_, collector) in others {
             collector
                 .into_iter()
-                .for_each(|to| self.keep_up(DigestLeg::Zone, to, &zone_sum, &mut vec![]));
+                .for_each(|to| self.send_if_changed(DigestLeg::Zone, to, &zone_sum, &mut vec![]));
         }
-        let mut told = vec![];
+        let mut deltas = vec![];
         for member in members {
             if member != self.own && !zone_sum.missing.contains(&member) {
-                self.keep_up(DigestLeg::Fleet, member, &fleet, &mut told);
+                self.send_if_changed(DigestLeg::Fleet, member, &fleet, &mut deltas);
             }
         }
-        let (number, old, at) = &self.own_sum;
-        if is_collector && (fleet != *old || self.now.since(*at) >= self.timing.refresh) {
-            self.own_sum = (number + 1, fleet.clone(), self.now);
-            fleet.subtract(&self.seen);
-            self.sum = Some((self.incarnation, self.own_sum.0, fleet));
+        let (number, old, at) = &self.own_fleet_digest;
+        if is_collector && (fleet != *old || self.now.since(*at) >= self.timing.refresh_interval) {
+            self.own_fleet_digest = (number + 1, fleet.clone(), self.now);
+            fleet.subtract(&self.local_digest);
+            self.sum = Some((self.incarnation, self.own_fleet_digest.0, fleet));
         }
     }
 
     /// Members that have not reported here may not know that they should: this one may be new.
-    fn ask_missing(&mut self, missing: &BTreeSet<Address>) {
-        self.asked.retain(|member, _| missing.contains(member));
+    fn request_missing_reports(&mut self, missing: &BTreeSet<Address>) {
+        self.report_requests
+            .retain(|member, _| missing.contains(member));
         for member in missing {
             let (at, times) = self
-                .asked
+                .report_requests
                 .get(member)
                 .copied()
                 .unwrap_or((MonotonicInstant(0), 0));
-            let pause = Milliseconds(self.timing.refresh.0 << times.min(5));
+            let pause = Milliseconds(self.timing.refresh_interval.0 << times.min(5));
             if times == 0 || self.now.since(at) >= pause {
-                self.asked.insert(*member, (self.now, times + 1));
+                self.report_requests.insert(*member, (self.now, times + 1));
                 self.messages.push((
                     *member,
                     Message::DigestAck {
@@ -465,7 +479,7 @@
     }
 
     /// The collector's sum less this node's part of it is that of all others.
-    fn take_sum(&mut self, from: Address) {
+    fn receive_fleet_digest(&mut self, from: Address) {
         let Some(incoming) = self.incoming.get(&(DigestLeg::Fleet, from)) else {
             return;
         };
@@ -474,58 +488,74 @@
         }
         let mut others = incoming.digest.clone();
         if let Some(out) = self.outgoing.get(&(DigestLeg::Report, from)) {
-            others.subtract(&out.held);
+            others.subtract(&out.last_sent);
         }
         self.sum = Some((incoming.incarnation, incoming.number, others));
     }
 
     /// Tells another what changed, if something has and it's time. `told`: what was worked out for others
     /// to whom the same digest goes.
-    fn keep_up(&mut self, leg: DigestLeg, to: Address, digest: &Digest, told: &mut Vec<Told>) {
+    fn send_if_changed(
+        &mut self,
+        leg: DigestLeg,
+        to: Address,
+        digest: &Digest,
+        deltas: &mut Vec<DigestDelta>,
+    ) {
         let Some(out) = self.outgoing.get(&(leg, to)) else {
             if !digest.is_empty() || leg != DigestLeg::Report {
-                self.tell(leg, to, digest, told);
+                self.send_digest(leg, to, digest, deltas);
             }
             return;
         };
-        if self.now < out.next && !out.is_whole_wanted {
+        if self.now < out.next && !out.is_full_digest_requested {
             return;
         }
-        let is_stale = !digest.is_empty() && self.now.since(out.sent) >= self.timing.refresh;
-        if out.is_whole_wanted || is_stale || change_of(&out.held, digest, told).is_some {
-            self.tell(leg, to, digest, told);
+        let is_stale =
+            !digest.is_empty() && self.now.since(out.sent) >= self.timing.refresh_interval;
+        if out.is_full_digest_requested
+            || is_stale
+            || delta_from(&out.last_sent, digest, deltas).is_changed
+        {
+            self.send_digest(leg, to, digest, deltas);
         }
     }
 
-    fn tell(&mut self, leg: DigestLeg, to: Address, digest: &Digest, told: &mut Vec<Told>) {
+    fn send_digest(
+        &mut self,
+        leg: DigestLeg,
+        to: Address,
+        digest: &Digest,
+        deltas: &mut Vec<DigestDelta>,
+    ) {
         let now = self.now;
         let fresh = || Outgoing {
-            held: Arc::default(),
+            last_sent: Arc::default(),
             number: 0,
             sent: now,
             next: now,
-            awaited: None,
-            is_whole_wanted: true,
+            unacknowledged_since: None,
+            is_full_digest_requested: true,
         };
         let out = self.outgoing.entry((leg, to)).or_insert_with(fresh);
-        let is_whole = std::mem::replace(&mut out.is_whole_wanted, false);
+        let is_whole = std::mem::replace(&mut out.is_full_digest_requested, false);
         if is_whole {
-            out.held = self.nothing.clone();
+            out.last_sent = self.nothing.clone();
         }
-        let known = change_of(&out.held, digest, told);
+        let known = delta_from(&out.last_sent, digest, deltas);
         let change = known.change.clone();
-        out.held = known.after.clone();
+        out.last_sent = known.after.clone();
         out.number += 1;
         out.sent = now;
         out.next = now
             + Milliseconds(
                 self.timing
-                    .pause
+                    .min_interval
                     .0
-                    .max(change.bytes() / self.timing.bytes_a_ms),
+                    .max(change.bytes() / self.timing.bytes_per_ms),
             );
         if leg != DigestLeg::Fleet {
-            out.awaited = out.awaited.or(Some(now));
+            out.unacknowledged_since = out.unacknowledged_since.or(Some(now));
         }
         let message = Message::Digest {
             leg,
--- a/crates/router/src/dissemination/tests.rs
+++ b/crates/router/src/dissemination/tests.rs
@@ -8,7 +8,7 @@
 struct Wire {
     now: u64,
     nodes: BTreeMap<Address, Dissemination>,
-    seen: BTreeMap<Address, Digest>,
+    local_digest: BTreeMap<Address, Digest>,
     sums: BTreeMap<Address, Digest>,
     dead: BTreeSet<Address>,
     under_way: Vec<(u64, Address, Address, Message)>,
@@ -49,7 +49,7 @@
         Wire {
             now: 1000,
             nodes: members.iter().map(fresh).collect(),
-            seen: BTreeMap::new(),
+            local_digest: BTreeMap::new(),
             sums: BTreeMap::new(),
             dead: BTreeSet::new(),
             under_way: vec![],
@@ -62,7 +62,7 @@
     fn see(&mut self, at: Address, count: u16) {
         let mut digest = Digest::default();
         digest.more(DigestKey::Load(SERVER), count);
-        self.seen.insert(at, digest);
+        self.local_digest.insert(at, digest);
     }
 
     fn send(&mut self, from: Address, messages: Vec<(Address, Message)>) {
@@ -76,7 +76,7 @@
         if let Some((_, _, sum)) = self
             .nodes
             .get_mut(&from)
-            .and_then(Dissemination::take_update)
+            .and_then(Dissemination::take_fleet_digest)
         {
             self.sums.insert(from, sum);
         }
@@ -128,11 +128,11 @@
                 if !(now + place as u64 * 35).is_multiple_of(250) || self.dead.contains(&address) {
                     continue;
                 }
-                let seen = self.seen.get(&address).cloned().unwrap_or_default();
+                let local_digest = self.local_digest.get(&address).cloned().unwrap_or_default();
                 let messages = self
                     .nodes
                     .get_mut(&address)
-                    .map(|one| one.on_clock(MonotonicInstant(now), seen))
+                    .map(|one| one.on_clock(MonotonicInstant(now), local_digest))
                     .unwrap_or_default();
                 self.send(address, messages);
             }
@@ -154,7 +154,7 @@
     wire.see(node(203), 4);
     wire.run(5000);
     assert!(wire.messages > 0);
-    wire.seen.clear();
+    wire.local_digest.clear();
     wire.run(20_000);
     let before = wire.messages;
     wire.run(60_000);
@@ -270,7 +270,7 @@
                 digest.more(DigestKey::Load((random % 880) as u32), 1);
                 digest.more(DigestKey::HotPrefix(PrefixHash(mix(random) % 2000)), 1);
             }
-            wire.seen.insert(*one, digest);
+            wire.local_digest.insert(*one, digest);
         }
         wire.run(1000);
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -13,7 +13,7 @@
 mod startup;
 mod upstream;
 
-pub use admin::decision_log::Journal;
+pub use admin::decision_log::DecisionLog;
 pub use admin::metrics::Metrics;
 pub use admin::replay::replay;
 pub use control::node::{
@@ -22,7 +22,8 @@
 };
 pub use dialect::{Access, Call, CallDialect, Sending, ServerLoad};
 pub use discovery::endpoint_list::{
-    ListOutput, ListPeers, ListReading, ListTiming, ReadEffort, ServerList,
+    EndpointList, EndpointListOutput, EndpointListPeers, EndpointListReading, EndpointListTiming,
+    ReadRetryPolicy,
 };
 pub use dissemination::{DigestTiming, Dissemination};
 pub use interface::{
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-use crate::discovery::endpoint_list::ListTiming;
+use crate::discovery::endpoint_list::EndpointListTiming;
 use config::{validate_address, validate_addresses, validate_name, validate_range};
 use placement::SchedulerRules;
 use schematic::Config;
@@ -108,12 +108,12 @@
 
 impl Settings {
     /// What of them the list of servers is read by.
-    pub fn list_timing(&self) -> ListTiming {
-        ListTiming {
-            period: Milliseconds(self.list_ms),
-            silence: Milliseconds(self.list_silence_ms),
-            rate: self.list_rate,
-            ..ListTiming::default()
+    pub fn endpoint_list_timing(&self) -> EndpointListTiming {
+        EndpointListTiming {
+            reading_interval: Milliseconds(self.list_ms),
+            collector_timeout: Milliseconds(self.list_silence_ms),
+            max_calls_per_second: self.list_rate,
+            ..EndpointListTiming::default()
         }
     }
     /// What of them the scheduler goes by.
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -1,4 +1,4 @@
-use crate::admin::decision_log::Journal;
+use crate::admin::decision_log::DecisionLog;
 use crate::admin::metrics::Metrics;
 use crate::admin::replay::ReplayHead;
 use crate::control::event::ControlEvent;
@@ -6,7 +6,7 @@
     KvTask, Node, NodeInput, NodeOutput, NodeTiming, Placement, PlacementRequest, Rejection,
 };
 use crate::dialect::CallDialect;
-use crate::discovery::endpoint_list::ReadEffort;
+use crate::discovery::endpoint_list::ReadRetryPolicy;
 use crate::discovery::list_reader;
 use crate::discovery::report_poller;
 use crate::downstream::client_api::{fetch, resume, run_request};
@@ -141,7 +141,7 @@
     let (ingress, list) = match dialects.calls {
         Some(dialect) => {
             let ingress = Ingress::open(settings, shared.clone(), dialect.clone())?;
-            node = node.reading_list(settings.list_timing());
+            node = node.with_endpoint_list(settings.endpoint_list_timing());
             let (platform, control) = (settings.platform.parse()?, sender.clone());
             let tell =
                 move |reading| drop(control.send(ControlEvent::Input(NodeInput::List(reading))));
@@ -163,8 +163,8 @@
     let door = Arc::new(Door {
         shared: shared.clone(),
         is_ready: AtomicBool::new(false),
-        decisions: Journal::new(settings.journal_lines as usize),
-        events: Journal::new(settings.journal_lines as usize),
+        decisions: DecisionLog::new(settings.journal_lines as usize),
+        events: DecisionLog::new(settings.journal_lines as usize),
         head: serde_json::to_string(&head).expect("a head is JSON"),
     });
     let (closer, open_count) = (http_server.closer(), http_server.open_count());
@@ -211,7 +211,7 @@
                 );
                 control.is_draining = true;
                 ingress.iter().for_each(Ingress::leave);
-                leaving = Some(LeavingSchedule::new(now, settings, has_calls));
+                leaving = Some(DrainSchedule::new(now, settings, has_calls));
             }
             let reads_seeds_again = now >= next_reading
                 && control.node.lease_state().status(now) != LeaseStatus::Leased;
@@ -273,7 +273,7 @@
 }
 
 /// What a process that was told to stop takes when.
-struct LeavingSchedule {
+struct DrainSchedule {
     /// From then on only what will have ended before `end`.
     short_from: MonotonicInstant,
     /// From then on nothing, if no request came for a while.
@@ -284,7 +284,7 @@
     end: MonotonicInstant,
 }
 
-impl LeavingSchedule {
+impl DrainSchedule {
     /// For a process that was told to stop now. How long a request may last is known of calls alone: where there are
     /// others, nothing is taken that might not end in time.
     fn new(now: MonotonicInstant, settings: &Settings, has_calls: bool) -> Self {
@@ -294,7 +294,7 @@
         } else {
             Milliseconds(0)
         };
-        LeavingSchedule {
+        DrainSchedule {
             short_from,
             quiet_from: now + QUIET_FROM,
             none_from: short_from + short_for,
@@ -314,7 +314,7 @@
     door: Arc<Door>,
     kv: flume::Sender<KvTask>,
     /// Has the platform's list read.
-    list: Option<flume::Sender<ReadEffort>>,
+    list: Option<flume::Sender<ReadRetryPolicy>>,
     plans: Arc<dyn PlanDialect>,
     waiting: HashMap<u64, flume::Sender<Result<Placement, Rejection>>>,
     resuming: HashMap<u64, flume::Sender<Result<Token, Rejection>>>,
@@ -494,7 +494,7 @@
             "members": lease_state.members(),
             "withdrawn": self.node.withdrawn(),
             "open_requests": self.node.open_count(),
-            "tenants": self.node.held_credit(),
+            "tenants": self.node.reserved_credit(),
             "servers": servers,
             "active": active,
         })
@@ -571,8 +571,8 @@
 struct Door {
     shared: Arc<Shared>,
     is_ready: AtomicBool,
-    decisions: Journal,
-    events: Journal,
+    decisions: DecisionLog,
+    events: DecisionLog,
     head: String,
 }
 
@@ -612,8 +612,8 @@
                     }
                 }
             }
-            ("GET", ["v1", "decisions"]) => self.tail(request, JournalKind::Decisions),
-            ("GET", ["v1", "events"]) => self.tail(request, JournalKind::Events),
+            ("GET", ["v1", "decisions"]) => self.tail(request, DecisionLogKind::Decisions),
+            ("GET", ["v1", "events"]) => self.tail(request, DecisionLogKind::Events),
             ("POST", ["v1", "events"]) => self.push(&request.body),
             _ => Response::result(
                 ResultCode::NotFound,
@@ -622,7 +622,7 @@
         }
     }
 
-    fn tail(self: Arc<Self>, request: &Request, kind: JournalKind) -> Response {
+    fn tail(self: Arc<Self>, request: &Request, kind: DecisionLogKind) -> Response {
         let cursor = match request.query_parameter("after").map(str::parse) {
             Some(Ok(cursor)) => cursor,
             Some(Err(_)) => {
@@ -631,8 +631,9 @@
             None => 0,
         };
         let does_follow = request.query_parameter("follow") == Some("true");
-        let head = (cursor == 0 && kind == JournalKind::Events).then(|| format!("{}\n", self.head));
-        let source = JournalSource {
+        let head =
+            (cursor == 0 && kind == DecisionLogKind::Events).then(|| format!("{}\n", self.head));
+        let source = DecisionLogSource {
             door: self,
             kind,
             cursor,
@@ -689,27 +690,27 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum JournalKind {
+enum DecisionLogKind {
     Decisions,
     Events,
 }
 
-struct JournalSource {
+struct DecisionLogSource {
     door: Arc<Door>,
-    kind: JournalKind,
+    kind: DecisionLogKind,
     cursor: u64,
     does_follow: bool,
     head: Option<String>,
 }
 
-impl BodySource for JournalSource {
+impl BodySource for DecisionLogSource {
     fn next_chunk(&mut self, timeout: Duration) -> BodyChunk {
         if let Some(head) = self.head.take() {
             return BodyChunk::Data(head.into_bytes().into());
         }
         let journal = match self.kind {
-            JournalKind::Decisions => &self.door.decisions,
-            JournalKind::Events => &self.door.events,
+            DecisionLogKind::Decisions => &self.door.decisions,
+            DecisionLogKind::Events => &self.door.events,
         };
         let timeout = if self.does_follow {
             timeout
--- a/crates/router/src/startup/tests.rs
+++ b/crates/router/src/startup/tests.rs
@@ -3,9 +3,9 @@
 use config::read_settings;
 use types::MonotonicInstant;
 
-fn schedule(linger_ms: u64, drain_ms: u64, has_calls: bool) -> LeavingSchedule {
+fn schedule(linger_ms: u64, drain_ms: u64, has_calls: bool) -> DrainSchedule {
     let defaults = read_settings::<Settings>(None).expect("defaults");
-    LeavingSchedule::new(
+    DrainSchedule::new(
         MonotonicInstant(100_000),
         &Settings {
             linger_ms,
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -8,7 +8,7 @@
 use placement::ServerEntry;
 use quota::{Amount, ReservedCredit};
 use router::{
-    ChunkReader, ClientRequest, LIFE_HEADER, ListTiming, Metrics, NodeTiming, RelayedLine,
+    ChunkReader, ClientRequest, EndpointListTiming, LIFE_HEADER, Metrics, NodeTiming, RelayedLine,
     ResumeRequest, RunPiece, RunRequest, ServerListReport, ServerReport, Settings, Token, run_id,
 };
 use schematic::Config;
@@ -236,6 +236,6 @@
 #[test]
 fn the_spans_and_bounds_of_a_router_are_as_ever() {
     let node = golden_file::values_of(&NodeTiming::default());
-    let list = golden_file::values_of(&ListTiming::default());
+    let list = golden_file::values_of(&EndpointListTiming::default());
     golden_file::compare_text("timing.txt", &format!("{node}{list}"));
 }
