--- a/crates/router/src/control/node.rs
+++ b/crates/router/src/control/node.rs
@@ -1,7 +1,9 @@
+//! A router's control state as a pure state machine: inputs step in, outputs say what is to be done.
+
 use crate::discovery::endpoint_list::{
     EndpointList, EndpointListOutput, EndpointListPeers, EndpointListTiming,
 };
-use crate::dissemination::{DigestTiming, Dissemination};
+use crate::dissemination::Dissemination;
 use config::{KeyHasher, Plan, TenantTable};
 use placement::{
     Decision, Digest, Event, FLEET, Scheduler, SchedulerRules, ServerEntry, Timestamped,
@@ -17,58 +19,23 @@
 use wire::{ConfigUpdate, Member, Message};
 
 mod config_updates;
+mod dispatch;
 mod lease;
 mod messages;
 mod quota_credit;
 mod request_placement;
+mod timing;
 
 pub use messages::{KvTask, NodeInput, NodeOutput, Placement, PlacementRequest, Rejection};
 pub use request_placement::resume_id;
-
-/// The spans that a node goes by.
-#[derive(Debug, Clone, Copy)]
-pub struct NodeTiming {
-    /// Between polls.
-    pub lease_request_interval: Milliseconds,
-    /// With less than this left of the lease, members are checked.
-    pub peer_check_before_expiry: Milliseconds,
-    /// Between peer checks.
-    pub peer_check_interval: Milliseconds,
-    /// Between peer checks of one that is alone, at most.
-    pub peer_check_interval_alone: Milliseconds,
-    /// A peer counts as checked for this long.
-    pub peer_check_validity: Milliseconds,
-    /// Between the scheduler's ticks.
-    pub tick_interval: Milliseconds,
-    /// A poll without an answer is given up after this.
-    pub lease_request_timeout: Milliseconds,
-    /// Without a clock event for this long, the machine slept.
-    pub sleep_threshold: Milliseconds,
-    /// Of digests.
-    pub digest: DigestTiming,
-}
-
-impl Default for NodeTiming {
-    fn default() -> Self {
-        NodeTiming {
-            lease_request_interval: Milliseconds(1000),
-            peer_check_before_expiry: Milliseconds(600),
-            peer_check_interval: Milliseconds(400),
-            peer_check_interval_alone: Milliseconds(1600),
-            peer_check_validity: Milliseconds(1000),
-            tick_interval: Milliseconds(250),
-            lease_request_timeout: Milliseconds(400),
-            sleep_threshold: Milliseconds(1000),
-            digest: DigestTiming::default(),
-        }
-    }
-}
+pub use timing::NodeTiming;
 
 /// A data-plane node's control state: its lease state among the members, the configuration, the scheduler.
 ///
-/// Invariants: the configuration's epoch never falls, and it's only taken up whole. A request is placed only
-/// while the node may act, under a configuration that it holds, and with a server list that was read in this life
-/// and since the machine last slept. An id in hand, or of `ended`, is taken by no second request.
+/// Invariants: the configuration's epoch never falls, and an update is applied only once its plan is complete. A
+/// request is placed only while the node may act, under a complete configuration, and with a list of servers that
+/// was read in this incarnation and since the machine last slept. An id that is in flight or among the finished
+/// ones is given to no second request.
 #[derive(Clone)]
 pub struct Node {
     own: Address,
@@ -81,23 +48,23 @@
     plan: Option<Arc<Plan>>,
     plan_bytes: Arc<Vec<u8>>,
     plan_epoch: ConfigEpoch,
-    /// Stands for keys in this life.
+    /// Hashes API keys; drawn anew in each incarnation.
     key_hasher: KeyHasher,
-    /// Of the plan held.
+    /// The tenants of the applied plan.
     tenants: Arc<TenantTable>,
-    /// What may be let in of each tenant.
+    /// The credit reserved for each tenant.
     credit: QuotaClient,
     /// Requests that wait for credit, by their numbers.
     waiting_for_credit: BTreeMap<u64, PlacementRequest>,
     withdrawn: Vec<ZoneName>,
     members: Vec<Member>,
-    /// The epoch at which they became these.
+    /// The epoch since which the members are these.
     members_since: ConfigEpoch,
-    /// How long leases run.
+    /// The longest validity that a lease was granted with.
     lease_span: Milliseconds,
     seeds: Vec<Address>,
     voters: Vec<Address>,
-    /// Whose voters they are.
+    /// The view to which the voters belong.
     view: ViewNumber,
     source_index: usize,
     tail: Option<Address>,
@@ -109,22 +76,22 @@
     peer_checks: VecDeque<(u64, MonotonicInstant)>,
     next_peer_check: MonotonicInstant,
     peer_check_backoff: Milliseconds,
-    /// When others were last heard.
+    /// When the last message of each other process arrived.
     last_seen: BTreeMap<Address, MonotonicInstant>,
     config_update_requested_at: MonotonicInstant,
     dissemination: Dissemination,
     next_tick: MonotonicInstant,
     last_event: MonotonicInstant,
     has_endpoint_list: bool,
-    /// How the platform's list is known, unless it comes as [`Event::ServerList`].
+    /// The list of servers, unless it arrives as [`Event::ServerList`].
     endpoint_list: Option<EndpointList>,
     /// Where the listed servers are reached whose names are not their addresses.
     addresses: BTreeMap<ServerName, String>,
     endpoint_list_deadline: Option<MonotonicInstant>,
     is_draining: bool,
-    /// What tokens are sealed and opened with.
+    /// The key that seals and opens resume tokens.
     key: Option<TokenKey>,
-    /// Requests in hand, with their numbers.
+    /// Requests in flight, with their numbers.
     in_flight: BTreeMap<RequestId, u64>,
     /// The newest ids of requests that a server may have run, oldest first.
     finished: VecDeque<RequestId>,
@@ -133,7 +100,7 @@
     outputs: Vec<NodeOutput>,
 }
 
-/// News whose plan is still coming.
+/// A configuration update whose plan has not arrived completely.
 #[derive(Clone)]
 struct PendingUpdate {
     update: ConfigUpdate,
@@ -141,12 +108,12 @@
     from: Address,
     bytes: Vec<u8>,
     requested_at: MonotonicInstant,
-    /// Whether all of it has come and is being read.
+    /// Whether all bytes have arrived and another thread parses them.
     is_complete: bool,
 }
 
 impl Node {
-    /// A node at the start of its life.
+    /// A node that has just started, without a lease, a configuration or a list of servers.
     pub fn new(
         own: Address,
         zone: ZoneName,
@@ -210,7 +177,7 @@
         }
     }
 
-    /// This node reads the platform's list, or is told it by its zone's collector.
+    /// Lets this node read the platform's list itself, or receive it from the collector of its zone.
     pub fn with_endpoint_list(self, timing: EndpointListTiming) -> Self {
         let endpoint_list = Some(EndpointList::new(
             self.own,
@@ -224,7 +191,7 @@
         }
     }
 
-    /// Takes an input in; gives what is to be done.
+    /// Applies an input at `now` and returns what is to be done, in order.
     pub fn step(&mut self, now: MonotonicInstant, input: NodeInput) -> Vec<NodeOutput> {
         self.now = self.now.max(now);
         match input {
@@ -248,13 +215,7 @@
                 number,
                 may_have_run,
             } => {
-                self.abandon_credit(number);
-                if self.in_flight.get(&request) == Some(&number) {
-                    self.in_flight.remove(&request);
-                    if may_have_run {
-                        self.remember_finished_id(request);
-                    }
-                }
+                self.close(request, number, may_have_run);
             }
             NodeInput::Plan {
                 plan_epoch,
@@ -268,7 +229,19 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Until when requests that are placed may be sent; asked again right before each is sent.
+    fn close(&mut self, request: RequestId, number: u64, may_have_run: bool) {
+        self.abandon_credit(number);
+        // Another request of the same id, which was rejected, closes nothing.
+        if self.in_flight.get(&request) != Some(&number) {
+            return;
+        }
+        self.in_flight.remove(&request);
+        if may_have_run {
+            self.remember_finished_id(request);
+        }
+    }
+
+    /// The instant until which placed requests may be sent to servers; to be asked again right before each is sent.
     pub fn may_act_until(&self, now: MonotonicInstant) -> MonotonicInstant {
         let is_configured = self.plan.is_some()
             && self.key.is_some()
@@ -282,51 +255,51 @@
             _ => MonotonicInstant(0),
         }
     }
-    /// Whether clients should be sent here.
+    /// Whether clients should be routed to this node: it may act and is not draining.
     pub fn is_ready(&self, now: MonotonicInstant) -> bool {
         !self.is_draining && now < self.may_act_until(now)
     }
-    /// Whether it's stopping and nothing is in hand.
+    /// Whether this node is draining and has no request in flight.
     pub fn is_drained(&self) -> bool {
         self.is_draining && self.in_flight.is_empty()
     }
-    /// The scheduler.
+    /// The scheduler that places requests on servers.
     pub fn scheduler(&self) -> &Scheduler {
         &self.scheduler
     }
-    /// The newest epoch held whole.
+    /// The newest configuration epoch that is completely applied here.
     pub fn epoch(&self) -> ConfigEpoch {
         self.lease_state.epoch()
     }
-    /// The epoch of the plan held.
+    /// The epoch at which the applied plan was accepted.
     pub fn plan_epoch(&self) -> ConfigEpoch {
         self.plan_epoch
     }
-    /// The plan held.
+    /// The applied plan, if there is one yet.
     pub fn plan(&self) -> Option<&Arc<Plan>> {
         self.plan.as_ref()
     }
-    /// The tenants of the plan held.
+    /// The tenants of the applied plan.
     pub fn tenants(&self) -> &Arc<TenantTable> {
         &self.tenants
     }
-    /// Tenants with a quota, and what this node has let in of them.
+    /// Tenants with a quota, with the credit that this node has reserved and spent of it.
     pub fn reserved_credit(&self) -> Vec<ReservedCredit> {
         self.credit.tenants()
     }
-    /// How many nodes share the servers, as far as known here.
+    /// The number of members that share the servers, as far as this node knows.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
-    /// Its lease state.
+    /// The state of this node's lease and of its peers.
     pub fn lease_state(&self) -> &LeaseState {
         &self.lease_state
     }
-    /// Withdrawn zones.
+    /// The zones that operators have withdrawn from service.
     pub fn withdrawn(&self) -> &[ZoneName] {
         &self.withdrawn
     }
-    /// How many requests are open.
+    /// The number of requests in flight.
     pub fn open_count(&self) -> usize {
         self.in_flight.len()
     }
@@ -397,65 +370,55 @@
         };
         self.outputs.push(NodeOutput::Event(timestamped.clone()));
         for decision in self.scheduler.take(timestamped) {
-            match &decision {
-                Decision::Warm {
-                    prefix,
-                    holder,
-                    targets,
-                    ..
-                } => {
-                    for target in targets {
-                        let (prefix, holder, target) = (*prefix, holder.clone(), target.clone());
-                        self.outputs.push(NodeOutput::Kv(KvTask::Copy {
-                            prefix,
-                            holder,
-                            target,
-                        }));
-                    }
-                }
-                Decision::Cooled { prefix, copies } => {
-                    for server in copies {
-                        let (prefix, server) = (*prefix, server.clone());
-                        self.outputs
-                            .push(NodeOutput::Kv(KvTask::Drop { prefix, server }));
-                    }
-                }
-                _ => {}
-            }
+            self.outputs
+                .extend(kv_tasks(&decision).into_iter().map(NodeOutput::Kv));
             self.outputs.push(NodeOutput::Decision(self.now, decision));
         }
     }
 
     fn on_clock_event(&mut self) {
+        self.detect_sleep();
+        self.expire_waiting_requests();
+        self.step_endpoint_list(EndpointList::on_clock);
+        self.request_lease();
+        self.check_peers();
+        if self.now >= self.next_tick {
+            self.on_tick();
+        }
+        self.log_lease_status();
+    }
+
+    fn detect_sleep(&mut self) {
         if self.now.since(self.last_event) >= self.timing.sleep_threshold {
             // What the server list said before may have changed while this machine slept.
-            self.endpoint_list_deadline = Some(self.now + Milliseconds(1500));
+            self.endpoint_list_deadline = Some(self.now + ENDPOINT_LIST_WAIT);
             self.outputs.push(NodeOutput::Log(
                 "node: the machine slept; the server list is read anew".into(),
             ));
         }
         self.last_event = self.now;
-        self.expire_waiting_requests();
-        self.step_endpoint_list(EndpointList::on_clock);
-        self.request_lease();
-        self.check_peers();
-        if self.now >= self.next_tick {
-            self.next_tick = self.now + self.timing.tick_interval;
-            self.notify_scheduler(Event::Tick);
-            let sketch = self.scheduler.sketch(self.now);
-            let messages = self.dissemination.on_clock(self.now, Digest::of(&sketch));
-            self.send_digests(messages);
-        }
+    }
+
+    fn on_tick(&mut self) {
+        self.next_tick = self.now + self.timing.tick_interval;
+        self.notify_scheduler(Event::Tick);
+        let sketch = self.scheduler.sketch(self.now);
+        let messages = self.dissemination.on_clock(self.now, Digest::of(&sketch));
+        self.send_digests(messages);
+    }
+
+    fn log_lease_status(&mut self) {
         let status = self.lease_state.status(self.now);
-        if status != self.last_lease_status {
-            let line = format!(
-                "node: lease state is {}, epoch {}",
-                status.word(),
-                self.lease_state.epoch()
-            );
-            self.outputs.push(NodeOutput::Log(line));
-            self.last_lease_status = status;
+        if status == self.last_lease_status {
+            return;
         }
+        let line = format!(
+            "node: lease state is {}, epoch {}",
+            status.word(),
+            self.lease_state.epoch()
+        );
+        self.outputs.push(NodeOutput::Log(line));
+        self.last_lease_status = status;
     }
 
     /// When the next clock event is due at the latest.
@@ -502,123 +465,45 @@
         });
     }
 
-    /// The digests that it takes part in.
+    /// This node's part in the dissemination of load digests.
     pub fn dissemination(&self) -> &Dissemination {
         &self.dissemination
     }
+}
 
-    fn on_message(&mut self, from: Address, message: Message) {
-        self.last_seen.insert(from, self.now);
-        match message {
-            Message::LeaseResponse { round, response } => {
-                self.on_lease_response(from, round, *response)
-            }
-            Message::PlanRequest { epoch, offset, .. } => {
-                let piece = Message::plan_chunk(epoch, &self.plan_bytes, offset)
-                    .filter(|_| epoch == self.plan_epoch);
-                piece
-                    .into_iter()
-                    .for_each(|message| self.send(from, message));
-            }
-            Message::PlanChunk {
-                epoch,
-                offset,
-                length,
-                bytes,
-            } => {
-                self.on_plan_chunk(from, epoch, offset, length, &bytes);
-            }
-            Message::PlanDelta { epoch, base, delta } => {
-                self.on_plan_delta(from, epoch, base, &delta)
-            }
-            Message::ConfigUpdate { update } => {
-                if self.lease_state.lease_deadline().is_some() {
-                    self.on_config_update(from, *update, None);
-                }
-            }
-            Message::ConfigUpdateRequest => {
-                if let Some(update) = self.update() {
-                    self.send(
-                        from,
-                        Message::ConfigUpdate {
-                            update: Box::new(update),
-                        },
-                    );
-                }
-            }
-            Message::PeerCheckRequest { round, epoch } => {
-                let known = if self.lease_state.lease_deadline().is_some() {
-                    self.lease_state.epoch()
-                } else {
-                    ConfigEpoch(0)
-                };
-                self.send(
-                    from,
-                    Message::PeerCheckResponse {
-                        echo: round,
-                        epoch: known,
-                    },
-                );
-                self.lease_state.observe_peer_epoch(from, epoch);
-                self.request_config_update(from, epoch);
-            }
-            Message::PeerCheckResponse { echo, epoch } => {
-                // Counted from when our own letter left that this one answers, so that a letter long
-                // under way proves nothing about now.
-                if let Some((_, sent)) = self
-                    .peer_checks
-                    .iter()
-                    .find(|(own_round, _)| *own_round == echo)
-                    && epoch > ConfigEpoch(0)
-                {
-                    self.lease_state.record_peer_check(from, epoch, *sent);
-                }
-                self.lease_state.observe_peer_epoch(from, epoch);
-                self.request_config_update(from, epoch);
-            }
-            Message::Digest {
-                leg,
-                incarnation,
-                number,
-                is_whole,
-                change,
-            } => {
-                let messages = self.dissemination.on_digest(
-                    self.now,
-                    from,
-                    leg,
-                    incarnation,
-                    number,
-                    is_whole,
-                    &change,
-                );
-                self.send_digests(messages);
-            }
-            Message::DigestAck { leg, number } => {
-                let messages = self.dissemination.on_ack(self.now, from, leg, number);
-                self.send_digests(messages);
-            }
-            Message::ListFresh { .. }
-            | Message::ListChange { .. }
-            | Message::ServerListRequest { .. }
-            | Message::ServerListChunk { .. } => {
-                self.step_endpoint_list(|list, now, _| list.on_message(now, from, &message))
-            }
-            Message::CoreLocation { location, .. } => self.on_core_location(from, *location),
-            Message::CreditGrant { grant } => self.on_credit_grant(from, &grant),
-            Message::CreditAsk { .. }
-            | Message::Replication { .. }
-            | Message::LeaseRequest { .. }
-            | Message::Ask { .. }
-            | Message::Told { .. } => {}
+/// The copies of cached prefixes that a decision orders servers to make or to drop.
+fn kv_tasks(decision: &Decision) -> Vec<KvTask> {
+    match decision {
+        Decision::Warm {
+            prefix,
+            holder,
+            targets,
+            ..
+        } => {
+            let copy_to = |target: &ServerName| KvTask::Copy {
+                prefix: *prefix,
+                holder: holder.clone(),
+                target: target.clone(),
+            };
+            targets.iter().map(copy_to).collect()
+        }
+        Decision::Cooled { prefix, copies } => {
+            let drop_at = |server: &ServerName| KvTask::Drop {
+                prefix: *prefix,
+                server: server.clone(),
+            };
+            copies.iter().map(drop_at).collect()
         }
+        _ => vec![],
     }
 }
 
-/// News that was told of, and whose plan has not come, is waited for this long after it was last told of. A
-/// core in reach tells again within it: each poll asks another of its machines.
+/// How long a node waits for the plan of an announced configuration update after the last announcement. A
+/// reachable core announces it again within that time, since each lease request goes to another controller.
 const ANNOUNCEMENT_VALIDITY: Milliseconds = Milliseconds(3000);
-/// Others that were heard within this time are told of to the core.
+/// After the machine slept, requests wait this long at most for a fresh list of servers.
+const ENDPOINT_LIST_WAIT: Milliseconds = Milliseconds(1500);
+/// Peers from which a message came within this time are reported to the core as reachable.
 const LAST_SEEN_VALIDITY: Milliseconds = Milliseconds(2000);
 
 #[cfg(test)]
--- a/crates/router/src/control/node/config_updates.rs
+++ b/crates/router/src/control/node/config_updates.rs
@@ -1,9 +1,10 @@
 //! What is in force: news, the plan that goes with it, and taking both up.
 
-use super::*;
+use crate::control::node::{ANNOUNCEMENT_VALIDITY, PendingUpdate};
 use crate::control::node::{Node, NodeOutput};
 use config::{Plan, PlanError};
 use placement::Event;
+use std::sync::Arc;
 use types::{Address, ConfigEpoch, Delta, Milliseconds, MonotonicInstant, ResultCode};
 use wire::{ConfigUpdate, Message};
 
--- a/crates/router/src/control/node/lease.rs
+++ b/crates/router/src/control/node/lease.rs
@@ -1,7 +1,7 @@
 //! Asking the core for a lease, and the members whether they are there.
 
-use super::*;
 use crate::control::node::Node;
+use crate::control::node::{ANNOUNCEMENT_VALIDITY, LAST_SEEN_VALIDITY};
 use placement::Event;
 use replication::LeaseStatus;
 use types::{Address, ConfigEpoch, Milliseconds};
--- a/crates/router/src/control/node/messages.rs
+++ b/crates/router/src/control/node/messages.rs
@@ -1,11 +1,11 @@
 //! What a node is told, and what it wants done.
 
-use super::*;
 use crate::dialect::Access;
 use crate::discovery::endpoint_list::{EndpointListReading, ReadRetryPolicy};
 use crate::request::resume_token::Token;
 use config::{KeyDigest, Plan, PlanError, ServiceKind};
 use placement::{Decision, Event, PrefixHash, RequestCost, Timestamped};
+use std::sync::Arc;
 use types::{
     Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, RunId, ServerName,
     ServiceName,
--- a/crates/router/src/control/node/quota_credit.rs
+++ b/crates/router/src/control/node/quota_credit.rs
@@ -1,12 +1,12 @@
 //! Tenants' quotas: requests are let in by credit that the core's tail grants.
 
-use super::*;
 use crate::control::node::{Node, NodeOutput, PlacementRequest, Rejection};
 use crate::dialect::Access;
 use crate::downstream::authentication::{quota_amount, quota_limit, unauthorized};
 use config::{KeyDigest, Plan, TenantPlan, TenantTable};
 use quota::{Admission, CreditGrant, QuotaRejection, Settlement};
 use quota::{Amount, QuotaLimit};
+use std::sync::Arc;
 use types::{Address, Milliseconds, ResultCode, TenantName};
 use wire::Message;
 
