--- a/crates/controller/src/admin/task.rs
+++ b/crates/controller/src/admin/task.rs
@@ -1,3 +1,5 @@
+//! Operators' calls in any dialect, and the state machine that turns each into requests to the core.
+
 use crate::admin::control_client::OPERATOR_PATIENCE;
 use crate::admin::control_client::{Attempt, ControlClient, ControlResponse};
 use crate::controller::OperatorRequest;
@@ -77,7 +79,15 @@
     }
 }
 
-/// The core's words as an answer.
+fn readiness(is_ready: bool) -> AdminAnswer {
+    if is_ready {
+        AdminAnswer::Done
+    } else {
+        rejected(ResultCode::CoreNotReady, "not in the chain", vec![])
+    }
+}
+
+/// Turns the core's HTTP status and JSON body into an answer. A body without a known code is an unknown fate.
 fn answer_from(status: u16, body: &[u8]) -> AdminAnswer {
     if status == 200 {
         return AdminAnswer::Done;
@@ -159,35 +169,35 @@
                 let command = Command::plan_in(plans, bytes, Some(base));
                 task.propose_document(id, command)
             }
-            AdminCall::Change { bytes, base } => {
-                task.stage = Stage::Merging {
-                    id: content_id("change", &bytes, base),
-                    bytes,
-                    base,
-                };
-                // Merged into the tail's plan: an older one would be a conflict that isn't one.
-                AdminStep::Request(OperatorRequest::Read(Query::Base {
-                    at_least: ConfigEpoch(u64::MAX),
-                }))
-            }
-            AdminCall::ReadPlan => {
-                task.stage = Stage::Query;
-                AdminStep::Request(OperatorRequest::Read(Query::ConfigEpoch {
-                    epoch: ConfigEpoch(0),
-                }))
-            }
+            AdminCall::Change { bytes, base } => task.request_merge_base(bytes, base),
+            AdminCall::ReadPlan => task.request_plan(),
             AdminCall::Withdraw { zone } => task.propose(random_id(), Command::Withdraw { zone }),
             AdminCall::Restore { zone } => task.propose(random_id(), Command::Restore { zone }),
-            AdminCall::Readiness if is_ready => AdminStep::Answer(AdminAnswer::Done),
-            AdminCall::Readiness => AdminStep::Answer(rejected(
-                ResultCode::CoreNotReady,
-                "not in the chain",
-                vec![],
-            )),
+            AdminCall::Readiness => AdminStep::Answer(readiness(is_ready)),
         };
         (task, step)
     }
 
+    /// Requests the plan that a change is to be merged into. It is read at the tail, since a change merged into an
+    /// older plan would be rejected as a conflict where there is none.
+    fn request_merge_base(&mut self, bytes: Vec<u8>, base: u64) -> AdminStep {
+        self.stage = Stage::Merging {
+            id: content_id("change", &bytes, base),
+            bytes,
+            base,
+        };
+        AdminStep::Request(OperatorRequest::Read(Query::Base {
+            at_least: ConfigEpoch(u64::MAX),
+        }))
+    }
+
+    fn request_plan(&mut self) -> AdminStep {
+        self.stage = Stage::Query;
+        AdminStep::Request(OperatorRequest::Read(Query::ConfigEpoch {
+            epoch: ConfigEpoch(0),
+        }))
+    }
+
     /// The core's status and body in answer to what was asked; `None` if none came in time.
     pub fn on_response(&mut self, response: Option<ControlResponse>) -> AdminStep {
         let stage = std::mem::replace(&mut self.stage, Stage::Finished);
--- a/crates/controller/src/consensus/disk_thread.rs
+++ b/crates/controller/src/consensus/disk_thread.rs
@@ -1,28 +1,30 @@
+//! The thread that owns the data folder: it makes the replica's writes, and opens the folder again after a fault.
+
 use replication::{Record, RecoveredRecords};
 use std::path::Path;
 use std::time::Duration;
 use storage::{Damage, RecoveredStorage, Storage, StorageError};
 use types::{DiskId, random_bytes};
 
-/// What the disk's own thread tells the control thread.
+/// An event of the disk thread, sent to the control thread.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// Writes up to this one are synced.
+    /// All writes up to one of them are synced.
     Written {
-        /// Its id.
+        /// The id of the last write that is synced.
         id: u64,
     },
-    /// The disk refused; the folder is being opened anew.
+    /// The disk refused an operation; the folder is opened again after a pause.
     Fault {
-        /// Why.
+        /// The error, as text for logs and operators.
         why: String,
     },
-    /// The folder takes writes (again); this is what it holds.
+    /// The folder is open and accepts writes.
     Ready {
-        /// Which disk it is now.
+        /// The id of the disk that the folder is on.
         disk: DiskId,
-        /// Its records.
-        kept: RecoveredRecords,
+        /// The records that were read from the folder.
+        recovered: RecoveredRecords,
     },
 }
 
@@ -31,45 +33,49 @@
     pub incarnation: u64,
     pub id: u64,
     pub records: Vec<Record>,
-    pub is_whole: bool,
+    pub replaces_all: bool,
 }
 
-/// The thread that owns the data folder, so that a slow disk holds nothing else up.
+/// Handle of the thread that owns the data folder, so that a slow disk blocks nothing else.
 ///
-/// Invariant: events carry the life that they belong to; a life begins with `Ready`, and writes of
-/// an earlier one are passed over.
+/// Invariant: every event carries the incarnation of the storage that it belongs to. An incarnation begins with
+/// [`DiskEvent::Ready`], and writes of an earlier one are ignored.
 pub struct DiskThread {
     writes: flume::Sender<DiskWrite>,
     incarnation: u64,
 }
 
 impl DiskThread {
-    /// Starts the thread, which opens the folder. One that can't exist, or is damaged, is a fault at once. One
-    /// that the disk refuses now, or is slow with, is tried until it can be used, as one that fails later is.
+    /// Starts the thread, which opens the folder. If the disk refuses that for now, or is slow, the thread tries again
+    /// until the folder can be used, as it does after a later fault.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the folder is damaged or can't be created, or if the thread can't be started.
     pub fn open(
         folder: &Path,
-        tell: impl Fn(u64, DiskEvent) + Send + 'static,
+        notify: impl Fn(u64, DiskEvent) + Send + 'static,
     ) -> Result<DiskThread, StorageError> {
         let folder = folder.to_owned();
-        DiskThread::open_by(move || open_folder(&folder), PAUSE, tell)
+        DiskThread::open_by(move || open_folder(&folder), REOPEN_PAUSE, notify)
     }
 
     fn open_by(
         open: impl Fn() -> Result<RecoveredStorage, StorageError> + Send + 'static,
         pause: Duration,
-        tell: impl Fn(u64, DiskEvent) + Send + 'static,
+        notify: impl Fn(u64, DiskEvent) + Send + 'static,
     ) -> Result<DiskThread, StorageError> {
         let (writes, inbox) = flume::unbounded();
-        let (say_first, first) = flume::bounded(1);
+        let (report_first, first) = flume::bounded(1);
         let work = move || {
             let opened = open();
             match opened {
-                Err(fault) if !may_pass(&fault) => {
-                    let _ = say_first.send(Err(fault));
+                Err(fault) if !is_transient(&fault) => {
+                    let _ = report_first.send(Err(fault));
                 }
                 opened => {
-                    let _ = say_first.send(Ok(()));
-                    keep(&open, opened, pause, &inbox, &tell);
+                    let _ = report_first.send(Ok(()));
+                    serve_writes(&open, opened, pause, &inbox, &notify);
                 }
             }
         };
@@ -82,7 +88,7 @@
             })?;
         match first.recv_timeout(FIRST_DEADLINE) {
             Ok(Err(fault)) => Err(fault),
-            // A slow disk holds nothing up: what comes of it is told when it's known.
+            // A slow disk blocks nothing: the outcome is reported as an event once it is known.
             Ok(Ok(())) | Err(_) => Ok(DiskThread {
                 writes,
                 incarnation: 1,
@@ -90,30 +96,31 @@
         }
     }
 
-    /// Hands a write over.
-    pub fn write(&self, id: u64, records: Vec<Record>, is_whole: bool) {
+    /// Queues a write. With `replaces_all` its records replace all that were written before.
+    pub fn write(&self, id: u64, records: Vec<Record>, replaces_all: bool) {
         let _ = self.writes.send(DiskWrite {
             incarnation: self.incarnation,
             id,
             records,
-            is_whole,
+            replaces_all,
         });
     }
-    /// The control thread has taken up this life.
+
+    /// Sets the incarnation of the storage that later writes are meant for.
     pub fn begin(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
     }
 }
 
-/// Between tries to open a folder.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Whether a folder can be used at all is waited for this long.
+/// The pause before a folder is opened again after a fault.
+const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+/// How long [`DiskThread::open`] waits for the first outcome of opening the folder.
 const FIRST_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Whether it's the disk's trouble, which may pass, and not the folder's.
-fn may_pass(fault: &StorageError) -> bool {
+/// Whether the fault is one of the disk, which may be over later, and not one of the folder.
+fn is_transient(fault: &StorageError) -> bool {
     use std::io::ErrorKind::*;
-    /// Linux's number of an I/O error, which has no kind of its own.
+    /// Linux's error number of an I/O error, for which the standard library has no kind.
     const EIO: i32 = 5;
     match fault {
         StorageError::Io { source: fault, .. } => {
@@ -137,7 +144,7 @@
     Storage::open(folder, DiskId(u128::from_be_bytes(random_bytes())))
 }
 
-/// Turns a folder's records into the replica's; damage is a fault, never passed over.
+/// Decodes a folder's records. A record that can't be decoded is an error; none is skipped.
 fn read_records(raw: &[Vec<u8>]) -> Result<RecoveredRecords, StorageError> {
     let read = |bytes: &Vec<u8>| {
         let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(bytes.len());
@@ -150,7 +157,7 @@
     })
 }
 
-/// Has writes made in order; those between two whole ones are one entry.
+/// Makes the writes in order. Writes between two that replace all records go to the storage as one entry.
 fn apply_writes(storage: &mut Storage, writes: &[DiskWrite]) -> Result<(), StorageError> {
     let raw = |records: &[Record]| -> Vec<Vec<u8>> {
         let archive = |record| {
@@ -162,8 +169,8 @@
     };
     let mut gathered = vec![];
     for write in writes {
-        if write.is_whole {
-            // It stands for all before it, what is gathered included.
+        if write.replaces_all {
+            // It replaces everything before it, including what has been gathered.
             gathered.clear();
             storage.replace(&raw(&write.records))?;
         } else {
@@ -177,60 +184,91 @@
     }
 }
 
-fn keep(
+/// An opened folder whose records could be read.
+struct ReadyStorage {
+    storage: Storage,
+    disk: DiskId,
+    recovered: RecoveredRecords,
+}
+
+fn recover(opened: RecoveredStorage) -> Result<ReadyStorage, StorageError> {
+    Ok(ReadyStorage {
+        recovered: read_records(&opened.records)?,
+        storage: opened.storage,
+        disk: opened.disk,
+    })
+}
+
+/// Serves writes until the control thread is gone. After a fault the folder is opened again, as the next incarnation
+/// if it could be used before.
+fn serve_writes(
     open: &impl Fn() -> Result<RecoveredStorage, StorageError>,
     first: Result<RecoveredStorage, StorageError>,
     pause: Duration,
     inbox: &flume::Receiver<DiskWrite>,
-    tell: &impl Fn(u64, DiskEvent),
+    notify: &impl Fn(u64, DiskEvent),
 ) {
     let mut incarnation = 1;
     let mut opened = first;
     loop {
-        let ready =
-            opened.and_then(|o| read_records(&o.records).map(|kept| (o.storage, o.disk, kept)));
-        let (mut storage, disk, kept) = match ready {
-            Ok(ready) => ready,
-            Err(fault) => {
-                tell(
-                    incarnation,
-                    DiskEvent::Fault {
-                        why: fault.to_string(),
-                    },
-                );
-                std::thread::sleep(pause);
-                opened = open();
-                continue;
-            }
-        };
-        tell(incarnation, DiskEvent::Ready { disk, kept });
-        let fault = loop {
-            let Ok(write) = inbox.recv() else { return };
-            // What came while the disk was at work goes to it together, with one sync.
-            let mut writes = vec![write];
-            writes.extend(inbox.drain());
-            writes.retain(|write| write.incarnation == incarnation);
-            let Some(last) = writes.last().map(|write| write.id) else {
-                continue;
-            };
-            let outcome = apply_writes(&mut storage, &writes);
-            match outcome {
-                Ok(()) => tell(incarnation, DiskEvent::Written { id: last }),
-                Err(fault) => break fault,
-            }
-        };
-        tell(
-            incarnation,
-            DiskEvent::Fault {
-                why: fault.to_string(),
+        match opened.and_then(recover) {
+            Ok(ready) => match serve_incarnation(ready, incarnation, inbox, notify) {
+                IncarnationEnd::Disconnected => return,
+                IncarnationEnd::DiskFault => incarnation += 1,
             },
-        );
-        drop(storage);
+            Err(fault) => notify_fault(notify, incarnation, &fault),
+        }
         std::thread::sleep(pause);
-        incarnation += 1;
         opened = open();
     }
 }
 
+/// Why an incarnation of the storage has ended.
+enum IncarnationEnd {
+    /// The control thread is gone.
+    Disconnected,
+    /// The disk refused a write, which was reported as a [`DiskEvent::Fault`].
+    DiskFault,
+}
+
+/// Serves the writes of one incarnation, until the disk refuses one or the control thread is gone.
+fn serve_incarnation(
+    ready: ReadyStorage,
+    incarnation: u64,
+    inbox: &flume::Receiver<DiskWrite>,
+    notify: &impl Fn(u64, DiskEvent),
+) -> IncarnationEnd {
+    let ReadyStorage {
+        mut storage,
+        disk,
+        recovered,
+    } = ready;
+    notify(incarnation, DiskEvent::Ready { disk, recovered });
+    loop {
+        let Ok(first) = inbox.recv() else {
+            return IncarnationEnd::Disconnected;
+        };
+        // Writes that were queued while the disk was busy are written together, with one sync.
+        let mut writes = vec![first];
+        writes.extend(inbox.drain());
+        writes.retain(|write| write.incarnation == incarnation);
+        let Some(last) = writes.last().map(|write| write.id) else {
+            continue;
+        };
+        match apply_writes(&mut storage, &writes) {
+            Ok(()) => notify(incarnation, DiskEvent::Written { id: last }),
+            Err(fault) => {
+                notify_fault(notify, incarnation, &fault);
+                return IncarnationEnd::DiskFault;
+            }
+        }
+    }
+}
+
+fn notify_fault(notify: &impl Fn(u64, DiskEvent), incarnation: u64, fault: &StorageError) {
+    let why = fault.to_string();
+    notify(incarnation, DiskEvent::Fault { why });
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/consensus/disk_thread/tests.rs
+++ b/crates/controller/src/consensus/disk_thread/tests.rs
@@ -24,13 +24,14 @@
         }),
         _ => open_folder(&path),
     };
-    let (tell, told) = flume::unbounded();
+    let (notify, events) = flume::unbounded();
     let disk_thread = DiskThread::open_by(open, Duration::ZERO, move |incarnation, event| {
-        tell.send((incarnation, event)).unwrap()
+        notify.send((incarnation, event)).unwrap()
     });
     let _disk_thread = disk_thread.expect("it starts");
     let next = || {
-        told.recv_timeout(Duration::from_secs(10))
+        events
+            .recv_timeout(Duration::from_secs(10))
             .expect("an event")
     };
     assert!(matches!(next(), (1, DiskEvent::Fault { .. })));
@@ -106,12 +107,12 @@
             let length = bent[record].len();
             bent[record][place % length] = byte;
         }
-        if let Ok(kept) = read_records(&bent) {
+        if let Ok(recovered) = read_records(&bent) {
             let _ = Replica::new(
                 me,
                 vec![],
                 Timing::default(),
-                kept,
+                recovered,
                 ConfigStateMachine::default(),
                 MonotonicInstant(1),
             );
--- a/crates/controller/src/consensus/driver.rs
+++ b/crates/controller/src/consensus/driver.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::{CommittedChange, Controller, ControllerOutput};
 use config::{Command, Proposal};
-use replication::{ChangeRequestId, Input, Output, ReplicationMessage};
+use replication::{ChangeRequestId, Input, Output, ReplicationMessage, View};
 use types::{Address, ConfigEpoch};
 use wire::Message;
 
@@ -10,54 +10,62 @@
 const BULK_THRESHOLD_BYTES: usize = 64 << 10;
 
 impl Controller {
-    /// Has the replica take an input, and does what it wants.
+    /// Gives the replica an input and handles each of its outputs in order.
     pub(crate) fn drive(&mut self, input: Input) {
         for output in self.replica.step(self.now, input) {
-            match output {
-                Output::Send { to, message } => self.send_message(to, message),
-                Output::Write {
-                    id,
-                    records,
-                    replaces_all: is_whole,
-                } => {
-                    self.outputs.push(ControllerOutput::Write {
-                        id,
-                        records,
-                        is_whole,
-                    });
-                }
-                Output::Response {
-                    number,
-                    is_final,
-                    body,
-                } => self.on_response(number, is_final, body),
-                Output::ChangeRejected { request_id, body }
-                    if self.is_firm(self.replica.state_machine().epoch) =>
-                {
-                    self.answer(request_id, body);
-                }
-                Output::Committed { request_id, body }
-                | Output::ChangeRejected { request_id, body } => {
-                    let epoch = self.replica.state_machine().epoch;
-                    let deadline = self.now + self.timing.fate_deadline;
-                    self.committed.push_back(CommittedChange {
-                        epoch,
-                        request_id,
-                        body,
-                        deadline,
-                    });
-                }
-                Output::ViewChanged(view) => {
-                    self.keep_quotas(&view);
-                    self.leases.clear();
-                    self.leases_since = self.now;
-                    self.retire_deadline = self.now + self.timing.retire_after;
-                    self.outputs.push(ControllerOutput::ViewChanged(view));
-                }
+            self.handle_output(output);
+        }
+    }
+
+    fn handle_output(&mut self, output: Output) {
+        match output {
+            Output::Send { to, message } => self.send_message(to, message),
+            Output::Write {
+                id,
+                records,
+                replaces_all,
+            } => self.outputs.push(ControllerOutput::Write {
+                id,
+                records,
+                replaces_all,
+            }),
+            Output::Response {
+                number,
+                is_final,
+                body,
+            } => self.on_response(number, is_final, body),
+            Output::ChangeRejected { request_id, body }
+                if self.is_firm(self.replica.state_machine().epoch) =>
+            {
+                self.answer(request_id, body);
             }
+            Output::Committed { request_id, body }
+            | Output::ChangeRejected { request_id, body } => {
+                self.await_acknowledgements(request_id, body);
+            }
+            Output::ViewChanged(view) => self.on_view_changed(view),
         }
     }
 
+    /// Holds the response to a change back until enough members know the newest epoch.
+    fn await_acknowledgements(&mut self, request_id: ChangeRequestId, body: Vec<u8>) {
+        self.committed.push_back(CommittedChange {
+            epoch: self.replica.state_machine().epoch,
+            request_id,
+            body,
+            deadline: self.now + self.timing.fate_deadline,
+        });
+    }
+
+    /// Leases of the previous view are not valid in the new one, and members get time to renew them.
+    fn on_view_changed(&mut self, view: View) {
+        self.keep_quotas(&view);
+        self.leases.clear();
+        self.leases_since = self.now;
+        self.retire_deadline = self.now + self.timing.retire_after;
+        self.outputs.push(ControllerOutput::ViewChanged(view));
+    }
+
     pub(crate) fn send_message(&mut self, to: Address, message: ReplicationMessage) {
         let is_bulk = match &message {
             ReplicationMessage::SnapshotChunk { .. } | ReplicationMessage::CatchUpBatch { .. } => {
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -8,7 +8,7 @@
 use replication::{ChangeRequestId, Input, LeaseTable, Replica};
 use std::collections::{BTreeMap, VecDeque};
 use types::{Address, ConfigEpoch, Milliseconds, MonotonicInstant, TokenKey, ViewNumber};
-use wire::{LeaseRequest, Message};
+use wire::{LeaseRequest, Message, Query};
 
 mod events;
 mod timing;
@@ -189,19 +189,7 @@
                 offset,
                 have,
             } => self.on_plan_ask(from, epoch, offset, have),
-            Message::Ask { number, reading } => {
-                if self.may_respond() {
-                    let (status, body) = self.read(&reading);
-                    self.send(
-                        from,
-                        Message::Told {
-                            number,
-                            status,
-                            body,
-                        },
-                    );
-                }
-            }
+            Message::Ask { number, reading } => self.on_query(from, number, &reading),
             Message::Told {
                 number,
                 status,
@@ -229,6 +217,20 @@
         }
     }
 
+    /// Answers another replica's query, unless this replica may not answer for the core.
+    fn on_query(&mut self, from: Address, number: u64, query: &Query) {
+        if !self.may_respond() {
+            return;
+        }
+        let (status, body) = self.read(query);
+        let response = Message::Told {
+            number,
+            status,
+            body,
+        };
+        self.send(from, response);
+    }
+
     pub(crate) fn voters(&self) -> Vec<Address> {
         self.replica
             .view()
--- a/crates/controller/src/controller/events.rs
+++ b/crates/controller/src/controller/events.rs
@@ -71,7 +71,7 @@
         /// They.
         records: Vec<Record>,
         /// In place of all before.
-        is_whole: bool,
+        replaces_all: bool,
     },
     /// Answer an operator.
     Response {
--- a/crates/controller/src/discovery/exchange.rs
+++ b/crates/controller/src/discovery/exchange.rs
@@ -38,8 +38,8 @@
             .for_each(|(seed, message)| self.send(seed, message));
     }
 
-    /// Tells members without a lease where the core is: those whose seeds are all gone can't ask. Some at a time, by
-    /// turns, and only once all that know it had time to ask.
+    /// Sends members without a lease the location of the core, since those whose seeds are all gone can't request it.
+    /// They are notified some at a time, by turns, and only once all members that know the core had time to poll.
     pub(crate) fn notify_unleased(&mut self) {
         let has_listened = self
             .responses_since
@@ -48,6 +48,23 @@
             return;
         }
         self.next_notification = self.now + NOTIFICATION_PERIOD;
+        let location = CoreLocation {
+            view: self.replica.view().epoch,
+            voters: self.voters(),
+            controllers: vec![],
+        };
+        for member in self.next_unleased() {
+            self.last_notified = Some(member);
+            let message = Message::CoreLocation {
+                location: Box::new(location.clone()),
+                is_answer: true,
+            };
+            self.send(member, message);
+        }
+    }
+
+    /// The members without a lease whose turn to be notified it is, beginning after the one that was notified last.
+    fn next_unleased(&self) -> Vec<Address> {
         let leased: BTreeSet<Address> = self
             .leases
             .live(self.now)
@@ -61,27 +78,12 @@
             .copied()
             .collect();
         unleased.sort();
-        let behind_last = unleased
+        let already_notified = unleased
             .iter()
             .take_while(|member| Some(**member) <= self.last_notified)
             .count();
-        unleased.rotate_left(behind_last);
+        unleased.rotate_left(already_notified);
         unleased.truncate(NOTIFIED_AT_ONCE);
-        let location = CoreLocation {
-            view: self.replica.view().epoch,
-            voters: self.voters(),
-            controllers: vec![],
-        };
-        for member in unleased {
-            self.last_notified = Some(member);
-            let location = Box::new(location.clone());
-            self.send(
-                member,
-                Message::CoreLocation {
-                    location,
-                    is_answer: true,
-                },
-            );
-        }
+        unleased
     }
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -102,7 +102,7 @@
         event: DiskEvent,
     ) {
         match event {
-            DiskEvent::Ready { disk, kept } => self.recover(incarnation, disk, kept),
+            DiskEvent::Ready { disk, recovered } => self.recover(incarnation, disk, recovered),
             DiskEvent::Written { id } if incarnation == self.incarnation => {
                 self.step(now, ControllerInput::Written { id });
             }
@@ -211,10 +211,10 @@
             ControllerOutput::Write {
                 id,
                 records,
-                is_whole,
+                replaces_all,
             } => {
                 Metrics::increment(&self.shared.metrics.disk_writes);
-                self.disk_thread.write(id, records, is_whole);
+                self.disk_thread.write(id, records, replaces_all);
             }
             ControllerOutput::Response {
                 number,
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -365,8 +365,8 @@
                 let (base, note) = (self.newest, self.next_note);
                 // All that build on one number pick the same next one.
                 let bytes = document(base + 2, note);
-                let is_whole = self.core.chance(50);
-                let call = if is_whole {
+                let is_full_plan = self.core.chance(50);
+                let call = if is_full_plan {
                     AdminCall::Plan { bytes, base }
                 } else {
                     AdminCall::Change { bytes, base }
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -248,11 +248,11 @@
                 ControllerOutput::Write {
                     id,
                     records,
-                    is_whole,
+                    replaces_all,
                 } => {
                     self.machines[machine]
                         .unsynced
-                        .push_back((id, records, is_whole));
+                        .push_back((id, records, replaces_all));
                 }
                 ControllerOutput::Response {
                     number,
@@ -371,10 +371,10 @@
 
     fn sync(&mut self, machine: usize) {
         let m = &mut self.machines[machine];
-        let Some((id, records, is_whole)) = m.unsynced.pop_front() else {
+        let Some((id, records, replaces_all)) = m.unsynced.pop_front() else {
             return;
         };
-        if is_whole {
+        if replaces_all {
             m.durable.clear();
         }
         m.durable.extend(records);
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -142,8 +142,8 @@
 /// What is in force of writes: the last that replaces all before it, and those after.
 fn kept(writes: &Writes) -> Vec<Record> {
     let mut records = vec![];
-    for (written, is_whole) in writes {
-        if *is_whole {
+    for (written, replaces_all) in writes {
+        if *replaces_all {
             records.clear();
         }
         records.extend(written.iter().cloned());
@@ -163,7 +163,10 @@
     let tell = move |_, event| drop(sender.send(event));
     let thread = DiskThread::open(folder, tell).expect("the folder can be opened");
     match events.recv_timeout(PATIENCE) {
-        Ok(DiskEvent::Ready { disk, kept }) => {
+        Ok(DiskEvent::Ready {
+            disk,
+            recovered: kept,
+        }) => {
             assert_eq!(disk, DISK);
             (thread, events, kept)
         }
@@ -175,9 +178,9 @@
     drop(Storage::open(folder, DISK).expect("a new folder"));
     let (thread, events, kept) = open(folder);
     assert_eq!(kept.records, []);
-    for (place, (records, is_whole)) in writes.iter().enumerate() {
+    for (place, (records, replaces_all)) in writes.iter().enumerate() {
         let number = place as u64 + 1;
-        thread.write(number, records.clone(), *is_whole);
+        thread.write(number, records.clone(), *replaces_all);
         match events.recv_timeout(PATIENCE) {
             Ok(DiskEvent::Written { id }) => assert_eq!(id, number),
             other => panic!("write {number}: {other:?}"),
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -427,7 +427,7 @@
                 ControllerOutput::Write {
                     id,
                     records,
-                    is_whole,
+                    replaces_all: is_whole,
                 } => self.write(machine, incarnation, id, records, is_whole),
                 ControllerOutput::Response {
                     number,
