--- a/crates/controller/src/admin/pending_requests.rs
+++ b/crates/controller/src/admin/pending_requests.rs
@@ -64,7 +64,7 @@
         };
         self.pending.insert(number, pending);
         if !self.replica.has_reachable_majority(self.now) {
-            // Nothing was asked or proposed yet, so this is final, and its operator loses no time here.
+            // No request was sent yet, so this is final, and the operator can turn to another controller at once.
             return self.give_up(number, ResultCode::CoreNotReady);
         }
         self.retry(number);
@@ -179,9 +179,15 @@
         );
     }
 
-    /// The tail's answer. It's taken only for the question that waits under this number, and only from
-    /// the one that was asked last.
-    pub(crate) fn on_told(&mut self, from: Address, attempt: u64, status: u16, body: Vec<u8>) {
+    /// Takes a response to a query. It is ignored unless its number is that of a pending request, and its sender the
+    /// replica that was queried last.
+    pub(crate) fn on_query_response(
+        &mut self,
+        from: Address,
+        attempt: u64,
+        status: u16,
+        body: Vec<u8>,
+    ) {
         let matches_attempt =
             |pending: &PendingRequest| pending.attempt == attempt && pending.queried == Some(from);
         let Some((&number, pending)) = self
@@ -198,9 +204,9 @@
         self.respond(number, status, body);
     }
 
-    /// The tail's word on what is to be known before it's proposed: which epoch is the newest, or whether those
-    /// to be forgotten are heard. If nobody hears them, it's proposed; a tail that does not know yet is asked
-    /// again; any other word is the operator's answer.
+    /// Takes the tail's response to a query that precedes a proposal: which epoch is the newest, or whether the members
+    /// to be removed are unreachable. On success the change is proposed; a tail that does not know yet is queried again;
+    /// any other response is the operator's.
     pub(crate) fn on_precheck(&mut self, number: u64, status: u16, body: Vec<u8>) {
         let Some(pending) = self.pending.get_mut(&number) else {
             return;
@@ -241,7 +247,8 @@
         });
     }
 
-    /// The core's answer to a proposal made here, taken only for the newest try of an operator's.
+    /// Takes the core's response to a proposal of this controller. It is ignored unless it is one to the newest attempt
+    /// of an operator's request.
     pub(crate) fn on_response(&mut self, attempt: u64, is_final: bool, body: Vec<u8>) {
         let matches_attempt =
             |pending: &PendingRequest| pending.attempt == attempt && pending.queried.is_none();
@@ -257,7 +264,7 @@
             let status = status_of(&body);
             self.respond(number, status, body);
         } else if self.now < pending.patience_deadline {
-            // The core did not take it, so asking again can't do it twice.
+            // The core did not accept it, so a retry can't apply it twice.
             pending.retry_at = Some(self.now + self.timing.replica.proposal_retry_interval);
         } else {
             self.give_up(number, ResultCode::CoreNotReady);
@@ -265,7 +272,7 @@
     }
 }
 
-/// What the tail must be asked before this is proposed.
+/// The query that the tail must answer before this is proposed.
 fn precheck_query(proposal: &Proposal) -> Option<Query> {
     match &proposal.command {
         Command::ForceRemove { members } => Some(Query::Heard {
--- a/crates/controller/src/admin/task.rs
+++ b/crates/controller/src/admin/task.rs
@@ -8,64 +8,68 @@
 use types::{ConfigEpoch, Milliseconds, ResultCode, ZoneName, random_bytes};
 use wire::Query;
 
-/// What an operator's call asks for, in whatever dialect.
+/// An operator's call, independent of the dialect in which it was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Take a whole plan.
+    /// Replaces the plan by a complete one.
     Plan {
-        /// As sent.
+        /// The document as it was sent.
         bytes: Vec<u8>,
         /// The revision that it builds on.
         base: u64,
     },
-    /// Change the plan.
+    /// Merges a change into the plan.
     Change {
-        /// As sent.
+        /// The document as it was sent.
         bytes: Vec<u8>,
         /// The revision that it builds on.
         base: u64,
     },
-    /// Give the newest plan.
+    /// Reads the newest plan.
     ReadPlan,
-    /// Give a zone no new work.
+    /// Withdraws a zone, which then gets no new work.
     Withdraw {
-        /// The zone.
+        /// The name of the zone.
         zone: ZoneName,
     },
-    /// Give a zone work again.
+    /// Restores a zone, which then gets work again.
     Restore {
-        /// The zone.
+        /// The name of the zone.
         zone: ZoneName,
     },
-    /// Whether this controller serves the core.
+    /// Checks whether this controller serves the core.
     Readiness,
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminAnswer {
-    /// It is done, or so it is.
+    /// The change is accepted, or the check succeeded.
     Done,
-    /// The newest plan, as it was taken.
+    /// The newest plan, as it was accepted.
     Plan(Vec<u8>),
-    /// Not done, or not known to be.
+    /// The call was rejected, failed, or has an unknown fate.
     Refused {
-        /// The numbered result.
+        /// The result code, which says which of these it is.
         code: ResultCode,
-        /// More about it.
+        /// An explanation for the operator.
         why: String,
-        /// The plan's faults.
+        /// The errors found in the plan; empty if the plan is not the cause.
         faults: Vec<PlanError>,
     },
 }
 
-/// How operators' calls and their answers look.
+/// The format of operators' calls and of the responses to them.
 pub trait AdminDialect: Send + Sync {
-    /// Reads a call; `None` if it is none of the dialect's, an answer at once if it can't be read.
+    /// Parses a call; `None` if the request is not one of this dialect's calls.
+    ///
+    /// # Errors
+    ///
+    /// Returns the response to send at once if the call is malformed.
     fn read(&self, request: &Request) -> Result<Option<AdminCall>, Box<Response>>;
-    /// Writes its answer.
+    /// Renders the response to a call.
     fn write(&self, answer: AdminAnswer) -> Response;
-    /// How long whoever sent a call of so many bytes waits for its answer. Nothing is begun for it after that.
+    /// The time-out of whoever sends a call with a body of this size. Nothing is started for the call after that.
     fn patience(&self, _body_bytes: usize) -> Milliseconds {
         OPERATOR_PATIENCE
     }
@@ -102,7 +106,7 @@
     rejected(code, value["why"].as_str().unwrap_or_default(), vec![])
 }
 
-/// The same call at any time and any controller has the same id.
+/// The id of a call, from its content alone: the same call has the same id at any time and at any controller.
 fn content_id(kind: &str, bytes: &[u8], base: u64) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher
@@ -112,16 +116,16 @@
     format!("{kind}-{base}-{}", &hasher.finalize().to_hex()[..32])
 }
 
-/// What a call's task does next.
+/// The next step of a call's task.
 #[derive(Debug, Clone)]
 pub enum AdminStep {
-    /// Ask the core; its answer goes to [`AdminTask::on_response`].
+    /// Send this request to the core, and pass the response to [`AdminTask::on_response`].
     Request(OperatorRequest),
-    /// It is over.
+    /// The call is complete, with this outcome.
     Answer(AdminAnswer),
 }
 
-/// What the core's next answer to a call's task is about.
+/// What the core's next response to a call's task is about.
 #[derive(Debug, Clone)]
 enum Stage {
     /// The plan that a change is to be merged into.
@@ -130,20 +134,20 @@
         bytes: Vec<u8>,
         base: u64,
     },
-    /// Whether a document that has faults now was taken before.
+    /// The status of a document that has errors now but may have been accepted before.
     Fate { faults: Vec<PlanError> },
-    /// What became of a proposal.
+    /// The outcome of a proposal.
     Proposed,
     /// The newest plan.
     Query,
-    /// Nothing; it is over.
+    /// No response is awaited, since the call is complete.
     Finished,
 }
 
-/// A call on its way, as a state machine: what it asks of the core, step by step, until it is answered.
+/// A call in flight, as a state machine: its requests to the core, one after another, until its outcome is known.
 ///
-/// Invariant: it is refused for good only by the tail's own word: on a proposal, or that a document which has
-/// faults was not taken and builds on nothing that is yet to come.
+/// Invariant: it is rejected for good only by a response of the tail, either to a proposal, or that a document with
+/// errors was not accepted before and builds on no revision that is yet to be accepted.
 pub struct AdminTask<'a> {
     plans: &'a dyn PlanDialect,
     zones: &'a [ZoneName],
@@ -151,7 +155,8 @@
 }
 
 impl<'a> AdminTask<'a> {
-    /// A call's task and its first step. `zones` may be evacuated besides those that members and plans name.
+    /// Starts the task of a call, and returns it with its first step. `zones` are zones that may be withdrawn besides
+    /// those that members and plans name.
     pub fn begin(
         call: AdminCall,
         plans: &'a dyn PlanDialect,
@@ -198,7 +203,7 @@
         }))
     }
 
-    /// The core's status and body in answer to what was asked; `None` if none came in time.
+    /// Takes the core's response to the last request, `None` if it timed out, and returns the next step.
     pub fn on_response(&mut self, response: Option<ControlResponse>) -> AdminStep {
         let stage = std::mem::replace(&mut self.stage, Stage::Finished);
         let Some((status, body)) = response else {
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Merges a change into the tail's plan, which comes behind its epoch.
+    /// Merges a change into the tail's plan. The response holds the plan's epoch in 8 bytes, and then the plan.
     fn merge(&mut self, id: String, bytes: Vec<u8>, base: u64, response: &[u8]) -> AdminStep {
         let Some((epoch, plan)) = response.split_first_chunk::<8>() else {
             return AdminStep::Answer(rejected(
@@ -243,7 +248,7 @@
         );
         let newest = self.plans.parse(plan).map_or(0, |plan| plan.revision);
         if command.is_err() && base > newest {
-            // It may have none with the plan that it was made for.
+            // It may be free of errors when merged into the plan that it was made for.
             let why = format!("it builds on revision {base}, which is not accepted so far");
             return AdminStep::Answer(rejected(ResultCode::CoreNotReady, why, vec![]));
         }
@@ -260,7 +265,8 @@
         }))
     }
 
-    /// Proposes what a document came to. One with faults now may have been taken when it was first sent.
+    /// Proposes a document's command. A document that has errors now may have been accepted when it was first sent, so
+    /// its status is requested first.
     fn propose_document(
         &mut self,
         id: String,
@@ -277,8 +283,8 @@
 }
 
 impl ControlClient {
-    /// Runs a call to its end, for as long as its attempt lasts. `zones` may be withdrawn besides those that members
-    /// and plans name.
+    /// Runs a call until it is complete or its attempt is over. `zones` are zones that may be withdrawn besides those
+    /// that members and plans name.
     pub fn execute(
         &self,
         call: AdminCall,
@@ -299,7 +305,7 @@
     }
 }
 
-/// Of a call that may be given any number of times.
+/// A new id, for calls that may be repeated and are a new change each time.
 fn random_id() -> String {
     format!("c-{:032x}", u128::from_be_bytes(random_bytes()))
 }
--- a/crates/controller/src/admin/task/tests.rs
+++ b/crates/controller/src/admin/task/tests.rs
@@ -58,16 +58,16 @@
 
 #[test]
 fn a_change_with_faults_is_refused_only_once_it_can_never_have_been_taken() {
-    let told = |fate: ResultCode| code_of(&core(vec![base(7), said(fate)]), change());
-    assert_eq!(told(ResultCode::Accepted), ResultCode::Accepted);
+    let code_after = |fate: ResultCode| code_of(&core(vec![base(7), said(fate)]), change());
+    assert_eq!(code_after(ResultCode::Accepted), ResultCode::Accepted);
     assert_eq!(
-        told(ResultCode::CoreNotReady),
+        code_after(ResultCode::CoreNotReady),
         ResultCode::CoreNotReady,
         "it may be in the chain"
     );
-    assert_eq!(told(ResultCode::FateUnknown), ResultCode::FateUnknown);
+    assert_eq!(code_after(ResultCode::FateUnknown), ResultCode::FateUnknown);
     assert_eq!(
-        told(ResultCode::UnknownChange),
+        code_after(ResultCode::UnknownChange),
         ResultCode::BadPlan,
         "it builds on what is past"
     );
@@ -82,29 +82,32 @@
 }
 
 #[test]
-fn a_whole_plan_with_faults_is_refused_only_once_it_is_known_not_to_have_been_taken() {
+fn a_complete_plan_with_faults_is_refused_only_once_it_is_known_not_to_have_been_taken() {
     let plan = || AdminCall::Plan {
         bytes: br#"{"revision":7,"services":3}"#.to_vec(),
         base: 5,
     };
-    let told = |fate: ResultCode| code_of(&core(vec![said(fate)]), plan());
-    assert_eq!(told(ResultCode::Accepted), ResultCode::Accepted);
-    assert_eq!(told(ResultCode::CoreNotReady), ResultCode::CoreNotReady);
-    assert_eq!(told(ResultCode::UnknownChange), ResultCode::BadPlan);
+    let code_after = |fate: ResultCode| code_of(&core(vec![said(fate)]), plan());
+    assert_eq!(code_after(ResultCode::Accepted), ResultCode::Accepted);
+    assert_eq!(
+        code_after(ResultCode::CoreNotReady),
+        ResultCode::CoreNotReady
+    );
+    assert_eq!(code_after(ResultCode::UnknownChange), ResultCode::BadPlan);
 }
 
 #[test]
 fn what_an_attempt_leaves_unfinished_is_given_up() {
-    let heard = Arc::new(std::sync::Mutex::new(vec![]));
-    let reachable_peers = heard.clone();
-    let silent = ControlClient::new(
+    let inputs = Arc::new(std::sync::Mutex::new(vec![]));
+    let received = inputs.clone();
+    let unresponsive = ControlClient::new(
         crate::admin::control_client::PendingResponses::default(),
-        move |input| reachable_peers.lock().unwrap().push(input),
+        move |input| received.lock().unwrap().push(input),
     );
     let call = AdminCall::Withdraw {
         zone: "east".into(),
     };
-    let answer = silent.execute(
+    let answer = unresponsive.execute(
         call.clone(),
         &OwnPlans,
         &[],
@@ -122,23 +125,23 @@
         "{answer:?}"
     );
     assert!(
-        heard.lock().unwrap().is_empty(),
+        inputs.lock().unwrap().is_empty(),
         "nobody waits for it, so nothing was begun"
     );
-    silent.execute(
+    unresponsive.execute(
         call,
         &OwnPlans,
         &[],
         true,
         &Attempt::new(Milliseconds(20), None),
     );
-    let heard = heard.lock().unwrap();
+    let inputs = inputs.lock().unwrap();
     let [
         ControllerInput::Operator { number, .. },
         ControllerInput::Abandoned { number: given_up },
-    ] = heard.as_slice()
+    ] = inputs.as_slice()
     else {
-        panic!("{heard:?}")
+        panic!("{inputs:?}")
     };
     assert_eq!(number, given_up);
 }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -23,7 +23,7 @@
 /// [`Quorum`] requires are known to have it.
 pub struct Controller {
     pub(crate) replica: Replica<ConfigStateMachine>,
-    /// Where the core is, for those who ask here and for this one, should it have been away.
+    /// The core's location, for processes that request it here, and for this one after it was partitioned.
     pub(crate) contacts: PeerDiscovery,
     pub(crate) timing: ControllerTiming,
     /// Proposed as the fleet's, should there be none.
@@ -31,14 +31,14 @@
     pub(crate) key_deadline: MonotonicInstant,
     pub(crate) now: MonotonicInstant,
     pub(crate) leases: LeaseTable,
-    /// Since when it keeps them: older ones are not in the table.
+    /// Since when leases are recorded: earlier ones are not in the table.
     pub(crate) leases_since: MonotonicInstant,
     pub(crate) seen: BTreeMap<Address, MonotonicInstant>,
-    /// When any member last said that it hears this one.
+    /// When any member last reported that it reaches this one.
     pub(crate) reported_reachable: BTreeMap<Address, MonotonicInstant>,
-    /// Since when it has replied for the core without a break.
+    /// Since when this replica has answered for the core without interruption.
     pub(crate) responses_since: Option<MonotonicInstant>,
-    /// Members that polled lately: they are told news at once.
+    /// Members that polled lately, to which configuration updates are sent at once.
     pub(crate) subscribers: BTreeMap<Address, Subscriber>,
     /// Polls of those that are not members yet.
     pub(crate) joining: BTreeMap<Address, LeaseRequest>,
@@ -47,7 +47,7 @@
     pub(crate) join_deadline: MonotonicInstant,
     pub(crate) settle_deadline: MonotonicInstant,
     pub(crate) retire_deadline: MonotonicInstant,
-    /// When members without a lease are called next, and who was called last.
+    /// When members without a lease are notified next, and which was notified last.
     pub(crate) next_notification: MonotonicInstant,
     pub(crate) last_notified: Option<Address>,
     pub(crate) committed: VecDeque<CommittedChange>,
@@ -60,8 +60,8 @@
 }
 
 pub(crate) struct Subscriber {
-    /// The newest epoch that it has or was told of.
-    pub(crate) told: ConfigEpoch,
+    /// The newest epoch that it has or that was sent to it.
+    pub(crate) sent_epoch: ConfigEpoch,
     pub(crate) deadline: MonotonicInstant,
 }
 
@@ -76,10 +76,10 @@
 pub(crate) const INTERNAL_REQUESTS: u64 = 1 << 62;
 
 impl Controller {
-    /// A controller around a replica at the start of its life. `contacts` knows where it is reached and its seeds.
-    /// `key` is drawn at random; a fleet that has
-    /// none takes the first that is proposed. `incarnation` is drawn at random too: what this life asks
-    /// is numbered from there on, so that no late answer to an earlier life is taken for one to this.
+    /// A controller around a replica at the start of its incarnation. `contacts` knows where it is reached and its seeds.
+    /// `key` is drawn at random; a fleet that has none adopts the first that is proposed. `incarnation` is drawn at
+    /// random too: requests are numbered from there on, so that no late response to an earlier incarnation is taken for
+    /// one to this.
     pub fn new(
         replica: Replica<ConfigStateMachine>,
         contacts: PeerDiscovery,
@@ -118,11 +118,11 @@
         }
     }
 
-    /// The replica in it.
+    /// The replica of the configuration.
     pub fn replica(&self) -> &Replica<ConfigStateMachine> {
         &self.replica
     }
-    /// Who holds leases and what they know, if this is the tail.
+    /// The holders of leases and the epoch that each is known to have, if this is the tail.
     pub fn members(&self, now: MonotonicInstant) -> Vec<(Address, ConfigEpoch)> {
         self.leases.live(now)
     }
@@ -136,12 +136,12 @@
             self.replica.next_heartbeat()
         }
     }
-    /// How many polls were taken.
+    /// The number of lease requests received so far.
     pub fn poll_count(&self) -> u64 {
         self.poll_count
     }
 
-    /// Takes an input in; gives what is to be done.
+    /// Takes an input and returns the outputs, in the order in which they are to be executed.
     pub fn step(&mut self, now: MonotonicInstant, input: ControllerInput) -> Vec<ControllerOutput> {
         self.now = self.now.max(now);
         match input {
@@ -188,18 +188,18 @@
                 epoch,
                 offset,
                 have,
-            } => self.on_plan_ask(from, epoch, offset, have),
+            } => self.on_plan_request(from, epoch, offset, have),
             Message::Ask { number, reading } => self.on_query(from, number, &reading),
             Message::Told {
                 number,
                 status,
                 body,
-            } => self.on_told(from, number, status, body),
+            } => self.on_query_response(from, number, status, body),
             Message::CoreLocation {
                 location,
                 is_answer,
             } => self.on_location(from, &location, is_answer),
-            Message::CreditAsk { ask } => self.on_credit_ask(from, &ask),
+            Message::CreditAsk { ask: request } => self.on_credit_request(from, &request),
             Message::CreditGrant { .. }
             | Message::LeaseResponse { .. }
             | Message::PlanChunk { .. }
--- a/crates/controller/src/controller/events.rs
+++ b/crates/controller/src/controller/events.rs
@@ -5,83 +5,83 @@
 use types::Address;
 use wire::{Message, Query};
 
-/// What an operator wants.
+/// A request of an operator.
 #[derive(Debug, Clone)]
 pub enum OperatorRequest {
-    /// Something read at the tail.
+    /// A query, answered by the tail.
     Read(Query),
-    /// Something changed.
+    /// A change of the configuration.
     Propose(Proposal),
 }
 
-/// What a controller is told.
+/// An input of a controller's state machine.
 #[derive(Debug, Clone)]
 pub enum ControllerInput {
-    /// A letter came.
+    /// A message was received.
     Message {
-        /// From there.
+        /// The address of the sender.
         from: Address,
-        /// It.
+        /// The message as it was received.
         message: Message,
     },
-    /// An operator asks, under this number.
+    /// An operator sent a request.
     Operator {
-        /// The number.
+        /// The number that the response will carry.
         number: u64,
-        /// What.
+        /// The query or the change that is requested.
         request: OperatorRequest,
     },
-    /// Whoever asked under this number has gone, or waits no longer: nothing more is done for it.
+    /// A request's operator has disconnected or timed out: nothing more is done for the request.
     Abandoned {
-        /// The number.
+        /// The number of the request.
         number: u64,
     },
-    /// The settings name these seeds now.
+    /// The seeds in the settings have changed to these.
     Seeds(Vec<Address>),
-    /// Time has passed.
+    /// A timer is due, or some time has passed.
     ClockEvent,
-    /// Writes are synced.
+    /// Writes are synced to the disk.
     Written {
-        /// Up to this one.
+        /// The id of the last of them; all earlier ones are synced too.
         id: u64,
     },
     /// The disk refused a write.
     DiskFault,
-    /// This process is to stop.
+    /// This process is about to stop, so the replica hands its position in the chain over.
     Leave,
 }
 
-/// What a controller wants done.
-#[allow(clippy::large_enum_variant)] // A letter is moved once, straight to its line.
+/// An effect that the state machine requests from its driver.
+#[allow(clippy::large_enum_variant)] // A message is moved once, straight to its connection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerOutput {
-    /// Send a letter.
+    /// Send a message.
     Send {
-        /// To there.
+        /// The address of the receiver.
         to: Address,
-        /// On the bulk line.
+        /// Whether it goes over the bulk connection, where it delays no small message.
         is_bulk: bool,
-        /// It.
+        /// The message to send.
         message: Message,
     },
-    /// Write records.
+    /// Write records to the disk.
     Write {
-        /// Under this id.
+        /// The id that [`ControllerInput::Written`] gives back.
         id: u64,
-        /// They.
+        /// The records, in the order in which they are written.
         records: Vec<Record>,
-        /// In place of all before.
+        /// Whether they replace all records that were written before.
         replaces_all: bool,
     },
-    /// Answer an operator.
+    /// Answer an operator's request.
     Response {
-        /// Its number.
+        /// The number of the request.
         number: u64,
-        /// HTTP status.
+        /// The HTTP status code of the response.
         status: u16,
-        /// The body.
+        /// The body of the response.
         body: Vec<u8>,
     },
-    /// The view changed.
+    /// The replica has entered another view.
     ViewChanged(View),
 }
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -12,7 +12,7 @@
 
 mod unsettled_membership;
 
-/// Controller 2 in a chain of 1, 2, 3: it proposes to 1 and asks 3.
+/// Controller 2 in a chain of 1, 2, 3: it proposes to 1 and queries 3.
 struct Played {
     controller: Controller,
     at: u64,
@@ -21,7 +21,7 @@
 /// What left the controller, of what a trace is about.
 #[derive(Debug, PartialEq)]
 enum Left {
-    Ask(u16, u64),
+    Query(u16, u64),
     Propose(u16, u64),
     Response(u64, u16),
 }
@@ -43,7 +43,7 @@
             chain,
             voters: (1..=3).map(voter).collect(),
         };
-        let kept = RecoveredRecords {
+        let recovered = RecoveredRecords {
             records: vec![Record::View { view }],
         };
         let founders = (1..=3).map(Address::loopback).collect();
@@ -52,7 +52,7 @@
             voter(2),
             founders,
             timing.replica,
-            kept,
+            recovered,
             ConfigStateMachine::default(),
             MonotonicInstant(at),
         )
@@ -87,7 +87,7 @@
                 to,
                 message: Message::Ask { number, .. },
                 ..
-            } => Some(Left::Ask(to.0.port(), number)),
+            } => Some(Left::Query(to.0.port(), number)),
             ControllerOutput::Response { number, status, .. } => {
                 Some(Left::Response(number, status))
             }
@@ -126,7 +126,7 @@
             },
         )
     }
-    fn told(&mut self, from: u16, number: u64) -> Vec<Left> {
+    fn receive_response(&mut self, from: u16, number: u64) -> Vec<Left> {
         let message = Message::Told {
             number,
             status: 200,
@@ -184,15 +184,23 @@
 /// Of seed 88000550 on `valodu`: the tail was asked twice, and its second answer was given to the operator
 /// as the fate of his change.
 #[test]
-fn a_second_answer_to_whether_the_lost_are_heard_is_no_answer_to_forgetting_them() {
+fn a_second_response_about_reachability_is_not_taken_for_one_to_the_removal() {
     let mut played = Played::new(1000);
-    assert_eq!(played.propose(30, forget()), [Left::Ask(3, 1001)]);
-    assert_eq!(played.tick(250), [Left::Ask(3, 1001)], "no answer so far");
-    assert_eq!(played.told(1, 1001), [], "from one that was not asked");
-    assert_eq!(played.told(3, 1001), [Left::Propose(1, 1002)]);
-    assert_eq!(played.told(3, 1001), [], "to a question that is settled");
+    assert_eq!(played.propose(30, forget()), [Left::Query(3, 1001)]);
+    assert_eq!(played.tick(250), [Left::Query(3, 1001)], "no answer so far");
     assert_eq!(
-        played.told(3, 1002),
+        played.receive_response(1, 1001),
+        [],
+        "from one that was not queried"
+    );
+    assert_eq!(played.receive_response(3, 1001), [Left::Propose(1, 1002)]);
+    assert_eq!(
+        played.receive_response(3, 1001),
+        [],
+        "to a query that is answered"
+    );
+    assert_eq!(
+        played.receive_response(3, 1002),
         [],
         "a reading is no answer to a proposal"
     );
@@ -221,16 +229,16 @@
         }
     };
     let mut played = Played::new(1000);
-    assert_eq!(played.propose(30, withdraw()), [Left::Ask(3, 1001)]);
+    assert_eq!(played.propose(30, withdraw()), [Left::Query(3, 1001)]);
     assert_eq!(played.step(600, newest(1001)), [Left::Propose(1, 1002)]);
     assert_eq!(played.step(0, newest(1001)), [], "it is under way");
 
     let mut played = Played::new(1000);
-    assert_eq!(played.propose(30, withdraw()), [Left::Ask(3, 1001)]);
+    assert_eq!(played.propose(30, withdraw()), [Left::Query(3, 1001)]);
     assert_eq!(played.step(700, newest(1001)), [Left::Response(30, 503)]);
 
     let mut played = Played::new(1000);
-    assert_eq!(played.propose(30, withdraw()), [Left::Ask(3, 1001)]);
+    assert_eq!(played.propose(30, withdraw()), [Left::Query(3, 1001)]);
     assert_eq!(
         played.step(10, ControllerInput::Abandoned { number: 30 }),
         []
@@ -247,18 +255,18 @@
 #[test]
 fn an_answer_to_an_earlier_life_is_not_taken() {
     let mut earlier = Played::new(1000);
-    assert_eq!(earlier.read(1), [Left::Ask(3, 1001)]);
+    assert_eq!(earlier.read(1), [Left::Query(3, 1001)]);
     assert_eq!(earlier.propose(2, plan()), [Left::Propose(1, 1003)]);
 
     let mut played = Played::new(5000);
-    assert_eq!(played.read(1), [Left::Ask(3, 5001)]);
+    assert_eq!(played.read(1), [Left::Query(3, 5001)]);
     assert_eq!(played.propose(2, plan()), [Left::Propose(1, 5003)]);
     for late in [1, 2, 1001, 1003] {
-        assert_eq!(played.told(3, late), []);
+        assert_eq!(played.receive_response(3, late), []);
         assert_eq!(played.respond(3, late, true), []);
         assert_eq!(played.respond(1, late, false), []);
     }
-    assert_eq!(played.told(3, 5001), [Left::Response(1, 200)]);
+    assert_eq!(played.receive_response(3, 5001), [Left::Response(1, 200)]);
     assert_eq!(played.respond(3, 5003, true), [Left::Response(2, 200)]);
 }
 
@@ -285,7 +293,7 @@
     let mut played = Played::new(0);
     assert_eq!(
         played.read(1),
-        [Left::Ask(3, 1)],
+        [Left::Query(3, 1)],
         "it has just begun and had no time to hear anyone"
     );
     let left: Vec<Left> = (0..16).flat_map(|_| played.tick(50)).collect();
@@ -302,14 +310,14 @@
 #[test]
 fn a_reading_that_the_tail_leaves_unanswered_is_given_up_before_its_operator_turns_away() {
     let mut played = Played::new(0);
-    assert_eq!(played.read(1), [Left::Ask(3, 1)]);
+    assert_eq!(played.read(1), [Left::Query(3, 1)]);
     let mut left = vec![];
     for _ in 0..19 {
         left.extend(played.tick(50));
     }
     assert_eq!(
         left,
-        [Left::Ask(3, 1), Left::Ask(3, 1), Left::Response(1, 503)],
+        [Left::Query(3, 1), Left::Query(3, 1), Left::Response(1, 503)],
         "within a second"
     );
 }
@@ -341,14 +349,14 @@
             ..ControllerTiming::default()
         };
         timing.replica.min_chain_length = 1;
-        let kept = RecoveredRecords {
+        let recovered = RecoveredRecords {
             records: vec![Record::View { view }],
         };
         let replica = Replica::new(
             voter,
             vec![],
             timing.replica,
-            kept,
+            recovered,
             ConfigStateMachine::default(),
             MonotonicInstant(10_000),
         )
@@ -372,7 +380,7 @@
     /// Takes an input, syncs what it writes; gives the codes that operators are told.
     fn step(&mut self, after: u64, input: ControllerInput) -> Vec<(u64, u64)> {
         self.at += after;
-        let (mut inputs, mut told) = (VecDeque::from([input]), vec![]);
+        let (mut inputs, mut responses) = (VecDeque::from([input]), vec![]);
         while let Some(input) = inputs.pop_front() {
             for output in self.controller.step(MonotonicInstant(self.at), input) {
                 match output {
@@ -381,7 +389,7 @@
                     }
                     ControllerOutput::Response { number, body, .. } => {
                         let body: serde_json::Value = serde_json::from_slice(&body).unwrap();
-                        told.push((number, body["code"].as_u64().unwrap()));
+                        responses.push((number, body["code"].as_u64().unwrap()));
                     }
                     ControllerOutput::Send {
                         to,
@@ -395,7 +403,7 @@
                 }
             }
         }
-        told
+        responses
     }
     fn ticks(&mut self, span: u64) -> Vec<(u64, u64)> {
         (0..span / 50)
@@ -475,14 +483,14 @@
 
 /// A member that restarted and whose seeds are all gone can't ask: the tail calls it, a few at a time.
 #[test]
-fn members_without_a_lease_are_told_where_the_core_is() {
+fn members_without_a_lease_are_notified_of_the_core_s_location() {
     let mut played = Alone::new(Quorum::Holders);
     played.ticks(3000);
     (100..140).for_each(|member| drop(played.poll(member, 0)));
     played.ticks(1500);
     (100..140).for_each(|member| drop(played.poll(member, played.epoch())));
     assert_eq!(played.called, [], "all hold leases");
-    let silent_from = played.at;
+    let unreachable_from = played.at;
     for _ in 0..12 {
         played.ticks(500);
         played.poll(105, played.epoch());
@@ -494,7 +502,7 @@
         played
             .called
             .iter()
-            .all(|(at, _, view)| *at >= silent_from + 1900 && *view == 1)
+            .all(|(at, _, view)| *at >= unreachable_from + 1900 && *view == 1)
     );
     for (at, ..) in &played.called {
         let in_a_second = played
@@ -506,7 +514,7 @@
     }
 }
 
-fn credit_ask(number: u64) -> Message {
+fn credit_request(number: u64) -> Message {
     use quota::{Amount, CreditAsk, CreditRequest, QuotaLimit};
     let limit = QuotaLimit {
         rate: Amount::units(10),
@@ -520,7 +528,7 @@
         need,
         want: need,
     };
-    let ask = CreditAsk {
+    let request = CreditAsk {
         incarnation: 7,
         number,
         plan_epoch: ConfigEpoch(1),
@@ -528,7 +536,9 @@
         is_whole: true,
         entries: vec![entry],
     };
-    Message::CreditAsk { ask: Box::new(ask) }
+    Message::CreditAsk {
+        ask: Box::new(request),
+    }
 }
 
 fn granted(outputs: Vec<ControllerOutput>) -> Vec<u64> {
@@ -550,18 +560,22 @@
     played.ticks(3000);
     played.poll(9, 0);
     played.ticks(100);
-    let ask = |played: &mut Alone, number: u64| {
+    let request = |played: &mut Alone, number: u64| {
         let input = ControllerInput::Message {
             from: Address::loopback(9),
-            message: credit_ask(number),
+            message: credit_request(number),
         };
         granted(played.controller.step(MonotonicInstant(played.at), input))
     };
     // It has just begun to grant: what was spent before isn't known.
-    assert_eq!(ask(&mut played, 1), [0]);
+    assert_eq!(request(&mut played, 1), [0]);
     played.ticks(9000);
-    assert_eq!(ask(&mut played, 2), [2]);
-    assert_eq!(ask(&mut played, 2), [] as [u64; 0], "the same ask, late");
+    assert_eq!(request(&mut played, 2), [2]);
+    assert_eq!(
+        request(&mut played, 2),
+        [] as [u64; 0],
+        "the same request, late"
+    );
     let shown = played.controller.tenants();
     assert_eq!(shown["tenants"][0]["tenant"], "one");
     assert_eq!(shown["tenants"][0]["outstanding"]["thousandths"], 2000);
@@ -572,7 +586,7 @@
     let mut played = Played::new(0);
     let input = ControllerInput::Message {
         from: Address::loopback(9),
-        message: credit_ask(1),
+        message: credit_request(1),
     };
     assert_eq!(
         granted(played.controller.step(MonotonicInstant(played.at), input)),
--- a/crates/controller/src/controller/tests/unsettled_membership.rs
+++ b/crates/controller/src/controller/tests/unsettled_membership.rs
@@ -66,7 +66,7 @@
 
 /// Three of four members hold leases, and still no withdrawal is accepted.
 #[test]
-fn a_withdrawal_is_not_accepted_while_the_previous_majority_is_silent() {
+fn a_withdrawal_is_not_accepted_while_the_previous_majority_is_unreachable() {
     let mut core = unsettled();
     let epoch = core.epoch();
     assert_eq!(core.withdraw(1), []);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_withdrawal_is_accepted_once_the_silent_router_is_removed_by_force() {
+fn a_withdrawal_is_accepted_once_the_unreachable_router_is_removed_by_force() {
     let mut core = unsettled();
     run(&mut core, 6000, &LATER);
     assert_eq!(core.withdraw(1), []);
--- a/crates/controller/src/controller/timing.rs
+++ b/crates/controller/src/controller/timing.rs
@@ -5,27 +5,27 @@
 use schematic::ConfigEnum;
 use types::Milliseconds;
 
-/// The spans that a controller goes by besides the replica's own.
+/// Time-outs and bounds of a controller.
 #[derive(Debug, Clone, Copy)]
 pub struct ControllerTiming {
-    /// The replica's.
+    /// Time-outs and bounds of its replica.
     pub replica: Timing,
-    /// A member's lease.
+    /// The length of a member's lease.
     pub lease: Milliseconds,
-    /// Between changes of the membership by which newcomers are let in.
+    /// The shortest time between two changes of the membership that add routers.
     pub join: Milliseconds,
-    /// A proposal that the core can't take is tried again for this long.
+    /// How long a proposal that the core rejects for now is retried.
     pub patience: Milliseconds,
-    /// A reading that the tail doesn't answer is given up after this, before its operator turns elsewhere (after a
-    /// second of silence on the users' platform).
+    /// The time-out of a query to the tail. It is shorter than the operators' own time-out, which is a second on the
+    /// users' platform.
     pub read_patience: Milliseconds,
-    /// Without an answer by then, a proposal's fate is unknown.
+    /// The time-out of a proposal, after which its fate is unknown.
     pub fate_deadline: Milliseconds,
-    /// A member without a lease for this long is a member no more.
+    /// A member that has had no lease for this long is removed.
     pub retire_after: Milliseconds,
-    /// Who must know a change.
+    /// Which members must acknowledge a change.
     pub quorum: Quorum,
-    /// By how much tenants' quotas may be exceeded.
+    /// The window of tenants' quotas, and by how much they may be exceeded in it.
     pub quota: QuotaBounds,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Who must know a change before it is told as accepted (docs/isolation.md).
+/// Which members must acknowledge a change before its operator is informed that it is accepted (docs/isolation.md).
 #[derive(
     Debug,
     Clone,
--- a/crates/controller/src/discovery/diskless_controller.rs
+++ b/crates/controller/src/discovery/diskless_controller.rs
@@ -1,23 +1,23 @@
-//! A controller without a disk: it keeps nothing and votes on nothing, but may be all that a process is told of. It
-//! tells nodes that ask it where the core is, and knows where operators are served.
+//! A controller without a disk. It stores nothing and has no vote, but may be the only seed that a process knows: it
+//! responds with the core's location, and knows where operators are served.
 
 use crate::discovery::peer_discovery::PeerDiscovery;
 use types::{Address, MonotonicInstant};
 use wire::Message;
 
-/// What a relay is told.
+/// An input of a controller without a disk.
 #[derive(Debug, Clone)]
 pub enum DisklessControllerInput {
-    /// A letter came.
+    /// A message was received.
     Message {
-        /// From there.
+        /// The address of the sender.
         from: Address,
-        /// It.
+        /// The message as it was received.
         message: Message,
     },
-    /// The settings name these seeds now.
+    /// The seeds in the settings have changed to these.
     Seeds(Vec<Address>),
-    /// Time has passed.
+    /// A timer is due, or some time has passed.
     ClockEvent,
 }
 
@@ -28,14 +28,14 @@
 }
 
 impl DisklessController {
-    /// At the start of a process that is reached at `own`.
+    /// The state at the start of a process that is reached at `own`.
     pub fn new(own: Address, seeds: Vec<Address>, now: MonotonicInstant) -> Self {
         DisklessController {
             contacts: PeerDiscovery::new(own, None, seeds, now),
         }
     }
 
-    /// Takes an input in; gives the letters that are to be sent.
+    /// Takes an input and returns the messages to send, each with its receiver.
     pub fn step(
         &mut self,
         now: MonotonicInstant,
--- a/crates/controller/src/discovery/diskless_controller/tests.rs
+++ b/crates/controller/src/discovery/diskless_controller/tests.rs
@@ -49,7 +49,7 @@
 
 /// Of the day new-seeds-then-all-killed: nodes that restarted polled controllers without a disk for ever.
 #[test]
-fn a_node_that_polls_is_told_where_the_core_is_once_that_is_known() {
+fn a_node_that_polls_gets_the_core_s_location_once_that_is_known() {
     let now = MonotonicInstant(100_000);
     let mut relay = DisklessController::new(at(9), vec![at(8)], now);
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn it_asks_its_seeds_and_heeds_new_ones_at_once() {
+fn seeds_are_queried_and_new_ones_at_once() {
     let now = MonotonicInstant(100_000);
     let mut relay = DisklessController::new(at(9), vec![at(8)], now);
     let attempt = |messages: Vec<(Address, Message)>| {
--- a/crates/controller/src/discovery/exchange.rs
+++ b/crates/controller/src/discovery/exchange.rs
@@ -5,13 +5,13 @@
 use types::{Address, Milliseconds};
 use wire::{CoreLocation, Message};
 
-/// Between calls of members without a lease,
+/// The period in which members without a lease are notified.
 const NOTIFICATION_PERIOD: Milliseconds = Milliseconds(1000);
-/// and how many are called at once: 5 KB a second at most.
+/// Members that are notified at once at most, which bounds the traffic to 5 KB a second.
 const NOTIFIED_AT_ONCE: usize = 16;
 
 impl Controller {
-    /// Another controller tells where the core is.
+    /// Learns the core's location from another controller, and responds if the message is a request.
     pub(crate) fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
         self.contacts
             .learn(self.replica.view().epoch, self.voters());
@@ -25,7 +25,7 @@
             .for_each(|message| self.send(from, message));
     }
 
-    /// Tells the seeds where the core is, once in a while.
+    /// Sends the core's location to the seeds when the next exchange is due.
     pub(crate) fn exchange_contacts(&mut self) {
         if self.now < self.contacts.next_timer() {
             return;
--- a/crates/controller/src/discovery/peer_discovery.rs
+++ b/crates/controller/src/discovery/peer_discovery.rs
@@ -1,24 +1,25 @@
-//! How a process that knows nobody but its seeds finds the core.
+//! Discovery of the core by a process that knows only its seeds.
 //!
-//! Seeds may be machines without a disk, which know no more than whoever asks them. So every controller, with a disk
-//! or without, exchanges with its seeds where the core is: those of the core tell the seeds, all others are told.
+//! Seeds may be machines without a disk, which know no more at first than the processes that query them. So every
+//! controller, with a disk or without, exchanges the core's location with its seeds: controllers of the core announce it
+//! to the seeds, and all others learn it from them.
 
 use std::collections::BTreeMap;
 use types::{Address, Milliseconds, MonotonicInstant, ViewNumber};
 use wire::{ControllerContact, CoreLocation, LeaseResponse, Message};
 
-/// The spans and bounds that the exchange goes by.
+/// Periods and time-outs of the exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct DiscoveryTiming {
-    /// Between exchanges of a controller with a disk with the seeds.
+    /// The period in which a controller with a disk exchanges locations with its seeds.
     pub exchange: Milliseconds,
-    /// The same of one without, which has nothing of its own to tell.
+    /// The same period of a controller without a disk, which has nothing of its own to announce.
     pub relay_exchange: Milliseconds,
-    /// The same until a seed has answered since the start or since the seeds changed.
+    /// The same period until a seed has responded, after the start and after a change of the seeds.
     pub first_exchange: Milliseconds,
-    /// Operators are sent to controllers that were heard within this time, where there are any.
+    /// Operators are redirected to controllers that were seen within this time, if there are any.
     pub recent: Milliseconds,
-    /// A controller that nobody heard for this long is told of no more.
+    /// A controller that was not seen for this long is removed from the contacts.
     pub expire_after: Milliseconds,
 }
 
@@ -34,24 +35,24 @@
     }
 }
 
-/// Controllers that one letter tells of: with the voters of the largest core it fits a datagram.
+/// Controllers that one message names at most. With the voters of the largest core it still fits a datagram.
 const MAX_CONTACTS: usize = 6;
 
-/// A controller with a disk, as it was last heard of.
+/// A controller with a disk, and when it was last seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Contact {
     admin: Address,
     last_seen: MonotonicInstant,
 }
 
-/// What a controller knows of where the core is.
+/// The location of the core, as far as this controller knows it.
 ///
-/// Invariant: `voters` are those of `view`, which never falls. Nothing is decided by what stands here: it only says
-/// whom to ask.
+/// Invariant: `voters` are those of `view`, which never decreases. The location is a hint about which processes to
+/// query; no decision of the core depends on it.
 #[derive(Debug, Clone)]
 pub struct PeerDiscovery {
     own: Address,
-    /// Where operators reach this one, if it has a disk.
+    /// Where operators reach this controller, if it has a disk.
     own_admin: Option<Address>,
     seeds: Vec<Address>,
     timing: DiscoveryTiming,
@@ -63,7 +64,7 @@
 }
 
 impl PeerDiscovery {
-    /// At the start of a process; `own_admin` is where operators reach it, if it has a disk.
+    /// The state at the start of a process. `own_admin` is where operators reach it, if it has a disk.
     pub fn new(
         own: Address,
         own_admin: Option<Address>,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The settings name these seeds now.
+    /// Sets the seeds. If they have changed, the next exchange is due at once.
     pub fn set_seeds(&mut self, now: MonotonicInstant, seeds: Vec<Address>) {
         if seeds != self.seeds {
             self.seeds = seeds;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes up a view, if it is newer than the one known.
+    /// Learns a view and its voters, if it is newer than the known one.
     pub fn learn(&mut self, view: ViewNumber, voters: impl IntoIterator<Item = Address>) {
         if view > self.view {
             self.view = view;
@@ -105,7 +106,7 @@
         (self.view, &self.voters)
     }
 
-    /// What is due now.
+    /// Returns the messages to the seeds that are due now, and removes contacts that were not seen for long.
     pub fn on_clock(&mut self, now: MonotonicInstant) -> Vec<(Address, Message)> {
         if now < self.next_exchange {
             return vec![];
@@ -127,12 +128,12 @@
         others.map(|seed| (*seed, message.clone())).collect()
     }
 
-    /// When something is due next.
+    /// When the next exchange is due.
     pub fn next_timer(&self) -> MonotonicInstant {
         self.next_exchange
     }
 
-    /// Takes a letter from another controller; gives the answer, if it wants one.
+    /// Learns from another controller's message. Returns the response, unless the message is one itself.
     pub fn on_location(
         &mut self,
         now: MonotonicInstant,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// The answer to a node that polls here, if the core is known.
+    /// The response to a router's lease request that this process can't serve itself, if the core is known.
     pub fn elsewhere(&self) -> Option<LeaseResponse> {
         let (view, voters) = (self.view, self.voters.clone());
         (view > ViewNumber(0)).then_some(LeaseResponse::Elsewhere {
@@ -179,7 +180,8 @@
         })
     }
 
-    /// Where operators reach controllers with a disk: those that were heard lately, or, if none was, all that are known.
+    /// Where operators reach controllers with a disk: those that were seen recently or, if there are none, all that are
+    /// known.
     pub fn admin_addresses(&self, now: MonotonicInstant) -> Vec<Address> {
         let known = self.latest(now);
         let recent = known
@@ -190,7 +192,7 @@
         known[..count].iter().map(|contact| contact.admin).collect()
     }
 
-    /// What it tells its seeds. One with a disk tells of itself alone, as each other such one does.
+    /// The location as it is sent to the seeds. A controller with a disk names only itself, as each other one does.
     fn own_location(&self, now: MonotonicInstant) -> CoreLocation {
         let controllers = self
             .own_contact()
@@ -202,7 +204,8 @@
         }
     }
 
-    /// What the asker lacks: the voters if its view is older, and whom operators may be sent to if it has no disk.
+    /// What the requester lacks: the voters if its view is older, and the controllers that operators may be redirected to
+    /// if it has no disk.
     fn response_to(
         &self,
         now: MonotonicInstant,
--- a/crates/controller/src/discovery/peer_discovery/tests.rs
+++ b/crates/controller/src/discovery/peer_discovery/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_seed_that_knows_nobody_learns_the_core_from_it_and_tells_whoever_asks() {
+fn a_seed_that_knows_nobody_learns_the_core_and_announces_it_on_request() {
     let start = MonotonicInstant(100_000);
     let mut core = PeerDiscovery::new(at(1), Some(at(51)), vec![at(9), at(8)], start);
     let mut seed = PeerDiscovery::new(at(9), None, vec![at(8), at(9)], start);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn operators_are_sent_to_whom_was_heard_last_and_to_all_while_nobody_was() {
+fn operators_are_sent_to_controllers_seen_recently_or_to_all_if_none_was() {
     let mut contacts = PeerDiscovery::new(at(9), None, vec![], MonotonicInstant(100_000));
     contacts.on_location(
         MonotonicInstant(100_000),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn seeds_are_told_soon_until_one_answers_and_anew_when_they_change() {
+fn seeds_are_notified_often_until_one_responds_and_again_when_they_change() {
     let mut contacts = PeerDiscovery::new(
         at(9),
         Some(at(59)),
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn what_is_told_fits_a_datagram_whatever_the_core_s_size() {
+fn the_response_fits_a_datagram_whatever_the_core_s_size() {
     let voters: Vec<u16> = (1..=19).collect();
     let controllers: Vec<(u16, u64)> = (1..=40).map(|port| (port, u64::from(port))).collect();
     let mut contacts =
@@ -228,13 +228,13 @@
         "{} bytes",
         sealed.len()
     );
-    let told: Vec<Address> = said(&message)
+    let named: Vec<Address> = said(&message)
         .controllers
         .iter()
         .map(|contact| contact.inner)
         .collect();
     assert_eq!(
-        (told[0], told[1], told.len()),
+        (named[0], named[1], named.len()),
         (at(99), at(1), MAX_CONTACTS)
     );
 }
@@ -270,20 +270,23 @@
     };
     for _ in 0..SECONDS * 20 {
         clock = clock + Milliseconds(50);
-        for asker in (1..=14).map(at) {
-            for (seed, message) in all.get_mut(&asker).expect("there").on_clock(clock) {
-                count(asker, seed, &message);
+        for requester in (1..=14).map(at) {
+            for (seed, message) in all.get_mut(&requester).expect("there").on_clock(clock) {
+                count(requester, seed, &message);
                 let answer = all.get_mut(&seed).expect("there").on_location(
                     clock,
-                    asker,
+                    requester,
                     said(&message),
                     false,
                 );
                 let answer = answer.expect("an answer");
-                count(seed, asker, &answer);
-                all.get_mut(&asker)
-                    .expect("there")
-                    .on_location(clock, seed, said(&answer), true);
+                count(seed, requester, &answer);
+                all.get_mut(&requester).expect("there").on_location(
+                    clock,
+                    seed,
+                    said(&answer),
+                    true,
+                );
             }
         }
     }
--- a/crates/controller/src/discovery/redirect.rs
+++ b/crates/controller/src/discovery/redirect.rs
@@ -1,38 +1,39 @@
-//! A control node without a disk sends operators on to one that serves the core.
+//! Redirects of operators from a controller without a disk to one that serves the core.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use transport::{Request, Response, http_get};
 use types::{Address, Milliseconds, ResultCode};
 
-/// How long another node may take to say whether it serves.
+/// The time-out of a readiness probe, for the connection and for the response.
 const PROBE_PATIENCE: Milliseconds = Milliseconds(150);
 
-/// What another node says of itself.
+/// The outcome of a readiness probe of another controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// It has a seat and hears a majority of the core.
+    /// It is in the chain and reaches a majority of the core.
     Serves,
-    /// It answers, but doesn't serve at this moment.
+    /// It responds, but doesn't serve the core at the moment.
     Waits,
-    /// It gave no answer.
-    Silent,
+    /// It didn't respond in time.
+    Unreachable,
 }
 
-/// Gives the addresses where operators reach the other nodes, as the settings have them now.
+/// Reads the addresses where operators reach the other controllers, as the settings name them now.
 pub type ReadAddresses = Arc<dyn Fn() -> Vec<Address> + Send + Sync>;
 
-/// Picks the node that an operator is sent on to.
+/// Picks the controller that an operator is redirected to.
 ///
-/// Invariant: nobody is sent to a node that is silent, or that is cut off from the core, while another serves.
+/// Invariant: no operator is redirected to a controller that is unreachable, or partitioned from the core, while
+/// another one serves.
 pub(crate) struct Redirector {
     read_others: ReadAddresses,
     next: AtomicUsize,
 }
 
 impl Redirector {
-    /// Among those that are read for each operator, by turns: the nodes of the first settings may all have been
-    /// replaced since.
+    /// A round robin over the controllers that `read_others` returns. It is called for each request, since all that the
+    /// settings named at the start may have been replaced.
     pub(crate) fn new(read_others: ReadAddresses) -> Self {
         Redirector {
             read_others,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The next one that serves; if none does, the first that answers at all.
+    /// Picks the next controller that serves the core or, if none does, the first that responds at all.
     pub(crate) fn pick(&self, probe: impl Fn(Address) -> Readiness) -> Option<Address> {
         let others = (self.read_others)();
         let first = self.next.fetch_add(1, Ordering::Relaxed);
@@ -50,13 +51,13 @@
             match probe(other) {
                 Readiness::Serves => return Some(other),
                 Readiness::Waits => waiting = waiting.or(Some(other)),
-                Readiness::Silent => {}
+                Readiness::Unreachable => {}
             }
         }
         waiting
     }
 
-    /// Sends an operator on.
+    /// Answers an operator's request with a redirect, or with an error if no other controller responds.
     pub(crate) fn respond(&self, request: &Request) -> Response {
         let Some(other) = self.pick(probe) else {
             return Response::result(
@@ -74,7 +75,7 @@
     }
 }
 
-/// Asks another node whether it serves.
+/// Requests another controller's readiness.
 fn probe(other: Address) -> Readiness {
     match http_get(
         &format!("http://{other}/ready"),
@@ -83,7 +84,7 @@
     ) {
         Ok(answer) if answer.status() == 200 => Readiness::Serves,
         Ok(_) => Readiness::Waits,
-        Err(_) => Readiness::Silent,
+        Err(_) => Readiness::Unreachable,
     }
 }
 
--- a/crates/controller/src/discovery/redirect/tests.rs
+++ b/crates/controller/src/discovery/redirect/tests.rs
@@ -12,9 +12,9 @@
 #[parameterized(
     all_serve_by_turns = { [Readiness::Serves, Readiness::Serves, Readiness::Serves], [Some(1), Some(2), Some(3)] },
     one_is_cut_off = { [Readiness::Serves, Readiness::Waits, Readiness::Serves], [Some(1), Some(3), Some(3)] },
-    one_is_dark = { [Readiness::Silent, Readiness::Serves, Readiness::Silent], [Some(2), Some(2), Some(2)] },
-    none_serves_yet = { [Readiness::Silent, Readiness::Waits, Readiness::Waits], [Some(2), Some(2), Some(3)] },
-    none_answers = { [Readiness::Silent, Readiness::Silent, Readiness::Silent], [None, None, None] },
+    one_is_dark = { [Readiness::Unreachable, Readiness::Serves, Readiness::Unreachable], [Some(2), Some(2), Some(2)] },
+    none_serves_yet = { [Readiness::Unreachable, Readiness::Waits, Readiness::Waits], [Some(2), Some(2), Some(3)] },
+    none_answers = { [Readiness::Unreachable, Readiness::Unreachable, Readiness::Unreachable], [None, None, None] },
 )]
 fn operators_are_sent_where_they_are_served(says: [Readiness; 3], picks: [Option<u16>; 3]) {
     let redirector = Redirector::new(Arc::new(|| nodes(&[1, 2, 3])));
--- a/crates/controller/src/membership/changes.rs
+++ b/crates/controller/src/membership/changes.rs
@@ -14,7 +14,7 @@
         }
     }
 
-    /// Lets those in that asked, a change of the membership at a time.
+    /// Grants leases to routers that have joined, and proposes the join of those that wait, one change at a time.
     pub(crate) fn admit(&mut self) {
         let membership = &self.replica.state_machine().membership;
         let members = &membership.members;
--- a/crates/controller/src/membership/config_updates.rs
+++ b/crates/controller/src/membership/config_updates.rs
@@ -23,25 +23,30 @@
         }
     }
 
-    /// Tells news to members that polled lately, and answers settled changes that most members know.
+    /// Sends the newest configuration to members that polled lately and lack it, and answers committed changes that enough
+    /// members have acknowledged.
     pub(crate) fn release(&mut self) {
         let (epoch, now) = (self.replica.state_machine().epoch, self.now);
         let is_behind =
-            |subscriber: &Subscriber| subscriber.told < epoch && now < subscriber.deadline;
+            |subscriber: &Subscriber| subscriber.sent_epoch < epoch && now < subscriber.deadline;
         if self.subscribers.values().any(is_behind) && self.may_respond() {
-            let (whole, brief) = (self.update(ConfigEpoch(0)), self.update(epoch));
-            let since = whole.members_since;
+            let (full_update, delta_update) = (self.update(ConfigEpoch(0)), self.update(epoch));
+            let since = full_update.members_since;
             let behind: Vec<(Address, bool)> = self
                 .subscribers
                 .iter()
                 .filter(|(_, subscriber)| is_behind(subscriber))
-                .map(|(member, subscriber)| (*member, subscriber.told < since))
+                .map(|(member, subscriber)| (*member, subscriber.sent_epoch < since))
                 .collect();
             for (member, wants_membership) in behind {
-                let update = if wants_membership { &whole } else { &brief };
+                let update = if wants_membership {
+                    &full_update
+                } else {
+                    &delta_update
+                };
                 self.subscribers
                     .entry(member)
-                    .and_modify(|subscriber| subscriber.told = epoch);
+                    .and_modify(|subscriber| subscriber.sent_epoch = epoch);
                 self.send(
                     member,
                     Message::ConfigUpdate {
--- a/crates/controller/src/membership/leases.rs
+++ b/crates/controller/src/membership/leases.rs
@@ -25,7 +25,7 @@
         }
         self.seen.insert(from, self.now);
         self.reported_reachable
-            .extend(poll.reachable_peers.iter().map(|heard| (*heard, self.now)));
+            .extend(poll.reachable_peers.iter().map(|peer| (*peer, self.now)));
         let is_member = self
             .replica
             .state_machine()
@@ -47,7 +47,7 @@
         self.subscribers.insert(
             to,
             Subscriber {
-                told: poll.epoch.max(newest),
+                sent_epoch: poll.epoch.max(newest),
                 deadline,
             },
         );
--- a/crates/controller/src/membership/plan_transfer.rs
+++ b/crates/controller/src/membership/plan_transfer.rs
@@ -5,7 +5,7 @@
 use wire::{Message, SPLICE_MOST};
 
 impl Controller {
-    pub(crate) fn on_plan_ask(
+    pub(crate) fn on_plan_request(
         &mut self,
         from: Address,
         epoch: ConfigEpoch,
--- a/crates/controller/src/quotas.rs
+++ b/crates/controller/src/quotas.rs
@@ -1,4 +1,4 @@
-//! Tenants' quotas: the tail grants credit of them.
+//! Tenants' quotas: the tail of the chain grants credit to the routers.
 
 use crate::controller::Controller;
 use quota::{CreditAsk, QuotaAuthority};
@@ -7,7 +7,7 @@
 use wire::Message;
 
 impl Controller {
-    /// This is the tail, and may answer for the core.
+    /// Starts to grant credit, if this replica doesn't yet. Called only while it is the tail and may answer for the core.
     pub(crate) fn begin_quotas(&mut self) {
         if self.quotas.is_none() {
             let authority = QuotaAuthority::new(self.timing.quota, self.now);
@@ -15,7 +15,8 @@
         }
     }
 
-    /// The view was replaced. What was granted is known here only if no other tail came between.
+    /// Takes in a new view. Earlier grants stay known only if this replica is the tail of two consecutive views, since
+    /// no other tail can have granted credit between them.
     pub(crate) fn keep_quotas(&mut self, view: &View) {
         let is_tail = view.tail() == Some(self.replica.me());
         self.quotas = match self.quotas.take() {
@@ -26,7 +27,8 @@
         };
     }
 
-    pub(crate) fn on_credit_ask(&mut self, from: Address, ask: &CreditAsk) {
+    /// Answers a router's request for credit, if this replica is the tail.
+    pub(crate) fn on_credit_request(&mut self, from: Address, request: &CreditAsk) {
         if !self.may_respond() {
             return;
         }
@@ -35,7 +37,7 @@
         let Some((_, authority)) = &mut self.quotas else {
             return;
         };
-        let grant = authority.on_ask(self.now, from, ask, members);
+        let grant = authority.on_ask(self.now, from, request, members);
         grant.into_iter().for_each(|grant| {
             self.send(
                 from,
@@ -46,7 +48,7 @@
         });
     }
 
-    /// Tenants with a quota, as far as nodes have asked for credit of theirs.
+    /// The tenants with a quota for which routers have requested credit, as JSON for operators.
     pub(crate) fn tenants(&self) -> serde_json::Value {
         let tenants = self
             .quotas
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -63,7 +63,7 @@
 }
 
 /// One request at a machine, which may outlive its operator's patience.
-struct Door {
+struct PendingRequest {
     task: AdminTask<'static>,
     machine: usize,
     operator: Option<usize>,
@@ -104,14 +104,14 @@
     running: Option<Running>,
     rests_until: u64,
     /// Whether its zone is evacuated, as it was told last; nothing while a call is under way.
-    told: Option<bool>,
+    is_known_evacuated: Option<bool>,
     is_next_evacuated: bool,
 }
 
 struct Play {
     core: Core,
     mutant: Option<Mutant>,
-    doors: BTreeMap<u64, Door>,
+    pending: BTreeMap<u64, PendingRequest>,
     operators: Vec<Operator>,
     next_number: u64,
     next_note: u64,
@@ -131,7 +131,7 @@
             job,
             running: None,
             rests_until: 0,
-            told: None,
+            is_known_evacuated: None,
             is_next_evacuated: true,
         };
         let jobs = [
@@ -144,7 +144,7 @@
         let mut play = Play {
             core: Core::new(seed, mutant),
             mutant,
-            doors: BTreeMap::new(),
+            pending: BTreeMap::new(),
             operators: jobs.into_iter().map(operator).collect(),
             next_number: 0,
             next_note: 0,
@@ -175,9 +175,9 @@
             } else {
                 UNNOTICED
             };
-        self.doors.insert(
+        self.pending.insert(
             number,
-            Door {
+            PendingRequest {
                 task,
                 machine,
                 operator,
@@ -190,26 +190,26 @@
     }
 
     fn take_step(&mut self, number: u64, step: AdminStep) {
-        let Some(door) = self.doors.get_mut(&number) else {
+        let Some(request) = self.pending.get_mut(&number) else {
             return;
         };
         match step {
-            AdminStep::Request(ask) => {
-                door.is_about_fate =
-                    matches!(ask, OperatorRequest::Read(Query::CommandStatus { .. }));
-                let machine = door.machine;
-                self.core.tell(
+            AdminStep::Request(query) => {
+                request.is_about_fate =
+                    matches!(query, OperatorRequest::Read(Query::CommandStatus { .. }));
+                let machine = request.machine;
+                self.core.step(
                     machine,
                     ControllerInput::Operator {
                         number,
-                        request: ask,
+                        request: query,
                     },
                 );
             }
             AdminStep::Answer(answer) => {
-                let is_about_fate = door.is_about_fate;
-                let operator = door.operator;
-                self.doors.remove(&number);
+                let is_about_fate = request.is_about_fate;
+                let operator = request.operator;
+                self.pending.remove(&number);
                 if let Some(operator) = operator {
                     self.on_answer(operator, number, answer, is_about_fate);
                 }
@@ -275,7 +275,7 @@
         operator.rests_until = now + rest;
         match (&running.call, outcome) {
             (AdminCall::Withdraw { .. } | AdminCall::Restore { .. }, Outcome::Confirmed) => {
-                operator.told = Some(operator.is_next_evacuated);
+                operator.is_known_evacuated = Some(operator.is_next_evacuated);
                 operator.is_next_evacuated = !operator.is_next_evacuated;
             }
             (AdminCall::Withdraw { .. } | AdminCall::Restore { .. }, Outcome::Refused) => {
@@ -320,10 +320,10 @@
     fn turn_away(&mut self, place: usize, number: u64) {
         let is_noticed = self.core.chance(40);
         let now = self.core.now;
-        if let Some(door) = self.doors.get_mut(&number) {
-            door.operator = None;
+        if let Some(request) = self.pending.get_mut(&number) {
+            request.operator = None;
             if is_noticed {
-                door.until = now;
+                request.until = now;
             }
         }
         if let Some(running) = &mut self.operators[place].running {
@@ -379,7 +379,7 @@
             Job::Evacuates(zone) => (AdminCall::Restore { zone: zone.clone() }, None),
         };
         let operator = &mut self.operators[place];
-        operator.told = None;
+        operator.is_known_evacuated = None;
         operator.running = Some(Running {
             call,
             base,
@@ -392,30 +392,30 @@
     }
 
     /// Answers of the core, and requests whose time is over.
-    fn mind_doors(&mut self) {
+    fn complete_requests(&mut self) {
         while let Some((number, (status, body))) = self.core.answers.pop_first() {
-            if let Some(door) = self.doors.get_mut(&number) {
-                let step = door.task.on_response(Some((status, body)));
+            if let Some(request) = self.pending.get_mut(&number) {
+                let step = request.task.on_response(Some((status, body)));
                 self.take_step(number, step);
             }
         }
         let now = self.core.now;
-        let is_over = |door: &Door| now >= door.until;
+        let is_over = |request: &PendingRequest| now >= request.until;
         let over: Vec<u64> = self
-            .doors
+            .pending
             .iter()
-            .filter(|(_, door)| is_over(door))
+            .filter(|(_, request)| is_over(request))
             .map(|(number, _)| *number)
             .collect();
         for number in over {
-            let Some(door) = self.doors.get_mut(&number) else {
+            let Some(request) = self.pending.get_mut(&number) else {
                 continue;
             };
-            let (machine, step) = (door.machine, door.task.on_response(None));
+            let (machine, step) = (request.machine, request.task.on_response(None));
             self.core
-                .tell(machine, ControllerInput::Abandoned { number });
+                .step(machine, ControllerInput::Abandoned { number });
             self.take_step(number, step);
-            self.doors.remove(&number);
+            self.pending.remove(&number);
         }
     }
 
@@ -430,12 +430,15 @@
                 continue;
             };
             let is_evacuated = config_state.withdrawn.contains(zone);
-            if operator.told.is_some_and(|told| told != is_evacuated) {
+            if operator
+                .is_known_evacuated
+                .is_some_and(|known| known != is_evacuated)
+            {
                 wrong.push(format!(
                     "{}: zone {zone} is evacuated: {is_evacuated}, the last word differs",
                     self.core.now
                 ));
-                operator.told = None;
+                operator.is_known_evacuated = None;
             }
         }
         self.violations.extend(wrong);
@@ -447,7 +450,7 @@
         self.operate(may_begin);
         loop {
             let is_moving = self.core.advance();
-            self.mind_doors();
+            self.complete_requests();
             self.check();
             if !is_moving {
                 return;
@@ -455,8 +458,8 @@
         }
     }
 
-    fn forget_doors_of(&mut self, machine: usize) {
-        self.doors.retain(|_, door| door.machine != machine);
+    fn drop_requests_of(&mut self, machine: usize) {
+        self.pending.retain(|_, request| request.machine != machine);
     }
 
     /// A machine is in trouble for a while; the others are well, and it is level again before the next.
@@ -495,7 +498,7 @@
             4 => self.core.lost_answers = 70,
             5 => {
                 self.core.kill(machine);
-                self.forget_doors_of(machine);
+                self.drop_requests_of(machine);
             }
             _ => {
                 // What it took last may be on its disk alone.
@@ -504,7 +507,7 @@
                     .for_each(|to| self.core.set_line(machine, to, Carriage::Held));
                 self.pass(self.core.now % 300, true);
                 self.core.wipe(machine);
-                self.forget_doors_of(machine);
+                self.drop_requests_of(machine);
             }
         }
     }
@@ -534,7 +537,7 @@
             job,
             running,
             rests_until,
-            told: None,
+            is_known_evacuated: None,
             is_next_evacuated: true,
         });
         let before = self.ended.len();
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -13,19 +13,19 @@
 use types::{Address, DiskId, MonotonicInstant, TokenKey, ViewNumber};
 use wire::Message;
 
-/// Between two clock events.
+/// The time between two clock events, in virtual milliseconds.
 const TICK: u64 = 25;
-/// More steps than this without rest are taken for a loop.
+/// A run that takes more steps than this without coming to rest is taken for an endless loop.
 const STEPS_AT_MOST: usize = 200_000;
 
-/// How a line carries letters.
+/// How a connection between two machines carries messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Carriage {
-    /// At once, in order.
+    /// Messages arrive at once, in order.
     Open,
-    /// Kept in order until it is opened again, as TCP does over a short loss.
+    /// Messages are queued in order until the connection is open again, as TCP does over a short loss.
     Held,
-    /// Lost.
+    /// Messages are lost.
     Cut,
 }
 
@@ -50,13 +50,13 @@
 
 /// The control machines and what is between them.
 pub struct Core {
-    /// Virtual milliseconds.
+    /// The virtual time in milliseconds.
     pub now: u64,
-    /// Answers that operators' questions got, by their numbers.
+    /// Responses to operators' requests, by the requests' numbers.
     pub answers: BTreeMap<u64, (u16, Vec<u8>)>,
     machines: Vec<Machine>,
     lines: BTreeMap<(usize, usize), (Carriage, VecDeque<Message>)>,
-    /// Of a hundred answers of the tail to other machines' questions, so many are lost.
+    /// How many of a hundred responses of the tail to other machines' queries are lost.
     pub lost_answers: u64,
     mutant: Option<Mutant>,
     random: u64,
@@ -176,14 +176,14 @@
             address: address(machine),
             disk: m.disk,
         };
-        let kept = RecoveredRecords {
+        let recovered = RecoveredRecords {
             records: m.durable.clone(),
         };
         let replica = Replica::new(
             me,
             founders,
             timing.replica,
-            kept,
+            recovered,
             ConfigStateMachine::default(),
             now,
         )
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Tells a machine something; what follows from it happens in [`Core::advance`] and [`Core::run`].
-    pub fn tell(&mut self, machine: usize, input: ControllerInput) {
+    /// Gives a machine an input; its effects happen in [`Core::advance`] and [`Core::run`].
+    pub fn step(&mut self, machine: usize, input: ControllerInput) {
         let now = MonotonicInstant(self.now);
         let Some(controller) = &mut self.machines[machine].controller else {
             return;
@@ -356,7 +356,7 @@
                     .get_mut(&(*from, *to))
                     .and_then(|line| line.1.pop_front());
                 let message = message.expect("it was not empty");
-                self.tell(
+                self.step(
                     *to,
                     ControllerInput::Message {
                         from: address(*from),
@@ -378,7 +378,7 @@
             m.durable.clear();
         }
         m.durable.extend(records);
-        self.tell(machine, ControllerInput::Written { id });
+        self.step(machine, ControllerInput::Written { id });
     }
 
     /// Lets so much time pass; all that can happen meanwhile does.
@@ -397,7 +397,7 @@
     /// One clock event at each.
     pub fn tick(&mut self) {
         self.now += TICK;
-        (0..3).for_each(|machine| self.tell(machine, ControllerInput::ClockEvent));
+        (0..3).for_each(|machine| self.step(machine, ControllerInput::ClockEvent));
     }
     /// Runs until there is an answer, for so long at most.
     pub fn await_answer(&mut self, number: u64, span: u64) -> Option<(u16, Vec<u8>)> {
--- a/crates/controller/tests/delayed_and_refused.rs
+++ b/crates/controller/tests/delayed_and_refused.rs
@@ -45,18 +45,12 @@
     )
 }
 
-fn ask(core: &mut Core, machine: usize, number: u64, ask: OperatorRequest) {
-    core.tell(
-        machine,
-        ControllerInput::Operator {
-            number,
-            request: ask,
-        },
-    );
+fn send(core: &mut Core, machine: usize, number: u64, request: OperatorRequest) {
+    core.step(machine, ControllerInput::Operator { number, request });
 }
 
 fn status(core: &mut Core, machine: usize, number: u64, what: OperatorRequest) -> Option<u16> {
-    ask(core, machine, number, what);
+    send(core, machine, number, what);
     core.await_answer(number, 4000).map(|(status, _)| status)
 }
 
@@ -69,7 +63,7 @@
     assert_eq!(status(&mut core, HEAD, 1, plan("p", 0, 5)), Some(200));
     assert_eq!(status(&mut core, HEAD, 2, second("before")), Some(200));
     core.set_lines_of(MIDDLE, Carriage::Held);
-    ask(&mut core, MIDDLE, 3, first("delayed"));
+    send(&mut core, MIDDLE, 3, first("delayed"));
     core.run(1000);
     assert_eq!(status(&mut core, TAIL, 4, first("again")), Some(200));
     assert_eq!(status(&mut core, TAIL, 5, second("back")), Some(200));
@@ -103,14 +97,14 @@
     let mut core = Core::new(1, None);
     assert_eq!(status(&mut core, HEAD, 1, plan("p", 0, 5)), Some(200));
     core.set_line(HEAD, MIDDLE, Carriage::Held);
-    ask(&mut core, HEAD, 2, plan("on-one-disk", 5, 7));
+    send(&mut core, HEAD, 2, plan("on-one-disk", 5, 7));
     core.run(100);
     assert_eq!(
         core.config_state(HEAD)
             .map(|config_state| config_state.revision),
         Some(7)
     );
-    ask(&mut core, TAIL, 3, plan("other", 5, 9));
+    send(&mut core, TAIL, 3, plan("other", 5, 9));
     core.run(300);
     assert_eq!(
         core.answers.get(&3).map(|answer| answer.0),
@@ -118,9 +112,9 @@
         "revision 7 is on one disk only"
     );
     core.wipe(HEAD);
-    let told = core.await_answer(3, 10_000).map(|(status, _)| status);
+    let status_of_other = core.await_answer(3, 10_000).map(|(status, _)| status);
     assert!(
-        told != Some(409),
+        status_of_other != Some(409),
         "revision 7 is gone, and nothing else was ever taken"
     );
     assert_eq!(status(&mut core, TAIL, 4, plan("other", 5, 9)), Some(200));
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -129,18 +129,18 @@
         origin_view: ViewNumber(1),
         body: config_state.snapshot(),
     };
-    let whole = vec![snapshot, Record::View { view: view() }];
+    let complete = vec![snapshot, Record::View { view: view() }];
     vec![
         (vec![Record::View { view: view() }], false),
         (changes(before, 1), false),
-        (whole, true),
+        (complete, true),
         (changes(after, CHANGES_IN_SNAPSHOT as u64 + 1), false),
         (ballots(), false),
     ]
 }
 
 /// What is in force of writes: the last that replaces all before it, and those after.
-fn kept(writes: &Writes) -> Vec<Record> {
+fn records_in_force(writes: &Writes) -> Vec<Record> {
     let mut records = vec![];
     for (written, replaces_all) in writes {
         if *replaces_all {
@@ -160,15 +160,12 @@
     RecoveredRecords,
 ) {
     let (sender, events) = std::sync::mpsc::channel();
-    let tell = move |_, event| drop(sender.send(event));
-    let thread = DiskThread::open(folder, tell).expect("the folder can be opened");
+    let notify = move |_, event| drop(sender.send(event));
+    let thread = DiskThread::open(folder, notify).expect("the folder can be opened");
     match events.recv_timeout(PATIENCE) {
-        Ok(DiskEvent::Ready {
-            disk,
-            recovered: kept,
-        }) => {
+        Ok(DiskEvent::Ready { disk, recovered }) => {
             assert_eq!(disk, DISK);
-            (thread, events, kept)
+            (thread, events, recovered)
         }
         other => panic!("the folder is not ready: {other:?}"),
     }
@@ -176,8 +173,8 @@
 
 fn write_folder(folder: &Path, writes: &Writes) {
     drop(Storage::open(folder, DISK).expect("a new folder"));
-    let (thread, events, kept) = open(folder);
-    assert_eq!(kept.records, []);
+    let (thread, events, recovered) = open(folder);
+    assert_eq!(recovered.records, []);
     for (place, (records, replaces_all)) in writes.iter().enumerate() {
         let number = place as u64 + 1;
         thread.write(number, records.clone(), *replaces_all);
@@ -260,11 +257,11 @@
 fn recovered(name: &str) -> RecoveredRecords {
     let copy = tempfile::tempdir().expect("a folder");
     copy_golden(name, copy.path());
-    let (_thread, _events, kept) = open(copy.path());
-    kept
+    let (_thread, _events, recovered) = open(copy.path());
+    recovered
 }
 
-fn controller(kept: RecoveredRecords) -> Controller {
+fn controller(recovered: RecoveredRecords) -> Controller {
     let mut timing = ControllerTiming {
         quorum: Quorum::Holders,
         ..ControllerTiming::default()
@@ -279,7 +276,7 @@
         me(),
         founders,
         timing.replica,
-        kept,
+        recovered,
         ConfigStateMachine::default(),
         now,
     )
@@ -317,7 +314,7 @@
     let writes = writes_of_log();
     compare_folder("log", &writes);
     let found = recovered("log");
-    assert_eq!(found.records, kept(&writes));
+    assert_eq!(found.records, records_in_force(&writes));
     check_ledger(controller(found).replica().state_machine());
 }
 
@@ -326,7 +323,7 @@
     let writes = writes_of_snapshot();
     compare_folder("snapshot", &writes);
     let found = recovered("snapshot");
-    assert_eq!(found.records, kept(&writes));
+    assert_eq!(found.records, records_in_force(&writes));
     check_ledger(controller(found).replica().state_machine());
 }
 
@@ -334,7 +331,7 @@
 struct Played {
     controller: Controller,
     now: u64,
-    asked: u64,
+    last_number: u64,
 }
 
 /// Between two clock events.
@@ -345,7 +342,7 @@
         let mut played = Played {
             controller: controller(recovered("snapshot")),
             now: 10_000,
-            asked: 0,
+            last_number: 0,
         };
         for _ in 0..400 {
             played.tick();
@@ -383,13 +380,10 @@
         response
     }
     /// The status and body that an operator gets.
-    fn ask(&mut self, ask: OperatorRequest) -> String {
-        self.asked += 1;
-        let number = self.asked;
-        let mut response = self.step(ControllerInput::Operator {
-            number,
-            request: ask,
-        });
+    fn request(&mut self, request: OperatorRequest) -> String {
+        self.last_number += 1;
+        let number = self.last_number;
+        let mut response = self.step(ControllerInput::Operator { number, request });
         for _ in 0..1000 {
             response = response.or_else(|| self.tick());
         }
@@ -405,7 +399,7 @@
 #[test]
 fn operators_get_their_golden_answers_to_what_they_read() {
     let lost = vec![Address::loopback(7202)];
-    let heard = |id: &str| Query::Heard {
+    let unreachable = |id: &str| Query::Heard {
         id: id.into(),
         members: lost.clone(),
     };
@@ -420,14 +414,14 @@
         Query::Base {
             at_least: ConfigEpoch(11),
         },
-        heard("f-1"),
-        heard("f-new"),
+        unreachable("f-1"),
+        unreachable("f-new"),
         fate("plan-1"),
         fate("change-1"),
         fate("never"),
     ];
     let mut played = Played::new();
-    let mut answer = |reading: Query| played.ask(OperatorRequest::Read(reading));
+    let mut answer = |query: Query| played.request(OperatorRequest::Read(query));
     let mut lines: Vec<String> = readings.into_iter().map(&mut answer).collect();
     lines.extend((0..=12).map(|number| answer(epoch(number))));
     golden_file::compare_json_lines("answers.txt", &lines);
@@ -466,7 +460,7 @@
     let mut played = Played::new();
     let lines: Vec<String> = proposals
         .into_iter()
-        .map(|proposal| played.ask(OperatorRequest::Propose(proposal)))
+        .map(|proposal| played.request(OperatorRequest::Propose(proposal)))
         .collect();
     golden_file::compare_json_lines("outcomes.txt", &lines);
 }
