--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,24 +1,18 @@
 use crate::schedule::Schedule;
-use config::ServiceKind;
-use config::{Command, ConfigStateMachine, OriginalCommand, Proposal};
-use controller::{
-    Controller, ControllerInput, ControllerOutput, ControllerTiming, OperatorRequest, Quorum,
-};
-use placement::{Decision, Event as SchedulerEvent, Outcome, SchedulerRules};
+use controller::Controller;
 use placement::{ServerEntry, mix};
-use replication::{Record, RecoveredRecords, Replica, Voter};
-use router::{Node, NodeInput, NodeOutput, NodeTiming};
+use replication::Record;
+use router::Node;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use types::{
     Address, ConfigEpoch, DiskId, MonotonicInstant, RequestId, RunId, ServerName, ServiceName,
     ZoneName,
 };
-use wire::Message;
 
+mod admin_api;
 mod checks;
 mod connections;
-mod door;
 mod event;
 mod fault_kinds;
 mod faults;
@@ -28,10 +22,10 @@
 mod mutants;
 mod operators;
 mod relays;
+mod router_contact;
 mod rules;
 mod streams;
 mod tenants;
-mod touch;
 mod traffic;
 
 pub use checks::Witness;
@@ -69,7 +63,7 @@
     operators: operators::Operators,
     history: history::History,
     /// Patches that are at a controller's door, by their calls.
-    door: BTreeMap<u64, door::PatchStep>,
+    patches: BTreeMap<u64, admin_api::PatchStep>,
     witness: Witness,
     trace: u64,
     faults: Vec<Fault>,
@@ -83,7 +77,7 @@
     /// Five times the traffic until then.
     crowd_until: u64,
     /// For the mutant: questions of controllers, the operator's number behind each, and whether it was answered.
-    questions: BTreeMap<u64, (u64, bool)>,
+    proposal_numbers: BTreeMap<u64, (u64, bool)>,
 }
 
 struct ControllerMachine {
@@ -153,7 +147,7 @@
     is_lost: bool,
     may_act_until: MonotonicInstant,
     old: Option<(u64, Node)>,
-    touch: touch::Touch,
+    contact: router_contact::RouterContact,
 }
 
 struct ServerMachine {
@@ -180,9 +174,9 @@
     attempts: router::AttemptSequence,
     prompt: String,
     /// The server that it was last sent to.
-    asked: Option<ServerName>,
+    sent_to: Option<ServerName>,
     run: Option<(usize, RunId)>,
-    server_life: u64,
+    server_incarnation: u64,
     had_first: bool,
     /// Under which it was placed.
     epoch: ConfigEpoch,
@@ -222,7 +216,7 @@
             requests: BTreeMap::new(),
             operators: operators::Operators::default(),
             history: history::History::default(),
-            door: BTreeMap::new(),
+            patches: BTreeMap::new(),
             witness: Witness::default(),
             trace: 0,
             faults: vec![],
@@ -231,10 +225,10 @@
             armed_for_write: vec![],
             replaced: 0,
             crowd_until: 0,
-            questions: BTreeMap::new(),
+            proposal_numbers: BTreeMap::new(),
             rules,
         };
-        world.people();
+        world.populate();
         world
     }
 
@@ -280,7 +274,7 @@
         self.events.insert(self.next_number, event);
     }
 
-    fn people(&mut self) {
+    fn populate(&mut self) {
         let shape = self.rules.deployment.shape();
         let zone = |place: usize| ZoneName::from(shape.zones[place % shape.zones.len()]);
         // Where syncs are skipped, disks are slow, so that something is left to be lost.
@@ -316,7 +310,7 @@
                 is_lost: false,
                 may_act_until: MonotonicInstant(0),
                 old: None,
-                touch: touch::Touch::default(),
+                contact: router_contact::RouterContact::default(),
             });
             self.put(10 + place as u64 * 3, Event::StartRouter { machine: place });
         }
--- a/crates/simulator/src/world/door.rs
+++ b/crates/simulator/src/world/admin_api.rs
@@ -1,13 +1,15 @@
-//! What a controller's door makes of an operator's call, step by step, as the daemon's does.
+//! What a controller's admin API makes of an operator's call, step by step, as the daemon's does.
 
-use super::operators::{Asked, Basis, Wish};
-use super::*;
+use super::operators::{Basis, Intent, PendingCall};
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
+use config::{Command, Proposal};
 use config::{OwnPlans, PlanError};
+use controller::{ControllerInput, OperatorRequest};
 use types::{ConfigEpoch, ResultCode};
 use wire::Query;
 
-/// Where a patch stands at the door.
+/// How far the admin API has come with a patch.
 #[derive(Debug, Clone)]
 pub(super) enum PatchStep {
     /// The plan that it changes is read.
@@ -27,49 +29,52 @@
         let m = &self.controllers[machine];
         if m.incarnation != incarnation || m.controller.is_none() {
             // Refused or reset: the operator knows at once.
-            return self.on_silence(call);
+            return self.on_call_timeout(call);
         }
         if !self.is_awake(true, machine, &event) {
             return;
         }
-        let Some((wish, asked)) = self.asked_of(call) else {
+        let Some((intent, pending)) = self.pending_call_of(call) else {
             return;
         };
-        match wish {
-            Wish::ReadState => self.read(machine, call, asked, Query::Latest),
-            Wish::ReadPlan => self.read(
+        match intent {
+            Intent::ReadState => self.read(machine, call, pending, Query::Latest),
+            Intent::ReadPlan => self.read(
                 machine,
                 call,
-                asked,
+                pending,
                 Query::ConfigEpoch {
                     epoch: ConfigEpoch(0),
                 },
             ),
-            Wish::Command(command) => self.propose(machine, call, asked, Ok(command), None, &[]),
-            Wish::Plan { bytes, basis } => {
+            Intent::Command(command) => {
+                self.propose(machine, call, pending, Ok(command), None, &[])
+            }
+            Intent::Plan { bytes, basis } => {
                 let command = Command::plan_in(&OwnPlans, bytes, base_revision(basis));
-                self.propose(machine, call, asked, command, Some(basis), &[]);
+                self.propose(machine, call, pending, command, Some(basis), &[]);
             }
-            Wish::Patch { bytes, basis } => {
-                self.door.insert(call, PatchStep::ReadsBase(bytes, basis));
+            Intent::Patch { bytes, basis } => {
+                self.patches
+                    .insert(call, PatchStep::ReadsBase(bytes, basis));
                 let at_least = match basis {
                     Basis::ConfigEpoch(epoch) => ConfigEpoch(epoch),
                     Basis::Revision { .. } => ConfigEpoch(u64::MAX),
                 };
-                self.read(machine, call, asked, Query::Base { at_least });
+                self.read(machine, call, pending, Query::Base { at_least });
             }
         }
     }
 
     /// A controller sees that an operator's connection is closed.
-    pub(super) fn on_hang_up(&mut self, machine: usize, incarnation: u64, call: u64) {
+    pub(super) fn on_connection_closed(&mut self, machine: usize, incarnation: u64, call: u64) {
         let is_same = self.controllers[machine].incarnation == incarnation
             && self.controllers[machine].controller.is_some();
         if !is_same
             || !self.is_awake(
                 true,
                 machine,
-                &Event::HangUp {
+                &Event::ConnectionClosed {
                     machine,
                     incarnation,
                     call,
@@ -78,14 +83,14 @@
         {
             return;
         }
-        self.door.remove(&call);
-        if self.operators.asked.remove(&call).is_some() {
+        self.patches.remove(&call);
+        if self.operators.pending.remove(&call).is_some() {
             self.step_controller(machine, ControllerInput::Abandoned { number: call });
         }
     }
 
-    fn read(&mut self, machine: usize, call: u64, asked: Asked, reading: Query) {
-        self.operators.asked.insert(call, asked);
+    fn read(&mut self, machine: usize, call: u64, pending: PendingCall, reading: Query) {
+        self.operators.pending.insert(call, pending);
         if self.rules.mutant == Some(Mutant::StaleReads)
             && matches!(reading, Query::ConfigEpoch { .. })
         {
@@ -113,29 +118,29 @@
         &mut self,
         machine: usize,
         call: u64,
-        mut asked: Asked,
+        mut pending: PendingCall,
         command: Result<Command, Vec<PlanError>>,
         basis: Option<Basis>,
         base: &[u8],
     ) {
         let Ok(command) = command else {
-            self.door.insert(call, PatchStep::ReadsFate);
-            let id = asked.id.clone();
-            return self.read(machine, call, asked, Query::CommandStatus { id });
+            self.patches.insert(call, PatchStep::ReadsFate);
+            let id = pending.id.clone();
+            return self.read(machine, call, pending, Query::CommandStatus { id });
         };
-        self.witness.proposed(self.now, &asked.id, &command, base);
+        self.witness.proposed(self.now, &pending.id, &command, base);
         let builds_on = match basis {
             Some(Basis::ConfigEpoch(epoch)) => Some(ConfigEpoch(epoch)),
             _ => None,
         };
         let proposal = Proposal {
-            id: asked.id.clone(),
+            id: pending.id.clone(),
             builds_on,
             seen: ConfigEpoch(0),
             command: command.clone(),
         };
-        asked.command = Some(command);
-        self.operators.asked.insert(call, asked);
+        pending.command = Some(command);
+        self.operators.pending.insert(call, pending);
         self.step_controller(
             machine,
             ControllerInput::Operator {
@@ -145,7 +150,7 @@
         );
     }
 
-    /// A controller answers: the door goes on with a patch, or hands the answer to the operator.
+    /// A controller answers: the admin API goes on with a patch, or hands the answer to the operator.
     pub(super) fn on_controller_response(
         &mut self,
         machine: usize,
@@ -153,21 +158,21 @@
         status: u16,
         body: &[u8],
     ) {
-        match self.door.remove(&number) {
+        match self.patches.remove(&number) {
             None => self.on_operator_response(number, status, body),
             Some(PatchStep::ReadsBase(bytes, basis)) if status == 200 && body.len() >= 8 => {
-                let Some(asked) = self.operators.asked.remove(&number) else {
+                let Some(pending) = self.operators.pending.remove(&number) else {
                     return;
                 };
                 let (epoch, plan) = body.split_at(8);
                 let epoch = ConfigEpoch(u64::from_be_bytes(epoch.try_into().unwrap_or_default()));
                 let command =
                     Command::change_in(&OwnPlans, bytes, epoch, plan, base_revision(basis));
-                self.propose(machine, number, asked, command, Some(basis), plan);
+                self.propose(machine, number, pending, command, Some(basis), plan);
             }
             Some(PatchStep::ReadsBase(..)) => self.answer_patch(number, ResultCode::CoreNotReady),
             Some(PatchStep::ReadsFate) if status == 200 => self.answer_patch_as(number, body),
-            // Only a clear word that it was never taken makes the refusal final.
+            // Only a clear answer that it was never accepted makes the refusal final.
             Some(PatchStep::ReadsFate) if status == ResultCode::UnknownChange.http_status() => {
                 self.answer_patch(number, ResultCode::BadPlan);
             }
@@ -186,14 +191,14 @@
 
     /// The answer to a patch that wasn't proposed this time.
     fn answer_patch_as(&mut self, number: u64, body: &[u8]) {
-        let Some(mut asked) = self.operators.asked.remove(&number) else {
+        let Some(mut pending) = self.operators.pending.remove(&number) else {
             return;
         };
-        self.witness.not_proposed(&asked.id);
-        asked.command = Some(Command::FinalizeMembership {
+        self.witness.not_proposed(&pending.id);
+        pending.command = Some(Command::FinalizeMembership {
             since: ConfigEpoch(0),
         });
-        self.operators.asked.insert(number, asked);
+        self.operators.pending.insert(number, pending);
         self.on_operator_response(number, 200, body);
     }
 }
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -1,22 +1,26 @@
-//! What must never be, judged by what clients, servers and operators see.
+//! The checkers: what must never happen, judged by what clients, servers and operators see.
 
-use super::*;
 use crate::world::World;
+use crate::world::event::Event;
+use crate::world::{ControllerMachine, ServerMachine, router_contact};
+use config::{Command, ConfigStateMachine, OriginalCommand};
+use controller::Quorum;
 use replication::View;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use types::{
     Address, ConfigEpoch, MonotonicInstant, RequestId, ResultCode, ServerName, ServiceName,
     ZoneName,
 };
 
-/// What was seen in a run.
+/// What clients, servers and operators saw in a run, and the violations found in it.
 #[derive(Debug, Default)]
 pub struct Witness {
-    /// What must never be and was.
+    /// Violations: things that happened and never may.
     pub violations: Vec<String>,
     /// Requests that came.
     pub arrivals: u64,
-    /// What clients were told, with how often.
+    /// How often clients got each outcome.
     pub words: BTreeMap<&'static str, u64>,
     /// When requests completed.
     pub completions: Vec<u64>,
@@ -46,15 +50,15 @@
     pub trace: u64,
     /// The faults.
     pub faults: Vec<String>,
-    /// Operators' calls and what they were told.
+    /// Operators' calls and their answers.
     pub calls: Vec<String>,
-    pub(super) newest_told: u64,
+    pub(super) newest_acknowledged: u64,
     /// When requests of each tenant ran.
     pub(super) tenant_runs: BTreeMap<u64, Vec<u64>>,
     accepted: BTreeMap<u64, u64>,
-    told: BTreeMap<RequestId, &'static str>,
+    outcomes: BTreeMap<RequestId, &'static str>,
     runs: BTreeMap<RequestId, Vec<(u64, ServerName)>>,
-    asked_requests: BTreeMap<ServiceName, BTreeSet<RequestId>>,
+    attempted_requests: BTreeMap<ServiceName, BTreeSet<RequestId>>,
     asks: BTreeMap<ServiceName, u64>,
     /// Per service: requests that servers were asked to take, and asks beyond the first of each.
     pub repeats: BTreeMap<ServiceName, (u64, u64)>,
@@ -79,11 +83,13 @@
 const IN_FORCE: u64 = 2200;
 /// Where holders of leases are the quorum, a node acts on a change by when it's told. What was placed before
 /// takes this long to be connected and to leave.
-const HELD: u64 = 450;
+const UNDER_LEASE: u64 = 450;
 const WITHDRAWN: u64 = 5200;
 /// After all is healed, all controllers are level by then.
 const LEVEL_AGAIN: u64 = 8000;
 const LEAVING: u64 = 3200;
+/// After all is healed, requests complete and changes are accepted within this, in milliseconds.
+const RECOVERY: u64 = 12_000;
 /// Repeats beyond a fifth, a minute, over the whole fleet.
 const ALLOWANCE: u64 = 10;
 
@@ -93,9 +99,9 @@
             self.violations.push(format!("at {now} ms: {what}"));
         }
     }
-    pub(super) fn told(&mut self, request: &RequestId, word: &'static str) {
-        *self.words.entry(word).or_default() += 1;
-        self.told.insert(request.clone(), word);
+    pub(super) fn record_outcome(&mut self, request: &RequestId, outcome: &'static str) {
+        *self.words.entry(outcome).or_default() += 1;
+        self.outcomes.insert(request.clone(), outcome);
     }
     pub(super) fn placed(&mut self, now: u64, node: Address, epoch: ConfigEpoch) {
         let newest = self.node_epochs.entry(node).or_default();
@@ -120,25 +126,25 @@
         now: u64,
         node: Address,
         epoch: ConfigEpoch,
-        touch: &touch::Touch,
+        contact: &router_contact::RouterContact,
         quorum: Quorum,
     ) -> bool {
         let mut is_apart = false;
-        for (accepted, told) in self
+        for (accepted, acknowledged) in self
             .accepted
             .range(epoch.0 + 1..)
             .map(|(a, t)| (*a, *t))
             .collect::<Vec<_>>()
         {
-            let held_or_met = || {
-                touch
+            let obliged_since = || {
+                contact
                     .leased_since(now)
-                    .or_else(|| touch.met(now, accepted))
-                    .map(|at| at.max(told))
+                    .or_else(|| contact.epoch_seen_since(now, accepted))
+                    .map(|at| at.max(acknowledged))
             };
             let (since, longest) = match quorum {
-                Quorum::Majority => (Some(told), IN_FORCE),
-                Quorum::Holders => (held_or_met(), HELD),
+                Quorum::Majority => (Some(acknowledged), IN_FORCE),
+                Quorum::Holders => (obliged_since(), UNDER_LEASE),
             };
             let Some(since) = since else {
                 is_apart = true;
@@ -148,13 +154,13 @@
             let most = self.in_force_ms.entry(accepted).or_default();
             *most = lag.max(*most);
             if lag > longest {
-                let word = if touch.is_leased(now) {
+                let outcome = if contact.is_leased(now) {
                     "leased"
                 } else {
                     "without a lease"
                 };
                 let what = format!(
-                    "node {node}, {word}, sent under epoch {epoch}, {lag} ms after it had to know {accepted}"
+                    "node {node}, {outcome}, sent under epoch {epoch}, {lag} ms after it had to know {accepted}"
                 );
                 self.violate(now, what);
             }
@@ -197,7 +203,7 @@
             .or_insert((now, command.clone()));
         self.sends(id);
     }
-    /// A call for this change ended at the door.
+    /// A call for this change ended at the admin API.
     pub(super) fn not_proposed(&mut self, id: &str) {
         self.sends(id);
     }
@@ -209,12 +215,19 @@
             known != id || *code != u64::from(ResultCode::CoreNotReady.number())
         });
     }
-    pub(super) fn operator_told(&mut self, now: u64, asked: u64, id: &str, code: u64, epoch: u64) {
+    pub(super) fn record_acknowledgement(
+        &mut self,
+        now: u64,
+        sent_at: u64,
+        id: &str,
+        code: u64,
+        epoch: u64,
+    ) {
         self.keep_fate(now, id, code, epoch);
         if code == u64::from(ResultCode::Accepted.number()) {
             self.commands[0] += 1;
-            self.accept_ms.push(now - asked);
-            self.newest_told = self.newest_told.max(epoch);
+            self.accept_ms.push(now - sent_at);
+            self.newest_acknowledged = self.newest_acknowledged.max(epoch);
             self.accepted.entry(epoch).or_insert(now);
             if self.calm_from > 0 && self.back_ms.0.is_none() {
                 self.back_ms.0 = Some(now - self.calm_from);
@@ -261,8 +274,8 @@
     }
 
     /// A server was asked to take a request, whatever it made of it.
-    pub(super) fn asked(&mut self, request: &RequestId, service: &ServiceName) {
-        self.asked_requests
+    pub(super) fn attempted(&mut self, request: &RequestId, service: &ServiceName) {
+        self.attempted_requests
             .entry(service.clone())
             .or_default()
             .insert(request.clone());
@@ -301,9 +314,10 @@
         if let Some(since) = server.draining_since {
             self.leaving_ms.push(now - since);
         }
-        let told = self.withdrawn_since(now, &server.zone, newest);
-        self.withdrawn_ms.extend(told.map(|told| now - told));
-        if told.is_some_and(|told| told + WITHDRAWN < now) {
+        let acknowledged = self.withdrawn_since(now, &server.zone, newest);
+        self.withdrawn_ms
+            .extend(acknowledged.map(|acknowledged| now - acknowledged));
+        if acknowledged.is_some_and(|acknowledged| acknowledged + WITHDRAWN < now) {
             self.violate(
                 now,
                 format!("{request} ran in withdrawn zone {}", server.zone),
@@ -345,11 +359,11 @@
         says: impl Fn(&serde_json::Value) -> bool,
     ) -> bool {
         let mut settled = 0;
-        for (id, (told, code, epoch)) in &self.fates {
+        for (id, (acknowledged, code, epoch)) in &self.fates {
             if self.plans.contains_key(id)
                 && *code == 300
                 && *epoch <= newest
-                && told + IN_FORCE < now
+                && acknowledged + IN_FORCE < now
             {
                 settled = settled.max(*epoch);
             }
@@ -384,13 +398,13 @@
         let accepted = withdrawn.iter().filter_map(|(_, fate)| {
             fate.filter(|(_, code, epoch)| *code == 300 && *epoch <= newest)
         });
-        let (told, _, epoch) = accepted.max_by_key(|(_, _, epoch)| *epoch)?;
+        let (acknowledged, _, epoch) = accepted.max_by_key(|(_, _, epoch)| *epoch)?;
         let may_be_restored = restored.iter().any(|(at, fate)| match fate {
             Some((_, 300, restored)) => *restored > epoch && *at <= now,
             Some((_, 304, _)) | None => *at <= now,
             Some(_) => false,
         });
-        (!may_be_restored).then_some(told)
+        (!may_be_restored).then_some(acknowledged)
     }
 
     pub(super) fn calm(&mut self, now: u64) {
@@ -403,21 +417,39 @@
         self.back_ms.0.is_some()
     }
 
-    /// What is known only at the end.
+    /// Judges what is known only at the end.
     pub(super) fn conclude(&mut self, now: u64, config_state: Option<&ConfigStateMachine>) {
         self.judge_quotas();
+        self.judge_refused_requests(now);
+        self.judge_repeats(now);
+        let Some(config_state) = config_state else {
+            return self.violate(now, "at the end nobody may respond for the core".into());
+        };
+        self.judge_fates(now, config_state);
+        self.judge_recovery(now);
+    }
+
+    /// A request whose client was told that it was refused has run nowhere.
+    fn judge_refused_requests(&mut self, now: u64) {
         let runs = std::mem::take(&mut self.runs);
         for (request, runs) in &runs {
-            let word = self.told.get(request).copied().unwrap_or("none");
-            if word == "refused" {
+            let outcome = self.outcomes.get(request).copied().unwrap_or("none");
+            if outcome == "refused" {
                 self.violate(
                     now,
                     format!("{request} was told refused and ran at {runs:?}"),
                 );
             }
         }
+    }
+
+    /// Repeats of a service stay within a fifth of its requests and the allowance.
+    fn judge_repeats(&mut self, now: u64) {
         for (service, count) in self.asks.clone() {
-            let requests = self.asked_requests.get(&service).map_or(0, BTreeSet::len) as u64;
+            let requests = self
+                .attempted_requests
+                .get(&service)
+                .map_or(0, BTreeSet::len) as u64;
             let repeats = count - requests;
             self.repeats.insert(service.clone(), (requests, repeats));
             if repeats * 5 > requests + 5 * ALLOWANCE * now.div_ceil(60_000) {
@@ -427,28 +459,18 @@
                 );
             }
         }
-        let Some(config_state) = config_state else {
-            return self.violate(now, "at the end nobody may respond for the core".into());
-        };
+    }
+
+    /// Each accepted change reads back as it was sent; none that was refused took effect.
+    fn judge_fates(&mut self, now: u64, config_state: &ConfigStateMachine) {
         for (id, (_, code, epoch)) in self.fates.clone() {
             let entry = config_state.entry_by_id(&id);
-            let proposed = self
-                .proposed
-                .get(&id)
-                .map(|(_, command)| match command.clone() {
-                    Command::Plan { bytes, .. } | Command::Change { bytes, .. } => {
-                        Some(OriginalCommand::Body(bytes))
-                    }
-                    Command::Withdraw { zone } => Some(OriginalCommand::Withdraw(zone)),
-                    Command::Restore { zone } => Some(OriginalCommand::Restore(zone)),
-                    Command::ForceRemove { members } => Some(OriginalCommand::ForceRemove(members)),
-                    _ => None,
-                });
             match code {
                 300 => {
                     let reads_back = entry.is_some_and(|entry| {
                         entry.epoch.0 == epoch
-                            && proposed == Some(config_state.original_command(entry.epoch).ok())
+                            && self.proposed_as_sent(&id)
+                                == Some(config_state.original_command(entry.epoch).ok())
                     });
                     if !reads_back {
                         self.violate(
@@ -464,16 +486,33 @@
                 _ => {}
             }
         }
-        let back = self
-            .completions
-            .iter()
+    }
+
+    /// A proposed command as its operator sent it; the inner `None` of commands that no operator sends.
+    fn proposed_as_sent(&self, id: &str) -> Option<Option<OriginalCommand>> {
+        let (_, command) = self.proposed.get(id)?;
+        Some(match command.clone() {
+            Command::Plan { bytes, .. } | Command::Change { bytes, .. } => {
+                Some(OriginalCommand::Body(bytes))
+            }
+            Command::Withdraw { zone } => Some(OriginalCommand::Withdraw(zone)),
+            Command::Restore { zone } => Some(OriginalCommand::Restore(zone)),
+            Command::ForceRemove { members } => Some(OriginalCommand::ForceRemove(members)),
+            _ => None,
+        })
+    }
+
+    /// After all was healed, a request completes and a change is accepted within the bound.
+    fn judge_recovery(&mut self, now: u64) {
+        let mut completions = self.completions.iter();
+        let back = completions
             .find(|at| **at >= self.calm_from)
             .map(|at| at - self.calm_from);
         self.back_ms.1 = back;
-        if back.is_none_or(|ms| ms > 12_000) {
+        if back.is_none_or(|ms| ms > RECOVERY) {
             self.violate(now, format!("service was back after {back:?} ms"));
         }
-        if self.back_ms.0.is_none_or(|ms| ms > 12_000) {
+        if self.back_ms.0.is_none_or(|ms| ms > RECOVERY) {
             self.violate(
                 now,
                 format!("a change was accepted again after {:?} ms", self.back_ms.0),
--- a/crates/simulator/src/world/connections.rs
+++ b/crates/simulator/src/world/connections.rs
@@ -4,9 +4,11 @@
 //! that it may stand still for as long again once the cut has healed. It is given up when they stay
 //! unacknowledged for too long, and a new one, which works at once, is made for the next letter.
 
-use super::*;
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
+use std::collections::BTreeMap;
 use types::Address;
+use wire::Message;
 use wire::Query;
 
 /// As in the daemons' own lines (`SWIFT_DEAD_AFTER`, `BULK_DEAD_AFTER`).
@@ -31,7 +33,7 @@
 
 struct Line {
     /// The process at the other end.
-    peer_life: u64,
+    peer_incarnation: u64,
     stall: Option<Stall>,
 }
 
@@ -64,7 +66,7 @@
         self.routers
             .iter_mut()
             .filter(|m| m.address == from)
-            .for_each(|m| m.touch.sent(now, &message));
+            .for_each(|m| m.contact.on_sent(now, &message));
         if message.is_datagram() {
             if !self.cut.contains(&(from, to)) {
                 self.carry(from, to, message);
@@ -74,9 +76,9 @@
         let key = (from, to, is_bulk);
         self.close_dead(key);
         let is_open = !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from));
-        let peer_life = self.life_of(to);
+        let peer_incarnation = self.life_of(to);
         match self.connections.lines.get_mut(&key) {
-            Some(line) if line.peer_life != peer_life && is_open => {
+            Some(line) if line.peer_incarnation != peer_incarnation && is_open => {
                 // What it wrote to is gone: the answer to the first bytes is a reset.
                 self.connections.lines.remove(&key);
             }
@@ -91,7 +93,7 @@
                 self.connections.lines.insert(
                     key,
                     Line {
-                        peer_life,
+                        peer_incarnation,
                         stall: None,
                     },
                 );
@@ -134,11 +136,11 @@
         let (from, to, _) = key;
         let arrives = !self.cut.contains(&(from, to));
         let is_open = arrives && !self.cut.contains(&(to, from));
-        let peer_life = self.life_of(to);
+        let peer_incarnation = self.life_of(to);
         let Some(line) = self.connections.lines.get_mut(&key) else {
             return;
         };
-        let is_reset = line.peer_life != peer_life;
+        let is_reset = line.peer_incarnation != peer_incarnation;
         let Some(stall) = line.stall.as_mut().filter(|stall| stall.number == number) else {
             return;
         };
@@ -251,7 +253,9 @@
                 .strip_prefix("op-")
                 .and_then(|operator| operator.parse().ok())
         {
-            self.questions.entry(*number).or_insert((operator, false));
+            self.proposal_numbers
+                .entry(*number)
+                .or_insert((operator, false));
         }
     }
 }
--- a/crates/simulator/src/world/connections/tests.rs
+++ b/crates/simulator/src/world/connections/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::deployment::Deployment;
 use crate::world::{Mutant, World, WorldRules};
+use std::cmp::Reverse;
 use types::{Address, ConfigEpoch};
 
 /// Two controllers of a world in which nothing else goes on.
--- a/crates/simulator/src/world/event.rs
+++ b/crates/simulator/src/world/event.rs
@@ -1,8 +1,9 @@
 //! The events of the simulated world, and which part of it handles each.
 
-use super::*;
 use crate::world::World;
+use crate::world::connections;
 use types::{Address, RequestId, RunId, ServerName, ZoneName};
+use wire::Message;
 
 /// Something that happens at a moment of virtual time.
 #[derive(Debug, Clone)]
@@ -56,7 +57,7 @@
         request: RequestId,
         failure: Option<router::Failure>,
     },
-    OtherLife {
+    OtherIncarnation {
         request: RequestId,
         server: ServerName,
     },
@@ -79,34 +80,34 @@
         call: u64,
     },
     /// An operator's connection is closed.
-    HangUp {
+    ConnectionClosed {
         machine: usize,
         incarnation: u64,
         call: u64,
     },
-    /// An operator has heard nothing of a call.
-    Silence {
+    /// A call of an operator is still without an answer.
+    CallTimeout {
         call: u64,
     },
-    /// An operator sends the same again.
+    /// An operator retries a call.
     SendAgain {
         task: u64,
     },
-    /// A fault that waited for something.
+    /// A fault is injected that waited for something.
     InjectArmed {
         place: usize,
         machine: usize,
     },
     /// An old machine ends, after its successor came.
-    Retire {
+    RetireController {
         machine: usize,
     },
     /// Operators reach a machine as it returns.
-    Meet {
+    ControllerReturns {
         machine: usize,
     },
     /// An operator restores a zone that it had evacuated.
-    TakeBack {
+    RestoreZone {
         zone: ZoneName,
         machine: usize,
     },
@@ -193,7 +194,9 @@
                 run,
             } => self.on_run_reaches(request, server, run),
             Event::RunOutcome { request, failure } => self.on_run_outcome(request, failure),
-            Event::OtherLife { request, server } => self.on_other_life(request, server),
+            Event::OtherIncarnation { request, server } => {
+                self.on_other_incarnation(request, server)
+            }
             Event::Watch { request } => self.on_watch(request),
             Event::Resume { request } => self.on_resume(request),
             Event::SendBytesAgain { key, stall } => self.on_send_bytes_again(key, stall),
@@ -203,17 +206,17 @@
                 incarnation,
                 call,
             } => self.on_call_reaches(machine, incarnation, call),
-            Event::HangUp {
+            Event::ConnectionClosed {
                 machine,
                 incarnation,
                 call,
-            } => self.on_hang_up(machine, incarnation, call),
-            Event::Silence { call } => self.on_silence(call),
+            } => self.on_connection_closed(machine, incarnation, call),
+            Event::CallTimeout { call } => self.on_call_timeout(call),
             Event::SendAgain { task } => self.send_call(task),
             Event::InjectArmed { place, machine } => self.inject_armed(place, machine),
-            Event::Retire { machine } => self.on_retire(machine),
-            Event::Meet { machine } => self.on_meet(machine),
-            Event::TakeBack { zone, machine } => self.on_take_back(zone, machine),
+            Event::RetireController { machine } => self.on_retire_controller(machine),
+            Event::ControllerReturns { machine } => self.on_controller_returns(machine),
+            Event::RestoreZone { zone, machine } => self.on_restore_zone(zone, machine),
             Event::InjectFault { place } => self.inject_fault(place),
             Event::Heal { place } => self.heal(place),
             Event::StartController { machine } => self.start_controller(machine),
--- a/crates/simulator/src/world/faults/aimed.rs
+++ b/crates/simulator/src/world/faults/aimed.rs
@@ -2,7 +2,7 @@
 
 use super::{Fault, FaultEntry, FaultTarget, restart_delay};
 use crate::world::event::Event;
-use crate::world::operators::Wish;
+use crate::world::operators::Intent;
 use crate::world::{FaultKind, World};
 use config::Command;
 use placement::mix;
@@ -73,7 +73,7 @@
         self.kill_controller(machine, false);
         self.put(target.restart_delay, Event::StartController { machine });
         let after = target.restart_delay + target.pick % 20;
-        self.put(after, Event::Meet { machine });
+        self.put(after, Event::ControllerReturns { machine });
     }
 
     /// Cuts a controller's machine off from all others. Half of the time operators go on reaching it, with a change.
@@ -120,10 +120,10 @@
     }
 
     /// Operators reach a machine as it returns.
-    pub(in crate::world) fn on_meet(&mut self, machine: usize) {
+    pub(in crate::world) fn on_controller_returns(&mut self, machine: usize) {
         self.propose_at(machine);
         self.evacuate_or_restore_at(Some(machine));
-        self.begin(Wish::ReadPlan, Some(machine));
+        self.begin(Intent::ReadPlan, Some(machine));
     }
 
     /// A zone is evacuated at a machine that is cut off, and again at another; later it's restored there.
@@ -133,21 +133,21 @@
         let zones = self.rules.deployment.shape().zones;
         let zone = ZoneName::from(zones[(target.pick / 3 % zones.len() as u64) as usize]);
         self.begin(
-            Wish::Command(Command::Withdraw { zone: zone.clone() }),
+            Intent::Command(Command::Withdraw { zone: zone.clone() }),
             Some(machine),
         );
         let other = (machine + 1) % self.controllers.len();
         self.put(
             RESTORE_AFTER,
-            Event::TakeBack {
+            Event::RestoreZone {
                 zone,
                 machine: other,
             },
         );
     }
 
-    pub(in crate::world) fn on_take_back(&mut self, zone: ZoneName, machine: usize) {
-        self.begin(Wish::Command(Command::Restore { zone }), Some(machine));
+    pub(in crate::world) fn on_restore_zone(&mut self, zone: ZoneName, machine: usize) {
+        self.begin(Intent::Command(Command::Restore { zone }), Some(machine));
     }
 
     /// The new machine comes first; once it has had time to start, the old one is told to end.
@@ -159,16 +159,19 @@
         let zone = self.controllers[machine].zone.clone();
         let newcomer = self.add_controller(zone);
         self.put(1, Event::StartController { machine: newcomer });
-        self.put(2500 + target.pick % 2000, Event::Retire { machine });
+        self.put(
+            2500 + target.pick % 2000,
+            Event::RetireController { machine },
+        );
     }
 
     /// The old one ends, once the core is complete: its successor stands by and takes its seat.
-    pub(in crate::world) fn on_retire(&mut self, machine: usize) {
+    pub(in crate::world) fn on_retire_controller(&mut self, machine: usize) {
         if self.controllers[machine].is_gone || self.now >= self.rules.span.0 {
             return;
         }
         if !self.is_core_complete() || self.controllers[machine].controller.is_none() {
-            return self.put(1000, Event::Retire { machine });
+            return self.put(1000, Event::RetireController { machine });
         }
         // It ends by itself, once its disk is done.
         let pending = std::mem::take(&mut self.controllers[machine].disk.pending);
--- a/crates/simulator/src/world/history.rs
+++ b/crates/simulator/src/world/history.rs
@@ -4,7 +4,8 @@
     Call, ChangeNumber, PlanAction, PlanAnswer, PlanRegister, SequentialRegister, ZoneAction,
     ZoneAnswer, ZoneRegister, check_linearizable,
 };
-use super::*;
+use crate::world::linearizability;
+use std::collections::{BTreeMap, BTreeSet};
 use types::ZoneName;
 
 /// What an operator's call asks for.
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -1,12 +1,19 @@
 //! Controllers and routers: started, fed, frozen, killed.
 
-use super::*;
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
+use crate::world::{ServerMachine, SimDisk, router_contact};
+use config::ConfigStateMachine;
 use config::{History, MAX_HISTORY_ENTRIES};
 use controller::DisklessControllerInput;
+use controller::{Controller, ControllerInput, ControllerOutput, ControllerTiming};
 use placement::mix;
+use placement::{Decision, Event as SchedulerEvent};
+use replication::{Record, RecoveredRecords, Replica, Voter};
+use router::{Node, NodeInput, NodeOutput, NodeTiming};
 use types::{Address, Milliseconds, MonotonicInstant, RequestId, TokenKey};
 use wire::LeaseResponse;
+use wire::Message;
 
 impl World {
     pub(super) fn start_controller(&mut self, machine: usize) {
@@ -160,7 +167,7 @@
         m.incarnation += 1;
         m.next_tick = 0;
         m.may_act_until = MonotonicInstant(0);
-        m.touch = touch::Touch::default();
+        m.contact = router_contact::RouterContact::default();
         let now = MonotonicInstant(self.now + m.offset);
         let old = m
             .old
@@ -258,7 +265,9 @@
         {
             self.restore_span(&mut message);
             self.spoil_grant(&mut message);
-            self.routers[machine].touch.got(self.now, &message);
+            self.routers[machine]
+                .contact
+                .on_received(self.now, &message);
             self.make_stale(to, &mut message);
             self.step_node(machine, NodeInput::Message { from, message });
         } else if let Some(machine) = self.relays.iter().position(|m| m.address == to) {
@@ -324,7 +333,7 @@
         else {
             return;
         };
-        let Some((operator, is_answered)) = self.questions.get_mut(number) else {
+        let Some((operator, is_answered)) = self.proposal_numbers.get_mut(number) else {
             return;
         };
         if std::mem::replace(is_answered, true) {
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -1,15 +1,18 @@
 //! Operators: plans, patches, races, storms, withdrawals, reads; and calls that are sent again.
 
 use super::history::{CallAction, CallAnswer};
-use super::*;
+use crate::world::RouterMachine;
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
+use config::Command;
+use std::collections::BTreeMap;
 use types::{Address, ResultCode, ZoneName};
 
-/// What operators want, asked and were told.
+/// What operators want, their calls under way, and what they know.
 #[derive(Default)]
 pub(super) struct Operators {
-    /// Calls that a controller holds, by their numbers.
-    pub asked: BTreeMap<u64, Asked>,
+    /// Calls that are pending at a controller, by their numbers.
+    pub pending: BTreeMap<u64, PendingCall>,
     /// Calls that their operator waits for, by their numbers.
     pub calls: BTreeMap<u64, OperatorCall>,
     tasks: BTreeMap<u64, Task>,
@@ -27,13 +30,13 @@
     pub answer_loss: u64,
 }
 
-/// A call as the controller that holds it knows it.
-pub(super) struct Asked {
+/// A call as the controller knows it at which it is pending.
+pub(super) struct PendingCall {
     pub at: u64,
     pub id: String,
     pub command: Option<Command>,
-    pub newest_told: u64,
-    /// Routers that were lost when it was asked.
+    pub newest_acknowledged: u64,
+    /// Routers that were lost when the call came.
     pub lost: Vec<Address>,
 }
 
@@ -46,7 +49,7 @@
 
 /// Something that an operator wants, sent again until there is a clear answer.
 pub(super) struct Task {
-    pub wish: Wish,
+    pub intent: Intent,
     /// Of a plan or patch: the same each time that it's sent.
     pub id: String,
     /// Where it's to be sent; anywhere if nowhere.
@@ -60,10 +63,10 @@
 
 /// What an operator wants.
 #[derive(Debug, Clone)]
-pub(super) enum Wish {
+pub(super) enum Intent {
     /// A whole plan.
     Plan { bytes: Vec<u8>, basis: Basis },
-    /// A change of the plan, merged at the controller's door.
+    /// A change of the plan, merged by the controller's admin API.
     Patch { bytes: Vec<u8>, basis: Basis },
     /// Anything else that changes something.
     Command(Command),
@@ -83,14 +86,14 @@
 }
 
 /// Without an answer for this long, an operator sends the same to another controller.
-const SILENCE: u64 = 1000;
+const CALL_TIMEOUT: u64 = 1000;
 /// Before the first time that something is sent again; each pause is twice the one before,
 const FIRST_PAUSE: u64 = 100;
 /// up to this.
 const LONGEST_PAUSE: u64 = 1600;
 const MOST_SENDS: u32 = 8;
 /// A controller notices within this that an operator has closed its connection.
-const HANG_UP_NOTICED: u64 = 100;
+const CLOSE_NOTICED_WITHIN: u64 = 100;
 /// Tasks that operators have under way at once.
 const MOST_TASKS: usize = 8;
 
@@ -138,8 +141,8 @@
             }
             7 | 8 => self.propose_patch(),
             3 | 4 => self.evacuate_or_restore_at(None),
-            5 if !self.counts_by_epochs() => self.begin(Wish::ReadPlan, None),
-            _ => self.begin(Wish::ReadState, None),
+            5 if !self.counts_by_epochs() => self.begin(Intent::ReadPlan, None),
+            _ => self.begin(Intent::ReadState, None),
         }
     }
 
@@ -164,7 +167,7 @@
                 Command::Withdraw { zone }
             }
         };
-        self.begin(Wish::Command(command), machine);
+        self.begin(Intent::Command(command), machine);
     }
 
     /// An operator sends a plan to this machine.
@@ -198,7 +201,7 @@
             plan["tenants"] = self.tenants_of_plan();
         }
         self.begin(
-            Wish::Plan {
+            Intent::Plan {
                 bytes: plan.to_string().into_bytes(),
                 basis,
             },
@@ -206,7 +209,7 @@
         );
     }
 
-    /// A change, merged at the door into the plan there.
+    /// A change, merged by the admin API into its plan.
     fn propose_patch(&mut self) {
         let is_kept = self.chance(50);
         let basis = self.newest_basis();
@@ -216,7 +219,7 @@
             change["revision"] = own.into();
         }
         self.begin(
-            Wish::Patch {
+            Intent::Patch {
                 bytes: change.to_string().into_bytes(),
                 basis,
             },
@@ -254,23 +257,23 @@
 
     /// Asks some controller that is up to change something, once.
     pub(super) fn ask(&mut self, command: Command) {
-        self.begin_task(Wish::Command(command), None, 1, true);
+        self.begin_task(Intent::Command(command), None, 1, true);
     }
 
     /// An operator wants something, and sends it to this machine first, or to any.
-    pub(super) fn begin(&mut self, wish: Wish, machine: Option<usize>) {
-        let is_read = matches!(wish, Wish::ReadState | Wish::ReadPlan);
+    pub(super) fn begin(&mut self, intent: Intent, machine: Option<usize>) {
+        let is_read = matches!(intent, Intent::ReadState | Intent::ReadPlan);
         let most_sends = if is_read || self.counts_by_epochs() {
             1
         } else {
             MOST_SENDS
         };
-        self.begin_task(wish, machine, most_sends, self.counts_by_epochs());
+        self.begin_task(intent, machine, most_sends, self.counts_by_epochs());
     }
 
     fn begin_task(
         &mut self,
-        wish: Wish,
+        intent: Intent,
         machine: Option<usize>,
         most_sends: u32,
         is_patient: bool,
@@ -281,7 +284,7 @@
         self.operators.tasks.insert(
             task,
             Task {
-                wish,
+                intent,
                 id,
                 machine,
                 sends: 0,
@@ -305,8 +308,8 @@
             return;
         };
         found.sends += 1;
-        let (action, is_patient) = (action_of(task, &found.wish), found.is_patient);
-        let is_change = !matches!(found.wish, Wish::ReadState | Wish::ReadPlan);
+        let (action, is_patient) = (action_of(task, &found.intent), found.is_patient);
+        let is_change = !matches!(found.intent, Intent::ReadState | Intent::ReadPlan);
         // Where plans are counted by epochs, the register of plans isn't judged.
         let is_judged =
             |action: &CallAction| !(counts_by_epochs && matches!(action, CallAction::ReadPlan));
@@ -334,7 +337,7 @@
             self.inject_after_send(machine);
         }
         if !is_patient {
-            self.put(SILENCE, Event::Silence { call });
+            self.put(CALL_TIMEOUT, Event::CallTimeout { call });
         }
     }
 
@@ -381,7 +384,7 @@
     }
 
     /// An operator waits for this call no longer.
-    pub(super) fn on_silence(&mut self, call: u64) {
+    pub(super) fn on_call_timeout(&mut self, call: u64) {
         let Some(given_up) = self.operators.calls.remove(&call) else {
             return;
         };
@@ -390,10 +393,10 @@
             given_up.machine,
             self.controllers[given_up.machine].incarnation,
         );
-        let notices = 1 + self.below(HANG_UP_NOTICED);
+        let notices = 1 + self.below(CLOSE_NOTICED_WITHIN);
         self.put(
             notices,
-            Event::HangUp {
+            Event::ConnectionClosed {
                 machine,
                 incarnation,
                 call,
@@ -403,25 +406,25 @@
     }
 
     /// What a call is at the controller that it reached.
-    pub(super) fn asked_of(&self, call: u64) -> Option<(Wish, Asked)> {
+    pub(super) fn pending_call_of(&self, call: u64) -> Option<(Intent, PendingCall)> {
         let task = self.operators.calls.get(&call)?.task;
         let found = self.operators.tasks.get(&task)?;
-        // Withdrawals and their like get an id of their own with each call, as at the daemon's door.
+        // Withdrawals and their like get an id of their own with each call, as at the daemon's admin API.
         let is_new =
-            matches!(found.wish, Wish::Command(_)) || self.rules.mutant == Some(Mutant::NewIds);
+            matches!(found.intent, Intent::Command(_)) || self.rules.mutant == Some(Mutant::NewIds);
         let id = if is_new {
             format!("op-{call}")
         } else {
             found.id.clone()
         };
-        let (newest_told, lost) = (self.witness.newest_told, self.lost());
+        let (newest_acknowledged, lost) = (self.witness.newest_acknowledged, self.lost());
         Some((
-            found.wish.clone(),
-            Asked {
+            found.intent.clone(),
+            PendingCall {
                 at: self.now,
                 id,
                 command: None,
-                newest_told,
+                newest_acknowledged,
                 lost,
             },
         ))
@@ -429,10 +432,10 @@
 
     /// A controller answers a call.
     pub(super) fn on_operator_response(&mut self, number: u64, status: u16, body: &[u8]) {
-        let Some(asked) = self.operators.asked.remove(&number) else {
+        let Some(pending) = self.operators.pending.remove(&number) else {
             return;
         };
-        // Of calls that were given up, and answers that are lost, operators hear nothing.
+        // Of calls that were given up, and answers that are lost, operators learn nothing.
         let call = self.operators.calls.get(&number);
         if call.is_some_and(|call| call.is_answer_lost)
             || (call.is_none() && number <= self.operators.next_call)
@@ -440,9 +443,9 @@
             return;
         }
         let call = self.operators.calls.remove(&number);
-        match asked.command {
-            Some(_) => self.on_change_answered(number, call, asked, body),
-            None => self.on_read(number, call, &asked, status, body),
+        match pending.command {
+            Some(_) => self.on_change_answered(number, call, pending, body),
+            None => self.on_read(number, call, &pending, status, body),
         }
     }
 
@@ -450,7 +453,7 @@
         &mut self,
         number: u64,
         call: Option<OperatorCall>,
-        asked: Asked,
+        pending: PendingCall,
         body: &[u8],
     ) {
         let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
@@ -462,47 +465,47 @@
             || is(ResultCode::FateUnknown)
             || is(ResultCode::Overtaken);
         self.witness
-            .operator_told(self.now, asked.at, &asked.id, code, epoch);
+            .record_acknowledgement(self.now, pending.at, &pending.id, code, epoch);
         match (is_accepted, is_unclear) {
             (true, _) => self.history.answered(self.now, number, CallAnswer::Done),
             (_, true) => self.history.given_up(self.now, number),
             _ => self.history.answered(self.now, number, CallAnswer::Refused),
         }
         if is_accepted {
-            self.on_accepted(&asked, call.as_ref(), epoch);
+            self.on_accepted(&pending, call.as_ref(), epoch);
         }
         let Some(call) = call else { return };
         if is_unclear {
             return self.try_later(call.task);
         }
         if let Some(task) = self.operators.tasks.remove(&call.task)
-            && let Wish::Plan {
+            && let Intent::Plan {
                 basis: Basis::Revision { base, own },
                 ..
             }
-            | Wish::Patch {
+            | Intent::Patch {
                 basis: Basis::Revision { base, own },
                 ..
-            } = task.wish
+            } = task.intent
         {
             let known = if is_accepted { own } else { base };
             self.operators.revision = self.operators.revision.max(known);
             if !is_accepted {
                 // Another version is current: which?
-                self.begin(Wish::ReadPlan, None);
+                self.begin(Intent::ReadPlan, None);
             }
         }
     }
 
-    fn on_accepted(&mut self, asked: &Asked, call: Option<&OperatorCall>, epoch: u64) {
-        match &asked.command {
+    fn on_accepted(&mut self, pending: &PendingCall, call: Option<&OperatorCall>, epoch: u64) {
+        match &pending.command {
             Some(Command::ForceRemove { members }) => {
                 // Who was lost when it was asked may have come back since.
                 let is_wrong = |m: &&RouterMachine| {
-                    members.contains(&m.address) && !m.is_lost && !asked.lost.contains(&m.address)
+                    members.contains(&m.address) && !m.is_lost && !pending.lost.contains(&m.address)
                 };
                 if let Some(living) = self.routers.iter().find(is_wrong).map(|m| m.address)
-                    && asked.at + 200 > self.now
+                    && pending.at + 200 > self.now
                 {
                     self.witness
                         .violate(self.now, format!("{living} lives and was forgotten"));
@@ -522,14 +525,14 @@
         &mut self,
         number: u64,
         call: Option<OperatorCall>,
-        asked: &Asked,
+        pending: &PendingCall,
         status: u16,
         body: &[u8],
     ) {
         let task = call.and_then(|call| self.operators.tasks.remove(&call.task));
         let value: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         if let Some(Task {
-            wish: Wish::ReadPlan,
+            intent: Intent::ReadPlan,
             ..
         }) = task
         {
@@ -560,8 +563,8 @@
         self.history
             .answered(self.now, number, CallAnswer::Zones(zones));
         self.operators.epoch = self.operators.epoch.max(epoch);
-        if epoch < asked.newest_told {
-            let newest = asked.newest_told;
+        if epoch < pending.newest_acknowledged {
+            let newest = pending.newest_acknowledged;
             self.witness.violate(
                 self.now,
                 format!("a read gave epoch {epoch} after {newest} was told"),
@@ -571,15 +574,15 @@
 }
 
 /// A call as the history has it; `None` of those that are judged elsewhere.
-fn action_of(task: u64, wish: &Wish) -> Option<CallAction> {
+fn action_of(task: u64, intent: &Intent) -> Option<CallAction> {
     let set = |zone: &ZoneName, is_withdrawn| {
         Some(CallAction::SetZone {
             zone: zone.clone(),
             is_withdrawn,
         })
     };
-    match wish {
-        Wish::Plan { basis, .. } | Wish::Patch { basis, .. } => match *basis {
+    match intent {
+        Intent::Plan { basis, .. } | Intent::Patch { basis, .. } => match *basis {
             Basis::ConfigEpoch(_) => None,
             Basis::Revision { base, own } => Some(CallAction::Put {
                 change: task,
@@ -587,10 +590,10 @@
                 revision: own,
             }),
         },
-        Wish::Command(Command::Withdraw { zone }) => set(zone, true),
-        Wish::Command(Command::Restore { zone }) => set(zone, false),
-        Wish::Command(_) => None,
-        Wish::ReadState => Some(CallAction::ReadZones),
-        Wish::ReadPlan => Some(CallAction::ReadPlan),
+        Intent::Command(Command::Withdraw { zone }) => set(zone, true),
+        Intent::Command(Command::Restore { zone }) => set(zone, false),
+        Intent::Command(_) => None,
+        Intent::ReadState => Some(CallAction::ReadZones),
+        Intent::ReadPlan => Some(CallAction::ReadPlan),
     }
 }
--- a/crates/simulator/src/world/relays.rs
+++ b/crates/simulator/src/world/relays.rs
@@ -1,9 +1,12 @@
 //! Controllers without a disk, and settings that come to name other seeds.
 
-use super::*;
+use crate::world::ControllerMachine;
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
+use controller::ControllerInput;
 use controller::{DisklessController, DisklessControllerInput, PeerDiscovery};
 use replication::LeaseStatus;
+use router::{Node, NodeInput};
 use types::{Address, MonotonicInstant, ZoneName};
 
 /// Running processes read their settings this often.
--- a/crates/simulator/src/world/rules.rs
+++ b/crates/simulator/src/world/rules.rs
@@ -1,9 +1,10 @@
 //! How a run goes.
 
-use super::*;
 use crate::deployment::Deployment;
 use crate::schedule::ScheduleRules;
 use crate::world::{FaultKind, Mutant};
+use controller::Quorum;
+use placement::SchedulerRules;
 use types::Milliseconds;
 
 /// How a run goes.
--- a/crates/simulator/src/world/streams.rs
+++ b/crates/simulator/src/world/streams.rs
@@ -1,12 +1,14 @@
 //! Streams: what servers give, through the router's own reader, to clients who judge every piece, and who
 //! read on elsewhere when a stream is cut.
 
-use super::*;
 use crate::schedule::Progress;
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
 use loadgen::prompt_fingerprint;
+use placement::Outcome;
 use router::RunPiece;
 use router::{ChunkReader, RelayedLine, RequestInput, resume_id};
+use router::{NodeInput, NodeOutput};
 use types::{MonotonicInstant, RequestId, RunId};
 
 /// A stream as it stands, on its client's side and on its router's.
@@ -60,7 +62,7 @@
         };
         let s = &self.servers[server];
         let progress = s.schedule.progress(&run, MonotonicInstant(self.now));
-        let is_lost = !s.is_up || s.is_dark || s.incarnation != request.server_life;
+        let is_lost = !s.is_up || s.is_dark || s.incarnation != request.server_incarnation;
         let (Some(Progress::Pieces(there, _) | Progress::All(there)), false) = (progress, is_lost)
         else {
             return self.cut(&id);
@@ -186,7 +188,7 @@
             }
             None => {
                 self.ended(id, Outcome::Complete);
-                self.carried(id, RequestInput::Finish);
+                self.on_stream_input(id, RequestInput::Finish);
             }
         }
         false
@@ -207,7 +209,7 @@
             .as_ref()
             .is_some_and(|stream| stream.resumed_as.is_none())
         {
-            self.carried(id, RequestInput::Relay);
+            self.on_stream_input(id, RequestInput::Relay);
         }
     }
 
@@ -242,7 +244,7 @@
             }
             None => {
                 self.ended(id, Outcome::Failed);
-                self.carried(id, RequestInput::Abort);
+                self.on_stream_input(id, RequestInput::Abort);
             }
         }
     }
@@ -271,7 +273,7 @@
             return true;
         }
         self.requests.remove(id);
-        self.witness.told(id, word);
+        self.witness.record_outcome(id, word);
         false
     }
 
@@ -323,7 +325,7 @@
             self.read_on(&id, "broken");
             return;
         };
-        request.server_life = self.servers[server].incarnation;
+        request.server_incarnation = self.servers[server].incarnation;
         request.run = Some((server, token.run.clone()));
         if let Some(stream) = &mut request.stream {
             let from = if is_again { 0 } else { stream.next };
--- a/crates/simulator/src/world/tenants.rs
+++ b/crates/simulator/src/world/tenants.rs
@@ -1,12 +1,12 @@
 //! Tenants in the simulator: whose requests are whose, what plans say of them, and whether any window held more
 //! than a quota's bound.
 
-use super::*;
 use crate::world::{Mutant, Witness, World};
 use config::KeyDigest;
 use quota::{Amount, QuotaBounds, QuotaLimit};
 use router::Access;
 use types::{Milliseconds, RequestId};
+use wire::Message;
 
 /// By how much quotas may be exceeded here.
 pub(super) const QUOTA_BOUNDS: QuotaBounds = QuotaBounds {
--- a/crates/simulator/src/world/tests.rs
+++ b/crates/simulator/src/world/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::deployment::Deployment;
 use crate::world::{FaultKind, Mutant, Witness, World, WorldRules};
+use config::Command;
+use controller::Quorum;
 use types::{Milliseconds, ResultCode};
 use yare::parameterized;
 
@@ -106,14 +108,14 @@
     let members = vec![world.routers[0].address];
     let lost = if was_lost { members.clone() } else { vec![] };
     let command = Some(Command::ForceRemove { members });
-    let asked = operators::Asked {
+    let pending = operators::PendingCall {
         at: world.now,
         id: "op-1".into(),
         command,
-        newest_told: 0,
+        newest_acknowledged: 0,
         lost,
     };
-    world.operators.asked.insert(1, asked);
+    world.operators.pending.insert(1, pending);
     let code = ResultCode::Accepted.number();
     world.on_operator_response(
         1,
--- a/crates/simulator/src/world/traffic.rs
+++ b/crates/simulator/src/world/traffic.rs
@@ -1,32 +1,62 @@
 //! Clients, their requests' way through a router, and servers.
 
-use super::*;
 use crate::schedule::Schedule;
+use crate::world::event::Event;
 use crate::world::{Mutant, World};
+use crate::world::{ServerMachine, SimRequest, streams};
+use config::ServiceKind;
 use placement::RequestCost;
 use placement::block_hashes;
+use placement::{Event as SchedulerEvent, Outcome};
 use router::RunRequest;
 use router::{
     Access, AttemptInput, AttemptOutput, AttemptSequence, Failure, KvTask, Placement,
     PlacementRequest, Rejection, RequestInput, RequestOutput, run_id,
 };
+use router::{NodeInput, NodeOutput};
 use types::{
     Address, ConfigEpoch, Milliseconds, MonotonicInstant, RequestId, ResultCode, RunId, ServerName,
 };
 
 impl World {
+    /// A client sends a request, and the next arrival is scheduled.
     pub(super) fn on_arrival(&mut self) {
+        self.schedule_next_arrival();
+        let number = self.witness.arrivals;
+        self.witness.arrivals += 1;
+        let (service, prefix, shared_bytes, own_bytes) = self.draw_prompt_shape();
+        let id = RequestId(format!("{service}-{number}"));
+        let prompt = repeat_to(format!("{service} {prefix} "), shared_bytes)
+            + &repeat_to(format!("{id} "), own_bytes);
+        let machine = self.below(self.routers.len() as u64) as usize;
+        let router = &self.routers[machine];
+        if router.node.is_none() || self.now < router.frozen_until || router.is_cut_off {
+            return self.witness.record_outcome(&id, "unreached");
+        }
+        let owner = match self.draw_ownership(machine) {
+            Ok(owner) => owner,
+            Err(()) => return self.witness.record_outcome(&id, "unauthorized"),
+        };
+        let (attempts, first) = AttemptSequence::begin();
+        let request = self.new_request(number, service, machine, attempts, prompt, owner);
+        self.requests.insert(id.clone(), request);
+        self.on_attempt_output(&id, first);
+    }
+
+    fn schedule_next_arrival(&mut self) {
         let end = self.rules.span.0 + self.rules.calm.0;
         if self.now + 1500 < end {
-            let rate = self.rules.requests_a_second.max(1)
-                * if self.now < self.crowd_until { 5 } else { 1 };
+            let crowd_factor = if self.now < self.crowd_until { 5 } else { 1 };
+            let rate = self.rules.requests_a_second.max(1) * crowd_factor;
             let gap = 1 + self.below(2 * 1000 / rate);
             self.put(gap, Event::Arrival);
         }
-        let number = self.witness.arrivals;
-        self.witness.arrivals += 1;
+    }
+
+    /// Draws a request's service, the number of its shared prefix, and the bytes of its shared and own part.
+    fn draw_prompt_shape(&mut self) -> (&'static str, u64, usize, usize) {
         let pick = self.below(100);
-        let (service, prefix, shared, own) = match pick {
+        match pick {
             0..60 if self.now < self.crowd_until => ("drafts", 900, 6144, 1500),
             0..25 if self.chance(self.rules.hot_share) => {
                 ("drafts", 1000 + self.now / 8000, 6144, 1500)
@@ -35,38 +65,31 @@
             25..80 => ("questions", self.below(30), 512, 200),
             80..90 => ("extra", 0, 200, 100),
             _ => ("pages", 0, 0, 0),
-        };
-        let id = RequestId(format!("{service}-{number}"));
-        let words = |text: String, bytes: usize| {
-            let mut all = text.repeat(bytes / text.len() + 1);
-            all.truncate(bytes);
-            all
-        };
-        let prompt = words(format!("{service} {prefix} "), shared) + &words(format!("{id} "), own);
-        let machine = self.below(self.routers.len() as u64) as usize;
-        let router = &self.routers[machine];
-        if router.node.is_none() || self.now < router.frozen_until || router.is_cut_off {
-            return self.witness.told(&id, "unreached");
         }
-        let owner = match self.draw_ownership(machine) {
-            Ok(owner) => owner,
-            Err(()) => return self.witness.told(&id, "unauthorized"),
-        };
-        let (attempts, first) = AttemptSequence::begin();
-        let router = &self.routers[machine];
-        let request = SimRequest {
+    }
+
+    fn new_request(
+        &self,
+        number: u64,
+        service: &'static str,
+        machine: usize,
+        attempts: AttemptSequence,
+        prompt: String,
+        owner: Option<super::tenants::Ownership>,
+    ) -> SimRequest {
+        SimRequest {
             owner,
             access: Access::Unrestricted,
             came: self.now,
             number,
             service: service.into(),
             router: machine,
-            incarnation: router.incarnation,
+            incarnation: self.routers[machine].incarnation,
             attempts,
             prompt,
-            asked: None,
+            sent_to: None,
             run: None,
-            server_life: 0,
+            server_incarnation: 0,
             had_first: false,
             epoch: ConfigEpoch(0),
             meant_for: None,
@@ -74,12 +97,10 @@
             pieces: if service == "drafts" { 20 } else { 6 },
             stream: None,
             keep: false,
-        };
-        self.requests.insert(id.clone(), request);
-        self.on_errand(&id, first);
+        }
     }
 
-    /// Moves a request's errand on and does what it wants.
+    /// Gives an input to a request's attempts and acts on their output.
     fn attempts(&mut self, id: &RequestId, input: AttemptInput) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -90,10 +111,10 @@
         {
             (request.attempts, output) = AttemptSequence::begin();
         }
-        self.on_errand(id, output);
+        self.on_attempt_output(id, output);
     }
 
-    fn on_errand(&mut self, id: &RequestId, output: AttemptOutput) {
+    fn on_attempt_output(&mut self, id: &RequestId, output: AttemptOutput) {
         match output {
             AttemptOutput::Place {
                 round,
@@ -110,7 +131,7 @@
                     request.stream = Some(streams::SimStream::new(placing.token, placing.run));
                 }
             }
-            // No errand of the simulator's is told of a torn stream.
+            // No request of the simulator's learns here of a torn stream.
             AttemptOutput::Abort(_) => {}
             AttemptOutput::Finish(rejection) => {
                 self.close(
@@ -125,8 +146,8 @@
         }
     }
 
-    /// What the answer that a server gives does to the request's chart.
-    pub(super) fn carried(&mut self, id: &RequestId, input: RequestInput) {
+    /// Gives what came of a server's stream to the request's attempts.
+    pub(super) fn on_stream_input(&mut self, id: &RequestId, input: RequestInput) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -158,7 +179,7 @@
             return;
         }
         self.requests.remove(id);
-        self.witness.told(id, word);
+        self.witness.record_outcome(id, word);
         if word == "complete" {
             self.witness.completions.push(self.now);
         }
@@ -179,7 +200,7 @@
             return;
         }
         if self.requests.remove(id).is_some() {
-            self.witness.told(id, "unknown");
+            self.witness.record_outcome(id, "unknown");
         }
         if let Some((server, run)) = run {
             self.servers[server]
@@ -287,7 +308,7 @@
         request.epoch = placing.epoch;
         request.access = placing.access;
         request.meant_for = placing.incarnation;
-        request.asked = Some(placing.server);
+        request.sent_to = Some(placing.server);
         let machine = request.router;
         if !self.may_act(machine) {
             return self.withhold(id);
@@ -338,7 +359,7 @@
         let m = &self.routers[machine];
         let is_apart = self
             .witness
-            .sent(self.now, m.address, epoch, &m.touch, self.rules.quorum);
+            .sent(self.now, m.address, epoch, &m.contact, self.rules.quorum);
         self.requests
             .entry(id.clone())
             .and_modify(|request| request.is_apart = is_apart);
@@ -355,7 +376,7 @@
     fn may_act(&self, machine: usize) -> bool {
         let m = &self.routers[machine];
         let now = MonotonicInstant(self.now + m.offset);
-        // What the control thread last said, as carriers see it: it says nothing while it's frozen.
+        // What the control thread last said, as carriers see it: it changes nothing while it's frozen.
         m.node.is_some() && now < m.may_act_until
     }
 
@@ -392,7 +413,7 @@
         );
         let apart_from = request.is_apart.then_some(request.epoch);
         let s = &mut self.servers[server];
-        if !s.is_up || is_cut_off || request.asked.as_ref() != Some(&s.name) {
+        if !s.is_up || is_cut_off || request.sent_to.as_ref() != Some(&s.name) {
             self.put(
                 2,
                 Event::RunOutcome {
@@ -402,7 +423,7 @@
             );
             return;
         }
-        self.witness.asked(&id, &service);
+        self.witness.attempted(&id, &service);
         if s.is_dark {
             // It takes the request, may or may not run it, and says nothing.
             self.witness.run(self.now, &id, &service, s, 0, apart_from);
@@ -424,7 +445,7 @@
             let server = s.name.clone();
             return self.put(
                 2,
-                Event::OtherLife {
+                Event::OtherIncarnation {
                     request: id,
                     server,
                 },
@@ -463,7 +484,7 @@
         );
         if let Some(request) = self.requests.get_mut(&id) {
             request.run = Some((server, run));
-            request.server_life = incarnation;
+            request.server_incarnation = incarnation;
         }
         self.put(
             2,
@@ -474,8 +495,8 @@
         );
     }
 
-    /// The server says that it's not the life that the request was meant for.
-    pub(super) fn on_other_life(&mut self, id: RequestId, server: ServerName) {
+    /// The server says that it is not the incarnation that the request was meant for.
+    pub(super) fn on_other_incarnation(&mut self, id: RequestId, server: ServerName) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -484,7 +505,7 @@
             let wake = self.routers[machine].frozen_until - self.now;
             return self.put(
                 wake,
-                Event::OtherLife {
+                Event::OtherIncarnation {
                     request: id,
                     server,
                 },
@@ -524,7 +545,7 @@
                 self.attempts(&id, AttemptInput::Open);
                 if is_fetch {
                     self.ended(&id, Outcome::Complete);
-                    self.carried(&id, RequestInput::Finish);
+                    self.on_stream_input(&id, RequestInput::Finish);
                 } else {
                     self.put(10, Event::Watch { request: id });
                 }
@@ -616,3 +637,10 @@
         self.publish();
     }
 }
+
+/// Repeats a text up to so many bytes.
+fn repeat_to(text: String, bytes: usize) -> String {
+    let mut all = text.repeat(bytes / text.len() + 1);
+    all.truncate(bytes);
+    all
+}
