--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -1,6 +1,7 @@
 //! A process with many hollow nodes: one thread owns them all.
 
-use super::{HollowRules, HostCommand, HostWord};
+use crate::hollow::protocol::{HostCommand, HostReport};
+use crate::hollow::rules::HollowRules;
 use config::ServiceKind;
 use config::parse_plan;
 use placement::{Event, Outcome, RequestCost, SchedulerRules, mix};
@@ -101,7 +102,7 @@
     }
 }
 
-/// Which zone an address is in, see [`super::node_address`]; controllers are in none of the nodes'.
+/// Which zone an address is in, see [`super::start::node_address`]; controllers are in none of the nodes'.
 fn zone_octet(address: &Address) -> Option<u8> {
     match address.0.ip() {
         std::net::IpAddr::V4(ip) => Some(ip.octets()[1]),
@@ -109,7 +110,7 @@
     }
 }
 
-fn say(word: &HostWord) {
+fn say(word: &HostReport) {
     let line = serde_json::to_string(word).expect("a word is JSON");
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
@@ -213,7 +214,7 @@
                 self.replaced = replaced;
                 (0..self.nodes.len()).for_each(|place| self.tell_server_list(place));
             }
-            Input::Command(HostCommand::Tell) => self.tell_sent(),
+            Input::Command(HostCommand::ReportTraffic) => self.tell_sent(),
         }
         Ok(())
     }
@@ -232,7 +233,7 @@
             }
             rows.push((one.address, messages, bytes, far));
         }
-        say(&HostWord::Sent(rows, self.placed, self.refused));
+        say(&HostReport::Sent(rows, self.placed, self.refused));
     }
 
     /// Does all that is due; gives when something is again.
@@ -381,7 +382,7 @@
         }
         if node.epoch() != one.epoch {
             one.epoch = node.epoch();
-            say(&HostWord::ConfigEpoch(
+            say(&HostReport::ConfigEpoch(
                 one.address,
                 one.epoch.0,
                 Clock::now().0,
--- a/crates/testbed/src/hollow/pages.rs
+++ b/crates/testbed/src/hollow/pages.rs
@@ -1,12 +1,13 @@
 //! Lines fitted through runs of several sizes, and their picture.
 
-use super::{HollowReport, Role};
+use crate::hollow::costs::{Role, RoleCost};
+use crate::hollow::report::HollowReport;
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 use plotters::prelude::*;
 use std::path::Path;
 
 /// A figure of a role, and how it is read from a run.
-type Figure = (&'static str, Role, fn(&super::RoleCost) -> f64);
+type Figure = (&'static str, Role, fn(&RoleCost) -> f64);
 
 const FIGURES: [Figure; 6] = [
     ("node: core %", Role::Node, |cost| cost.core * 100.0),
