--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -16,47 +16,16 @@
 use wire::Message;
 
 impl World {
+    /// Starts a controller's process on what its disk kept, unless it runs already or its machine is gone.
     pub(super) fn start_controller(&mut self, machine: usize) {
-        let founders: Vec<Address> = (0..self.controller_count())
-            .map(|n| Address::loopback(1001 + n as u16))
-            .collect();
-        let mut timing = ControllerTiming::default();
-        timing.replica.suspect_timeout =
-            self.rules.suspect.unwrap_or(timing.replica.suspect_timeout);
-        timing.quorum = self.rules.quorum;
-        timing.quota = self.tails_bounds();
-        timing.replica.min_chain_length = self.rules.copies;
-        if self.rules.mutant == Some(Mutant::SkipFencing) {
-            timing.replica.lease_duration = Milliseconds(0);
-        }
-        if self.rules.mutant == Some(Mutant::IgnoreLease) {
-            timing.lease = Milliseconds::seconds(60);
-        }
-        if self.rules.mutant == Some(Mutant::ForgetHolders) {
-            timing.lease = Milliseconds(0);
-        }
+        let timing = self.controller_timing();
         let seeds = self.seeds_of(machine);
-        let contacts = {
-            let m = &self.controllers[machine];
-            self.contacts_of(m.address, MonotonicInstant(self.now + m.offset))
-        };
+        let m = &self.controllers[machine];
+        let contacts = self.contacts_of(m.address, MonotonicInstant(self.now + m.offset));
+        // Drawn also where nothing starts: a seed's later draws depend on it.
         let key = TokenKey([self.draw() as u8; 32]);
-        let incarnation =
-            mix(mix(self.rules.seed ^ machine as u64) ^ self.controllers[machine].incarnation);
-        let incarnation = if self.rules.mutant == Some(Mutant::ReuseNumbers) {
-            0
-        } else {
-            incarnation
-        };
-        let span = if self.rules.mutant == Some(Mutant::ForgetTooEarly) {
-            2
-        } else {
-            MAX_HISTORY_ENTRIES
-        };
-        let empty = ConfigStateMachine {
-            history: History::with_max_entries(span),
-            ..ConfigStateMachine::default()
-        };
+        let incarnation = self.controller_incarnation(machine);
+        let empty = self.empty_config_state();
         let m = &mut self.controllers[machine];
         if m.controller.is_some() || m.is_gone {
             return;
@@ -64,43 +33,86 @@
         m.incarnation += 1;
         m.disk.pending.clear();
         let now = MonotonicInstant(self.now + m.offset);
+        let known = self.known_controllers(machine, seeds);
+        let m = &mut self.controllers[machine];
         let me = Voter {
             address: m.address,
             disk: m.disk.id,
         };
-        // Told that it is a founder at its first start alone, as on the users' platform.
-        let is_first = m.incarnation == 1 && founders.contains(&m.address);
-        let others = || {
-            founders
-                .iter()
-                .filter(|founder| **founder != m.address)
-                .copied()
-                .collect()
-        };
-        let known = match (is_first, seeds) {
-            (true, _) => founders.clone(),
-            (false, Some(seeds)) => seeds,
-            (false, None) => others(),
-        };
         let kept = RecoveredRecords {
             records: m.disk.durable.clone(),
         };
         match Replica::new(me, known, timing.replica, kept, empty, now) {
             Ok(replica) => {
-                m.controller = Some(Controller::new(
-                    replica,
-                    contacts,
-                    timing,
-                    key,
-                    incarnation,
-                    now,
-                ))
+                let controller = Controller::new(replica, contacts, timing, key, incarnation, now);
+                m.controller = Some(controller);
             }
             Err(fault) => self.witness.violate(
                 self.now,
                 format!("a disk gave back what can't be used: {fault}"),
             ),
         }
+        self.schedule_first_tick(machine);
+    }
+
+    /// The controllers' timing under the rules and the mutant of this world.
+    fn controller_timing(&self) -> ControllerTiming {
+        let mut timing = ControllerTiming::default();
+        timing.replica.suspect_timeout =
+            self.rules.suspect.unwrap_or(timing.replica.suspect_timeout);
+        timing.quorum = self.rules.quorum;
+        timing.quota = self.tails_bounds();
+        timing.replica.min_chain_length = self.rules.copies;
+        match self.rules.mutant {
+            Some(Mutant::SkipFencing) => timing.replica.lease_duration = Milliseconds(0),
+            Some(Mutant::IgnoreLease) => timing.lease = Milliseconds::seconds(60),
+            Some(Mutant::ForgetHolders) => timing.lease = Milliseconds(0),
+            _ => {}
+        }
+        timing
+    }
+
+    /// The number of a controller's next incarnation, by which its reads and proposals are numbered.
+    fn controller_incarnation(&self, machine: usize) -> u64 {
+        if self.rules.mutant == Some(Mutant::ReuseNumbers) {
+            return 0;
+        }
+        let starts = self.controllers[machine].incarnation;
+        mix(mix(self.rules.seed ^ machine as u64) ^ starts)
+    }
+
+    /// The state that a controller has before any record is applied.
+    fn empty_config_state(&self) -> ConfigStateMachine {
+        let max_entries = if self.rules.mutant == Some(Mutant::ForgetTooEarly) {
+            2
+        } else {
+            MAX_HISTORY_ENTRIES
+        };
+        ConfigStateMachine {
+            history: History::with_max_entries(max_entries),
+            ..ConfigStateMachine::default()
+        }
+    }
+
+    /// The controllers that a starting one knows: all founders, itself among them, at a founder's first start alone,
+    /// as on the users' platform; later its seeds, or the other founders.
+    fn known_controllers(&self, machine: usize, seeds: Option<Vec<Address>>) -> Vec<Address> {
+        let m = &self.controllers[machine];
+        let mut founders: Vec<Address> = (0..self.controller_count())
+            .map(|n| Address::loopback(1001 + n as u16))
+            .collect();
+        let is_first = m.incarnation == 1 && founders.contains(&m.address);
+        match (is_first, seeds) {
+            (true, _) => founders,
+            (false, Some(seeds)) => seeds,
+            (false, None) => {
+                founders.retain(|founder| *founder != m.address);
+                founders
+            }
+        }
+    }
+
+    fn schedule_first_tick(&mut self, machine: usize) {
         let incarnation = self.controllers[machine].incarnation;
         self.put(
             1,
