--- a/crates/testbed/src/answers/server.rs
+++ b/crates/testbed/src/answers/server.rs
@@ -1,10 +1,11 @@
 //! A stand-in server that treats each request as the seed draws.
 
 use super::config_state::{CallKind, ConfigStateMachine, body_of};
-use super::dialect::{AFTER, ID, MARK, NOT_RUN, SERVER};
+use super::dialect::{AFTER, ID, SERVER};
 use super::message::{Message, read_body, read_head};
 use super::play::Play;
 use placement::mix;
+use response::{ResponseParts, refusal};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{self, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,6 +13,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
+mod response;
+
 /// A server.
 #[derive(Debug, Clone)]
 pub struct Server {
@@ -29,13 +32,6 @@
     config_state: Arc<Mutex<ConfigStateMachine>>,
 }
 
-/// What a server says on one request.
-struct Said<'a> {
-    id: &'a str,
-    body: &'a str,
-    mark: &'a str,
-}
-
 impl Server {
     /// Starts one at a free port.
     pub fn start(
@@ -160,7 +156,7 @@
             stream,
             reader,
             play,
-            &Said {
+            &ResponseParts {
                 id: &id,
                 body: &body,
                 mark: &mark,
@@ -206,146 +202,49 @@
     }
 }
 
-fn refusal(status: u16, id: Option<&str>) -> String {
-    let id = id.map(|id| format!("{ID}: {id}\r\n")).unwrap_or_default();
-    format!("HTTP/1.1 {status} No\r\n{id}{NOT_RUN}: 1\r\ncontent-length: 2\r\n\r\nno")
-}
-
-impl Said<'_> {
-    fn marked(&self) -> String {
-        format!("{ID}: {}\r\n{MARK}: {}\r\n", self.id, self.mark)
-    }
-    fn with(&self, headers: &str) -> String {
-        format!(
-            "HTTP/1.1 200 OK\r\n{headers}content-length: {}\r\n\r\n{}",
-            self.body.len(),
-            self.body
-        )
-    }
-    fn whole(&self) -> String {
-        self.with(&self.marked())
-    }
-    fn chunked_head(&self) -> String {
-        format!(
-            "HTTP/1.1 200 OK\r\n{}transfer-encoding: chunked\r\n\r\n",
-            self.marked()
-        )
-    }
-    fn half(&self) -> &str {
-        &self.body[..self.body.len() / 2]
-    }
-}
-
-fn chunk(text: &str) -> String {
-    format!("{:x}\r\n{text}\r\n", text.len())
-}
-
 fn perform(
     stream: &mut TcpStream,
     reader: &mut BufReader<TcpStream>,
     play: Play,
-    said: &Said<'_>,
+    response: &ResponseParts<'_>,
 ) -> io::Result<After> {
-    let foreign = format!("{ID}: other\r\n{MARK}: other\r\n");
-    let (text, after) = match play {
-        Play::Whole => (said.whole(), After::Stay),
-        Play::WholeInChunks => (
-            said.chunked_head() + &chunk(said.body) + "0\r\n\r\n",
-            After::Stay,
-        ),
-        Play::Interim => {
-            let interim =
-                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\n".to_owned();
-            (interim + &said.whole(), After::Stay)
-        }
-        Play::CloseSaid => (
-            said.with(&(said.marked() + "connection: close\r\n")),
-            After::Close,
-        ),
-        Play::CloseUnsaid => (said.whole(), After::Close),
-        Play::SurplusOwn => (said.whole() + &said.whole(), After::Stay),
-        Play::SurplusRefusal => (said.whole() + &refusal(503, None), After::Stay),
-        Play::SurplusForeign => (said.whole() + &said.with(&foreign), After::Stay),
-        Play::SurplusGarbage => (said.whole() + "and more\r\n\r\n", After::Stay),
-        Play::LateRefusal => (said.whole(), After::StayWith(refusal(503, None))),
-        Play::LateElsewhere => (said.whole(), After::StayWith(refusal(421, None))),
-        Play::LateOwn => (said.whole(), After::StayWith(said.whole())),
-        Play::Failed => (
-            format!(
-                "HTTP/1.1 500 Ill\r\n{ID}: {}\r\ncontent-length: 3\r\n\r\nill",
-                said.id
-            ),
-            After::Stay,
-        ),
-        Play::ResetRun | Play::ResetUnread => (String::new(), After::Reset),
-        Play::CloseRun => (String::new(), After::Close),
+    match play {
         Play::HalfClose => {
             stream.shutdown(Shutdown::Write)?;
-            return await_end(reader);
-        }
-        Play::TornHead => (
-            format!("HTTP/1.1 200 OK\r\n{ID}: {}", said.id),
-            After::Close,
-        ),
-        Play::TornBody => {
-            let length = said.body.len();
-            let head = format!(
-                "HTTP/1.1 200 OK\r\n{}content-length: {length}\r\n\r\n",
-                said.marked()
-            );
-            (head + said.half(), After::Close)
+            await_end(reader)
         }
-        Play::TornChunks => (said.chunked_head() + &chunk(said.half()), After::Close),
-        Play::BadChunk => (
-            said.chunked_head() + &chunk(said.half()) + "no size\r\n",
-            After::Close,
-        ),
-        Play::TwoLengths => (
-            said.with(&(said.marked() + "content-length: 1\r\n")),
-            After::Close,
-        ),
-        Play::LengthAndChunks => {
-            let head = format!(
-                "{}transfer-encoding: chunked\r\ncontent-length: 3\r\n",
-                said.marked()
-            );
-            (
-                format!("HTTP/1.1 200 OK\r\n{head}\r\n{}0\r\n\r\n", chunk(said.body)),
-                After::Stay,
-            )
+        Play::Silence => await_end(reader),
+        _ => {
+            stream.write_all(response.text(play).as_bytes())?;
+            Ok(after(play, response))
         }
-        Play::EndByClose => (
-            format!("HTTP/1.1 200 OK\r\n{}\r\n{}", said.marked(), said.half()),
-            After::Close,
-        ),
-        Play::OldHttp => (
-            format!("HTTP/1.0 200 OK\r\n{}\r\n{}", said.marked(), said.half()),
-            After::Close,
-        ),
-        Play::Garbage => ("certainly not\r\n\r\n".to_owned(), After::Close),
-        Play::ForeignId => (said.with(&foreign), After::Stay),
-        Play::MissingId => (
-            said.with(&format!("{MARK}: {}\r\n", said.mark)),
-            After::Stay,
-        ),
-        Play::TwoIds => (
-            said.with(&format!("{}{ID}: other\r\n", said.marked())),
-            After::Stay,
-        ),
-        Play::MissingMark => (said.with(&format!("{ID}: {}\r\n", said.id)), After::Stay),
-        Play::SwitchProtocol => {
-            let head = format!("{}connection: upgrade\r\nupgrade: other\r\n", said.marked());
-            (format!("HTTP/1.1 101 Other\r\n{head}\r\n"), After::Close)
-        }
-        Play::Silence => return await_end(reader),
-        Play::Refused | Play::RefusedEarly => (refusal(503, Some(said.id)), After::Stay),
-        Play::RefusedUnnamed => (refusal(503, None), After::Stay),
-        Play::Elsewhere => (refusal(421, Some(said.id)), After::Stay),
-        Play::ElsewhereUnnamed => (refusal(421, None), After::Stay),
-        Play::TornStream => (said.chunked_head() + &chunk(said.half()), After::Close),
-    };
-    stream.write_all(text.as_bytes())?;
-    Ok(after)
+    }
+}
+
+/// How the connection goes on after this response.
+fn after(play: Play, response: &ResponseParts<'_>) -> After {
+    match play {
+        Play::LateRefusal => After::StayWith(refusal(503, None)),
+        Play::LateElsewhere => After::StayWith(refusal(421, None)),
+        Play::LateOwn => After::StayWith(response.complete()),
+        Play::ResetRun | Play::ResetUnread => After::Reset,
+        Play::CloseSaid
+        | Play::CloseUnsaid
+        | Play::CloseRun
+        | Play::HalfClose
+        | Play::Silence
+        | Play::TornHead
+        | Play::TornBody
+        | Play::TornChunks
+        | Play::TornStream
+        | Play::BadChunk
+        | Play::TwoLengths
+        | Play::EndByClose
+        | Play::OldHttp
+        | Play::Garbage
+        | Play::SwitchProtocol => After::Close,
+        _ => After::Stay,
+    }
 }
 
 fn await_end(reader: &mut BufReader<TcpStream>) -> io::Result<After> {
