--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -123,64 +123,104 @@
     Ok(found)
 }
 
-/// Plays every side with every seed and prints means and spreads.
+/// Plays every side with every seed and prints means and spreads. Fails if a run shows a violation.
 pub fn measure(rules: &MeasureRules) -> Result<(), String> {
     let sides = rules.sweep.sides();
-    let found: Mutex<BTreeMap<String, Vec<Vec<f64>>>> = Mutex::default();
-    let fault: Mutex<Option<String>> = Mutex::default();
-    let next = AtomicU64::new(0);
+    let batch = MeasureBatch {
+        rules,
+        sides: &sides,
+        next: AtomicU64::new(0),
+        figures: Mutex::default(),
+        violation: Mutex::default(),
+    };
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
-            scope.spawn(|| {
-                loop {
-                    let number = next.fetch_add(1, Ordering::Relaxed);
-                    let (seed, side) = (
-                        number / sides.len() as u64,
-                        (number % sides.len() as u64) as usize,
-                    );
-                    if seed >= rules.seeds {
-                        return;
-                    }
-                    let (_, btb, scheduler) = sides[side].clone();
-                    let servers = ScheduleRules {
-                        block_micros: rules.block_micros,
-                        ..ScheduleRules::default()
-                    };
-                    let world = WorldRules {
-                        faults: 0,
-                        span: Milliseconds::seconds(30),
-                        calm: Milliseconds::seconds(12),
-                        large_plans: 0,
-                        requests_a_second: rules.requests,
-                        hot_share: rules.hot_share,
-                        btb,
-                        scheduler,
-                        servers,
-                        ..WorldRules::new(rules.deployment, seed + 1)
-                    };
-                    match figures(&World::new(world).run()) {
-                        Ok(figures) => {
-                            let mut found = found.lock().expect("no thread panics with it");
-                            for (name, value) in figures {
-                                found
-                                    .entry(name)
-                                    .or_insert_with(|| vec![vec![]; sides.len()])[side]
-                                    .push(value);
-                            }
-                        }
-                        Err(why) => {
-                            *fault.lock().expect("no thread panics with it") =
-                                Some(format!("seed {seed}: {why}"))
-                        }
-                    }
-                }
-            });
+            scope.spawn(|| batch.play_remaining());
         }
     });
-    if let Some(fault) = fault.into_inner().expect("no thread panics with it") {
-        return Err(fault);
+    if let Some(violation) = batch
+        .violation
+        .into_inner()
+        .expect("no thread panics with it")
+    {
+        return Err(violation);
     }
+    let figures = batch
+        .figures
+        .into_inner()
+        .expect("no thread panics with it");
+    print_heading(rules, &sides);
+    print_figures(&figures);
+    Ok(())
+}
+
+/// The values of each figure by its name, for each side.
+type SideFigures = BTreeMap<String, Vec<Vec<f64>>>;
+
+/// The runs of a measurement, each a seed and a side, which several threads play.
+struct MeasureBatch<'a> {
+    rules: &'a MeasureRules,
+    sides: &'a [Side],
+    /// The number of the next run.
+    next: AtomicU64,
+    figures: Mutex<SideFigures>,
+    /// The last violation that was found.
+    violation: Mutex<Option<String>>,
+}
+
+impl MeasureBatch<'_> {
+    fn play_remaining(&self) {
+        let sides = self.sides.len() as u64;
+        loop {
+            let number = self.next.fetch_add(1, Ordering::Relaxed);
+            let (seed, side) = (number / sides, (number % sides) as usize);
+            if seed >= self.rules.seeds {
+                return;
+            }
+            let witness = World::new(self.world_rules(seed, side)).run();
+            match figures(&witness) {
+                Ok(figures) => self.add_figures(side, figures),
+                Err(why) => {
+                    let mut violation = self.violation.lock().expect("no thread panics with it");
+                    *violation = Some(format!("seed {seed}: {why}"));
+                }
+            }
+        }
+    }
+
+    fn world_rules(&self, seed: u64, side: usize) -> WorldRules {
+        let (_, btb, scheduler) = self.sides[side].clone();
+        let servers = ScheduleRules {
+            block_micros: self.rules.block_micros,
+            ..ScheduleRules::default()
+        };
+        WorldRules {
+            faults: 0,
+            span: Milliseconds::seconds(30),
+            calm: Milliseconds::seconds(12),
+            large_plans: 0,
+            requests_a_second: self.rules.requests,
+            hot_share: self.rules.hot_share,
+            btb,
+            scheduler,
+            servers,
+            ..WorldRules::new(self.rules.deployment, seed + 1)
+        }
+    }
+
+    fn add_figures(&self, side: usize, figures: BTreeMap<String, f64>) {
+        let mut all = self.figures.lock().expect("no thread panics with it");
+        for (name, value) in figures {
+            let by_side = all
+                .entry(name)
+                .or_insert_with(|| vec![vec![]; self.sides.len()]);
+            by_side[side].push(value);
+        }
+    }
+}
+
+fn print_heading(rules: &MeasureRules, sides: &[Side]) {
     println!(
         "{:?}, {:?}, {} seeds, {} requests/s, {} us a block, {} % of drafts in the burst; mean (least to most)",
         rules.deployment,
@@ -190,23 +230,22 @@
         rules.block_micros,
         rules.hot_share
     );
-    println!(
-        "| figure | {} |",
-        sides
-            .iter()
-            .map(|(word, ..)| word.clone())
-            .collect::<Vec<_>>()
-            .join(" | ")
-    );
+    let names: Vec<&str> = sides.iter().map(|(name, ..)| name.as_str()).collect();
+    println!("| figure | {} |", names.join(" | "));
     println!("| --- |{}", " --- |".repeat(sides.len()));
-    for (name, sides) in found.into_inner().expect("no thread panics with it") {
-        let cells = sides.iter().map(|values| {
-            let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
-            let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-            let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-            format!("{mean:.0} ({least:.0} to {most:.0})")
-        });
-        println!("| {name} | {} |", cells.collect::<Vec<_>>().join(" | "));
+}
+
+fn print_figures(figures: &SideFigures) {
+    for (name, sides) in figures {
+        let cells: Vec<String> = sides.iter().map(|values| spread(values)).collect();
+        println!("| {name} | {} |", cells.join(" | "));
     }
-    Ok(())
+}
+
+/// The mean of these values, with the least and the greatest.
+fn spread(values: &[f64]) -> String {
+    let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
+    let least = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    format!("{mean:.0} ({least:.0} to {most:.0})")
 }
