--- a/crates/simulator/src/world/traffic.rs
+++ b/crates/simulator/src/world/traffic.rs
@@ -401,98 +401,69 @@
         }
     }
 
+    /// A request reaches its server, which takes it, refuses it, or answers that it is another incarnation.
     pub(super) fn on_run_reaches(&mut self, id: RequestId, server: usize, run: RunId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let router = &self.routers[request.router];
-        let (prompt, service, is_cut_off) = (
-            request.prompt.clone(),
-            request.service.clone(),
-            router.is_cut_off,
-        );
-        let apart_from = request.is_apart.then_some(request.epoch);
-        let s = &mut self.servers[server];
+        let s = &self.servers[server];
+        let is_cut_off = self.routers[request.router].is_cut_off;
         if !s.is_up || is_cut_off || request.sent_to.as_ref() != Some(&s.name) {
-            self.put(
-                2,
-                Event::RunOutcome {
-                    request: id,
-                    failure: Some(Failure::Unsent),
-                },
-            );
-            return;
+            return self.put_run_outcome(2, id, Some(Failure::Unsent));
         }
-        self.witness.attempted(&id, &service);
+        self.witness.attempted(&id, &request.service);
         if s.is_dark {
             // It takes the request, may or may not run it, and says nothing.
-            self.witness.run(self.now, &id, &service, s, 0, apart_from);
+            self.witness_run(&id, server, 0);
             self.judge_tenant(&id);
-            self.put(
-                2000,
-                Event::RunOutcome {
-                    request: id,
-                    failure: Some(Failure::Unknown),
-                },
-            );
-            return;
+            return self.put_run_outcome(2000, id, Some(Failure::Unknown));
         }
-        let (keep, pieces) = (request.keep, request.pieces as u32);
-        let incarnation = request
+        let meant_for = request
             .meant_for
             .filter(|_| self.rules.mutant != Some(Mutant::IgnoreLives));
-        if incarnation.is_some_and(|incarnation| incarnation != s.incarnation) {
+        if meant_for.is_some_and(|incarnation| incarnation != s.incarnation) {
             let server = s.name.clone();
-            return self.put(
-                2,
-                Event::OtherIncarnation {
-                    request: id,
-                    server,
-                },
-            );
+            let event = Event::OtherIncarnation {
+                request: id,
+                server,
+            };
+            return self.put(2, event);
         }
-        let run_request = RunRequest {
-            run: run.clone(),
-            service: service.clone(),
-            prompt,
-            max_pieces: pieces,
-            keep,
-            incarnation,
-        };
-        let is_taken = service.as_str() == "pages"
-            || s.schedule.take(&run_request, MonotonicInstant(self.now));
+        let run_request = request.run_request(run, meant_for);
+        self.take_run(id, server, run_request);
+    }
+
+    /// Gives a run to a server's schedule, and puts what came of it.
+    fn take_run(&mut self, id: RequestId, server: usize, run_request: RunRequest) {
+        let now = MonotonicInstant(self.now);
+        let s = &mut self.servers[server];
+        let is_taken =
+            run_request.service.as_str() == "pages" || s.schedule.take(&run_request, now);
         if !is_taken {
-            self.put(
-                2,
-                Event::RunOutcome {
-                    request: id,
-                    failure: Some(Failure::Refused),
-                },
-            );
-            return;
+            return self.put_run_outcome(2, id, Some(Failure::Refused));
         }
-        let (running, waiting) = s.schedule.load(MonotonicInstant(self.now));
+        let (running, waiting) = s.schedule.load(now);
         let incarnation = s.incarnation;
         self.judge_tenant(&id);
-        self.witness.run(
-            self.now,
-            &id,
-            &service,
-            &self.servers[server],
-            running + waiting,
-            apart_from,
-        );
+        self.witness_run(&id, server, running + waiting);
         if let Some(request) = self.requests.get_mut(&id) {
-            request.run = Some((server, run));
+            request.run = Some((server, run_request.run));
             request.server_incarnation = incarnation;
         }
-        self.put(
-            2,
-            Event::RunOutcome {
-                request: id,
-                failure: None,
-            },
-        );
+        self.put_run_outcome(2, id, None);
+    }
+
+    /// Records that a server runs a request while it has so many.
+    fn witness_run(&mut self, id: &RequestId, server: usize, load: u32) {
+        let request = &self.requests[id];
+        let apart_from = request.is_apart.then_some(request.epoch);
+        let server = &self.servers[server];
+        self.witness
+            .run(self.now, id, &request.service, server, load, apart_from);
+    }
+
+    fn put_run_outcome(&mut self, delay: u64, request: RequestId, failure: Option<Failure>) {
+        self.put(delay, Event::RunOutcome { request, failure });
     }
 
     /// The server says that it is not the incarnation that the request was meant for.
@@ -638,6 +609,20 @@
     }
 }
 
+impl SimRequest {
+    /// The request as a router sends it to a server.
+    fn run_request(&self, run: RunId, incarnation: Option<u64>) -> RunRequest {
+        RunRequest {
+            run,
+            service: self.service.clone(),
+            prompt: self.prompt.clone(),
+            max_pieces: self.pieces as u32,
+            keep: self.keep,
+            incarnation,
+        }
+    }
+}
+
 /// Repeats a text up to so many bytes.
 fn repeat_to(text: String, bytes: usize) -> String {
     let mut all = text.repeat(bytes / text.len() + 1);
