--- a/crates/controller/src/admin/pending_requests.rs
+++ b/crates/controller/src/admin/pending_requests.rs
@@ -172,7 +172,7 @@
         let number = pending.attempt;
         self.send(
             tail.address,
-            Message::Ask {
+            Message::QueryRequest {
                 number,
                 reading: Box::new(reading),
             },
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -169,7 +169,10 @@
     }
 
     pub(crate) fn send(&mut self, to: Address, message: Message) {
-        let is_bulk = matches!(message, Message::PlanChunk { .. } | Message::Told { .. });
+        let is_bulk = matches!(
+            message,
+            Message::PlanChunk { .. } | Message::QueryResponse { .. }
+        );
         self.outputs.push(ControllerOutput::Send {
             to,
             is_bulk,
@@ -189,8 +192,8 @@
                 offset,
                 have,
             } => self.on_plan_request(from, epoch, offset, have),
-            Message::Ask { number, reading } => self.on_query(from, number, &reading),
-            Message::Told {
+            Message::QueryRequest { number, reading } => self.on_query(from, number, &reading),
+            Message::QueryResponse {
                 number,
                 status,
                 body,
@@ -223,7 +226,7 @@
             return;
         }
         let (status, body) = self.read(query);
-        let response = Message::Told {
+        let response = Message::QueryResponse {
             number,
             status,
             body,
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -85,7 +85,7 @@
             },
             ControllerOutput::Send {
                 to,
-                message: Message::Ask { number, .. },
+                message: Message::QueryRequest { number, .. },
                 ..
             } => Some(Left::Query(to.0.port(), number)),
             ControllerOutput::Response { number, status, .. } => {
@@ -127,7 +127,7 @@
         )
     }
     fn receive_response(&mut self, from: u16, number: u64) -> Vec<Left> {
-        let message = Message::Told {
+        let message = Message::QueryResponse {
             number,
             status: 200,
             body: br#"{"heard":[]}"#.to_vec(),
@@ -218,7 +218,7 @@
 #[test]
 fn a_zone_s_change_goes_out_only_with_what_the_tail_said_soon_after_it_came() {
     let newest = |number: u64| {
-        let message = Message::Told {
+        let message = Message::QueryResponse {
             number,
             status: 200,
             body: 9u64.to_be_bytes().to_vec(),
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -267,7 +267,7 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if matches!(message, Message::Told { .. }) && self.chance(self.lost_answers) {
+        if matches!(message, Message::QueryResponse { .. }) && self.chance(self.lost_answers) {
             return;
         }
         let (to, message) = self.tamper(from, to, message);
@@ -284,13 +284,13 @@
     fn tamper(&self, from: usize, to: usize, message: Message) -> (usize, Message) {
         match message {
             // The newest epoch, in answer to a zone's change: it looks younger than anything.
-            Message::Told {
+            Message::QueryResponse {
                 number,
                 status: 200,
                 body,
             } if self.mutant == Some(Mutant::BlindEvacuations) && body.len() == 8 => (
                 to,
-                Message::Told {
+                Message::QueryResponse {
                     number,
                     status: 200,
                     body: u64::MAX.to_be_bytes().to_vec(),
--- a/crates/router/src/control/node/dispatch.rs
+++ b/crates/router/src/control/node/dispatch.rs
@@ -36,8 +36,8 @@
             Message::CreditAsk { .. }
             | Message::Replication { .. }
             | Message::LeaseRequest { .. }
-            | Message::Ask { .. }
-            | Message::Told { .. } => {}
+            | Message::QueryRequest { .. }
+            | Message::QueryResponse { .. } => {}
         }
     }
 
--- a/crates/simulator/src/world/connections.rs
+++ b/crates/simulator/src/world/connections.rs
@@ -230,7 +230,8 @@
                 },
             );
         }
-        if self.rules.mutant == Some(Mutant::AnswerTwice) && matches!(message, Message::Told { .. })
+        if self.rules.mutant == Some(Mutant::AnswerTwice)
+            && matches!(message, Message::QueryResponse { .. })
         {
             self.put(
                 delay + 10,
@@ -247,7 +248,7 @@
     /// For the mutant that answers twice: which operator is behind a controller's question.
     fn note_question(&mut self, message: &Message) {
         if self.rules.mutant == Some(Mutant::AnswerTwice)
-            && let Message::Ask { number, reading } = message
+            && let Message::QueryRequest { number, reading } = message
             && let Query::Heard { id, .. } = reading.as_ref()
             && let Some(operator) = id
                 .strip_prefix("op-")
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -337,7 +337,7 @@
 
     /// For the mutant: the second of two good answers goes to the operator.
     fn answer_twice(&mut self, message: &Message) {
-        let Message::Told {
+        let Message::QueryResponse {
             number,
             status: 200,
             body,
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -299,20 +299,20 @@
             /// It; from the beginning if the version is another by now.
             piece: Box<ServerListChunk>,
         },
-        /// Between controllers: something to be read at the tail.
-        Ask {
-            /// The asker's number, which no other question or proposal of its has in all its lives.
+        /// Between controllers: a query to be answered by the tail.
+        QueryRequest {
+            /// The requester's number, which it gives to no other query or proposal in any of its incarnations.
             number: u64,
-            /// What.
+            /// The query to answer.
             reading: Box<Query>,
         },
-        /// The tail's answer: a status and a body for HTTP.
-        Told {
-            /// Of the question.
+        /// The tail's response to a query: a status and a body for HTTP.
+        QueryResponse {
+            /// The number of the query.
             number: u64,
-            /// HTTP status.
+            /// The HTTP status code.
             status: u16,
-            /// The body.
+            /// The body of the HTTP response.
             body: Vec<u8>,
         },
         /// From a node to the core's tail: what it holds and wants of tenants' quotas.
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -36,8 +36,8 @@
     Message::ListChange { .. } => "ListChange",
     Message::ServerListRequest { .. } => "ListAsk",
     Message::ServerListChunk { .. } => "ListPiece",
-    Message::Ask { .. } => "Ask",
-    Message::Told { .. } => "Told",
+    Message::QueryRequest { .. } => "Ask",
+    Message::QueryResponse { .. } => "Told",
     Message::CreditAsk { .. } => "CreditAsk",
     Message::CreditGrant { .. } => "CreditGrant",
     Message::CoreLocation { .. } => "CoreLocation",
@@ -433,11 +433,11 @@
     messages.extend(letters_of_plans());
     messages.extend(letters_of_peers());
     messages.extend(letters_of_lists());
-    messages.extend(readings().into_iter().map(|reading| Message::Ask {
+    messages.extend(readings().into_iter().map(|reading| Message::QueryRequest {
         number: 51,
         reading: Box::new(reading),
     }));
-    messages.push(Message::Told {
+    messages.push(Message::QueryResponse {
         number: 51,
         status: 404,
         body: br#"{"code":305}"#.to_vec(),
