--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -274,9 +274,26 @@
         self.events.insert(self.next_number, event);
     }
 
+    /// Sets up the machines, in the order in which they draw, and the first events.
     fn populate(&mut self) {
-        let shape = self.rules.deployment.shape();
-        let zone = |place: usize| ZoneName::from(shape.zones[place % shape.zones.len()]);
+        self.add_controllers();
+        self.add_routers();
+        self.add_servers();
+        self.place_relays();
+        self.publish();
+        self.put(1500, Event::Operate);
+        self.put(3000, Event::Arrival);
+        self.put(500, Event::Check);
+        self.plan_faults();
+    }
+
+    /// The zone of the machine at this place of its kind.
+    fn zone_at(&self, place: usize) -> ZoneName {
+        let zones = self.rules.deployment.shape().zones;
+        ZoneName::from(zones[place % zones.len()])
+    }
+
+    fn add_controllers(&mut self) {
         // Where syncs are skipped, disks are slow, so that something is left to be lost.
         let delay = if self.rules.mutant == Some(Mutant::SkipSync) {
             400
@@ -289,18 +306,22 @@
             let address = Address::loopback(1001 + place as u16);
             self.controllers.push(ControllerMachine::new(
                 address,
-                zone(place),
+                self.zone_at(place),
                 offset,
                 SimDisk::new(id, delay),
             ));
             self.put(place as u64 * 7, Event::StartController { machine: place });
         }
+    }
+
+    fn add_routers(&mut self) {
+        let shape = self.rules.deployment.shape();
         for place in 0..self.rules.routers.unwrap_or(shape.routers) {
             let offset = 1_000_000 + self.below(1_000_000_000);
             self.routers.push(RouterMachine {
                 address: Address::loopback(2001 + place as u16),
                 next_tick: 0,
-                zone: zone(place),
+                zone: self.zone_at(place),
                 offset,
                 node: None,
                 incarnation: 0,
@@ -314,12 +335,16 @@
             });
             self.put(10 + place as u64 * 3, Event::StartRouter { machine: place });
         }
+    }
+
+    fn add_servers(&mut self) {
+        let shape = self.rules.deployment.shape();
         for (pool, count) in [("model", shape.models), ("app", shape.apps)] {
             for place in 0..count {
                 let port = if pool == "model" { 3001 } else { 4001 } + place as u16;
                 self.servers.push(ServerMachine {
                     name: ServerName(Address::loopback(port).to_string()),
-                    zone: zone(place),
+                    zone: self.zone_at(place),
                     pool: pool.into(),
                     schedule: Schedule::new(self.rules.servers.clone()),
                     incarnation: u64::from(port),
@@ -333,12 +358,6 @@
                 });
             }
         }
-        self.place_relays();
-        self.publish();
-        self.put(1500, Event::Operate);
-        self.put(3000, Event::Arrival);
-        self.put(500, Event::Check);
-        self.plan_faults();
     }
 
     fn controller_count(&self) -> usize {
