--- a/crates/controller/src/admin/http.rs
+++ b/crates/controller/src/admin/http.rs
@@ -164,7 +164,7 @@
     }
 
     /// The response to a document that has faults. It may have been accepted when it was first sent,
-    /// so its fate is asked for first.
+    /// so its status is requested first.
     fn reject_document(&self, faults: Vec<PlanError>) -> Response {
         let reading = Query::CommandStatus {
             id: self.change_id(),
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -326,7 +326,7 @@
 struct Alone {
     controller: Controller,
     at: u64,
-    /// Whom it has told where the core is, with the view, and when.
+    /// The members that it has notified of the core's location: when, whom, and with which view.
     called: Vec<(u64, u16, u64)>,
 }
 
@@ -377,7 +377,7 @@
             called: vec![],
         }
     }
-    /// Takes an input, syncs what it writes; gives the codes that operators are told.
+    /// Takes an input and syncs what it writes; returns the result codes of the responses to operators.
     fn step(&mut self, after: u64, input: ControllerInput) -> Vec<(u64, u64)> {
         self.at += after;
         let (mut inputs, mut responses) = (VecDeque::from([input]), vec![]);
@@ -481,7 +481,8 @@
     assert_eq!(played.ticks(700), [(2, 300)], "its lease has run out");
 }
 
-/// A member that restarted and whose seeds are all gone can't ask: the tail calls it, a few at a time.
+/// A member that restarted and whose seeds are all gone can't request the location: the tail notifies such members, a
+/// few at a time.
 #[test]
 fn members_without_a_lease_are_notified_of_the_core_s_location() {
     let mut played = Alone::new(Quorum::Holders);
--- a/crates/controller/src/membership/acknowledgements.rs
+++ b/crates/controller/src/membership/acknowledgements.rs
@@ -4,7 +4,7 @@
 use types::ConfigEpoch;
 
 impl Controller {
-    /// Whether as many know this epoch as must.
+    /// Whether as many members as the quorum requires are known to have this epoch.
     pub(crate) fn is_known(&self, epoch: ConfigEpoch) -> bool {
         let membership = &self.replica.state_machine().membership;
         match self.timing.quorum {
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Whether what is in the ledger as this epoch may be called accepted, whoever asks and when. Where most
-    /// members must know it, its answer alone waits for them: they may be gone since.
+    /// Whether the change of this epoch may be reported as accepted in response to any query. With [`Quorum::Majority`]
+    /// only the response to the change itself waits for the members, since they may be gone by the time of a query.
     pub(crate) fn is_firm(&self, epoch: ConfigEpoch) -> bool {
         self.replica.has_min_chain_length()
             && (self.timing.quorum == Quorum::Majority || self.is_known(epoch))
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -23,7 +23,7 @@
     pub listen: Address,
     /// Inner addresses of the replicas that found the core together; empty on a machine that joins later.
     pub founders: Vec<Address>,
-    /// Inner addresses of the processes to ask first.
+    /// Inner addresses of the processes that are queried for the core's location at the start.
     pub seeds: Vec<Address>,
 }
 
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -28,7 +28,7 @@
 /// Faults and operators act for this long; then all is healed.
 const SPAN: u64 = 30_000;
 const CALM: u64 = 14_000;
-/// Changes after which earlier answers are asked for again.
+/// The number of changes after which earlier calls are sent again.
 const LATER_CHANGES: usize = 400;
 
 /// Documents as the product has them, but that a change can't be merged twice: what was good when it was first
@@ -93,7 +93,7 @@
 /// What an operator does.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Job {
-    /// Changes the configuration, on the newest number that anyone was told.
+    /// Changes the configuration, based on the newest revision that was confirmed to any operator.
     Configures,
     /// Evacuates this zone and takes it back, in turn, alone.
     Evacuates(ZoneName),
@@ -103,7 +103,7 @@
     job: Job,
     running: Option<Running>,
     rests_until: u64,
-    /// Whether its zone is evacuated, as it was told last; nothing while a call is under way.
+    /// Whether its zone is evacuated by the last response; `None` while a call is in flight.
     is_known_evacuated: Option<bool>,
     is_next_evacuated: bool,
 }
@@ -115,7 +115,7 @@
     operators: Vec<Operator>,
     next_number: u64,
     next_note: u64,
-    /// The newest revision that any operator was told of.
+    /// The newest revision that was confirmed to any operator.
     newest: u64,
     /// The newest revision that a tail under its lease had.
     accepted: u64,
@@ -688,7 +688,7 @@
                 bytes: document(base + 2, play.next_note),
                 base,
             };
-            // Unclear calls may still have been on top of the newest that was told.
+            // Unclear calls may have been accepted after the newest revision that was confirmed.
             if play.send_until_clear(call) == Outcome::Confirmed {
                 play.newest = base + 2;
             } else {
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -280,7 +280,7 @@
         }
     }
 
-    /// What a mutant makes of a letter.
+    /// The receiver and the message, as a mutant changes them.
     fn tamper(&self, from: usize, to: usize, message: Message) -> (usize, Message) {
         match message {
             // The newest epoch, in answer to a zone's change: it looks younger than anything.
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Does one thing that can happen now, drawn at random: a letter arrives or a disk syncs.
+    /// Does one thing that can happen now, drawn at random: a message arrives or a disk syncs.
     pub fn advance(&mut self) -> bool {
         let is_moving =
             |line: &(Carriage, VecDeque<Message>)| line.0 == Carriage::Open && !line.1.is_empty();
