--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -221,6 +221,101 @@
     }
 }
 
+/// Creates the folder, or a temporary one, which lasts as long as the second value.
+fn open_folder(folder: Option<PathBuf>) -> std::io::Result<(PathBuf, Option<tempfile::TempDir>)> {
+    match folder {
+        Some(folder) => {
+            std::fs::create_dir_all(&folder)?;
+            Ok((folder, None))
+        }
+        None => {
+            let temporary = tempfile::tempdir()?;
+            Ok((temporary.path().to_owned(), Some(temporary)))
+        }
+    }
+}
+
+/// The controllers that each daemon's settings name as seeds.
+const SEED_CONTROLLERS: usize = 3;
+
+/// Where the daemons of a new fleet are and what their settings say.
+struct FleetLayout<'a> {
+    shape: &'a Shape,
+    platform: Address,
+    folder: &'a Path,
+    options: &'a FleetOptions,
+    /// Two for each daemon, the controllers' first: for HTTP, and for the inner protocol.
+    ports: &'a [u16],
+}
+
+impl FleetLayout<'_> {
+    /// Writes the settings of a controller, which is not started yet.
+    fn controller(&self, number: usize) -> std::io::Result<Daemon> {
+        let name = format!("controller-{number}");
+        let data = self.folder.join(&name);
+        let own_settings = format!(
+            "folder = \"{}\"\nfounders = [{}]\n",
+            data.display(),
+            quoted(&self.founders())
+        );
+        self.daemon("controller", number, number, &own_settings)
+    }
+
+    /// Writes the settings of a router, which is not started yet.
+    fn router(&self, number: usize) -> std::io::Result<Daemon> {
+        let (platform, more) = (self.platform, &self.options.router_settings);
+        let own_settings = format!("platform = \"{platform}\"\n{more}");
+        let place = self.shape.controllers + number;
+        self.daemon("router", number, place, &own_settings)
+    }
+
+    fn daemon(
+        &self,
+        kind: &str,
+        number: usize,
+        place: usize,
+        own_settings: &str,
+    ) -> std::io::Result<Daemon> {
+        let name = format!("{kind}-{number}");
+        let zone = self.shape.zones[number % self.shape.zones.len()].to_owned();
+        let (listen, inner) = (self.address(place * 2), self.address(place * 2 + 1));
+        let founders = self.founders();
+        let seeds = quoted(&founders[..founders.len().min(SEED_CONTROLLERS)]);
+        let text = format!(
+            "listen = \"{listen}\"\ninner = \"{inner}\"\nzone = \"{zone}\"\nseeds = [{seeds}]\n{own_settings}"
+        );
+        let settings = self.folder.join(format!("{name}.toml"));
+        std::fs::write(&settings, text)?;
+        Ok(Daemon {
+            log: self.folder.join(format!("{name}.log")),
+            program: self.options.programs.join(kind),
+            name,
+            listen,
+            inner,
+            zone,
+            settings,
+            child: None,
+        })
+    }
+
+    /// The inner addresses of all controllers.
+    fn founders(&self) -> Vec<String> {
+        (0..self.shape.controllers)
+            .map(|number| self.address(number * 2 + 1).to_string())
+            .collect()
+    }
+
+    fn address(&self, place: usize) -> Address {
+        Address::loopback(self.ports[place])
+    }
+}
+
+/// The items of a list in TOML.
+fn quoted(list: &[String]) -> String {
+    let quoted: Vec<String> = list.iter().map(|item| format!("\"{item}\"")).collect();
+    quoted.join(", ")
+}
+
 impl Drop for Fleet {
     /// Keeps a temporary folder, with all logs, when a test fails, and says where it is.
     fn drop(&mut self) {
@@ -250,83 +345,34 @@
         }
     }
 
-    /// Writes the settings and starts all daemons. `folder`: where to, a temporary one by default.
+    /// Writes the settings and starts all daemons. They go to `folder`, by default a temporary one. Fails if a file
+    /// can't be written or a process can't be started.
     pub fn start(
         shape: &Shape,
         platform: Address,
         folder: Option<PathBuf>,
         options: &FleetOptions,
     ) -> std::io::Result<Fleet> {
-        let (folder, temporary) = match folder {
-            Some(folder) => {
-                std::fs::create_dir_all(&folder)?;
-                (folder, None)
-            }
-            None => {
-                let temporary = tempfile::tempdir()?;
-                (temporary.path().to_owned(), Some(temporary))
-            }
-        };
+        let (folder, temporary) = open_folder(folder)?;
         let ports = free_ports((shape.controllers + shape.routers) * 2)?;
-        let address = |place: usize| Address::loopback(ports[place]);
-        let founders: Vec<String> = (0..shape.controllers)
-            .map(|n| address(n * 2 + 1).to_string())
-            .collect();
-        let quoted = |list: &[String]| {
-            list.iter()
-                .map(|a| format!("\"{a}\""))
-                .collect::<Vec<_>>()
-                .join(", ")
+        let layout = FleetLayout {
+            shape,
+            platform,
+            folder: &folder,
+            options,
+            ports: &ports,
         };
-        let seeds = quoted(&founders[..founders.len().min(3)]);
-        let mut daemons = vec![];
-        for place in 0..shape.controllers + shape.routers {
-            let is_controller = place < shape.controllers;
-            let number = if is_controller {
-                place
-            } else {
-                place - shape.controllers
-            };
-            let kind = if is_controller {
-                "controller"
-            } else {
-                "router"
-            };
-            let name = format!("{kind}-{number}");
-            let zone = shape.zones[number % shape.zones.len()].to_owned();
-            let (listen, inner) = (address(place * 2), address(place * 2 + 1));
-            let mut text = format!(
-                "listen = \"{listen}\"\ninner = \"{inner}\"\nzone = \"{zone}\"\nseeds = [{seeds}]\n"
-            );
-            if is_controller {
-                let data = folder.join(&name);
-                text += &format!(
-                    "folder = \"{}\"\nfounders = [{}]\n",
-                    data.display(),
-                    quoted(&founders)
-                );
-            } else {
-                text += &format!("platform = \"{platform}\"\n{}", options.router_settings);
-            }
-            let settings = folder.join(format!("{name}.toml"));
-            std::fs::write(&settings, text)?;
-            let log = folder.join(format!("{name}.log"));
-            let program = options.programs.join(kind);
-            daemons.push(Daemon {
-                name,
-                listen,
-                inner,
-                zone,
-                program,
-                settings,
-                log,
-                child: None,
-            });
+        let mut controllers = (0..shape.controllers)
+            .map(|number| layout.controller(number))
+            .collect::<std::io::Result<Vec<Daemon>>>()?;
+        let mut routers = (0..shape.routers)
+            .map(|number| layout.router(number))
+            .collect::<std::io::Result<Vec<Daemon>>>()?;
+        for daemon in controllers.iter_mut().chain(&mut routers) {
+            daemon.start()?;
         }
-        daemons.iter_mut().try_for_each(Daemon::start)?;
-        let routers = daemons.split_off(shape.controllers);
         Ok(Fleet {
-            controllers: daemons,
+            controllers,
             relays: vec![],
             routers,
             folder,
