--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -51,23 +51,14 @@
     refused: u64,
 }
 
-/// Takes requests from standard input until it ends.
+/// Inputs that may wait to be taken in.
+const INPUT_QUEUE: usize = 65_536;
+
+/// Serves as a host process: takes commands from standard input until it ends. Fails if the first is not
+/// [`HostCommand::Begin`] or a node can't be started.
 pub fn serve() -> Result<(), String> {
-    let (inputs, events) = flume::bounded::<Input>(65_536);
-    let read_requests = inputs.clone();
-    std::thread::Builder::new()
-        .name("requests".into())
-        .spawn(move || {
-            for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-                match serde_json::from_str(&line) {
-                    Ok(request) => drop(read_requests.send(Input::Command(request))),
-                    Err(fault) => eprintln!("hollow-host: {fault}"),
-                }
-            }
-            // Whoever drives this process is gone.
-            std::process::exit(0);
-        })
-        .map_err(|fault| fault.to_string())?;
+    let (inputs, events) = flume::bounded::<Input>(INPUT_QUEUE);
+    spawn_command_reader(inputs.clone())?;
     let Ok(Input::Command(HostCommand::Begin {
         rules,
         nodes,
@@ -76,20 +67,7 @@
     else {
         return Err("the first request must tell the nodes".into());
     };
-    let random = mix(rules.seed ^ u64::from(std::process::id()));
-    let mut host = Host {
-        rules,
-        seeds,
-        nodes: vec![],
-        inputs,
-        timers: BinaryHeap::new(),
-        random,
-        number: 0,
-        replaced: 0,
-        is_loaded: false,
-        placed: 0,
-        refused: 0,
-    };
+    let mut host = Host::new(rules, seeds, inputs);
     for (address, zone) in nodes {
         host.add(address, zone)?;
     }
@@ -102,6 +80,27 @@
     }
 }
 
+/// Starts the thread that reads commands. The process ends with its standard input.
+fn spawn_command_reader(inputs: flume::Sender<Input>) -> Result<(), String> {
+    let read = move || {
+        for line in std::io::stdin().lock().lines().map_while(Result::ok) {
+            match serde_json::from_str(&line) {
+                Ok(command) => {
+                    let _ = inputs.send(Input::Command(command));
+                }
+                Err(fault) => eprintln!("hollow-host: {fault}"),
+            }
+        }
+        // Whoever drives this process is gone.
+        std::process::exit(0);
+    };
+    std::thread::Builder::new()
+        .name("requests".into())
+        .spawn(read)
+        .map(|_| ())
+        .map_err(|fault| fault.to_string())
+}
+
 /// Which zone an address is in, see [`super::start::node_address`]; controllers are in none of the nodes'.
 fn zone_octet(address: &Address) -> Option<u8> {
     match address.0.ip() {
@@ -118,6 +117,22 @@
 }
 
 impl Host {
+    fn new(rules: HollowRules, seeds: Vec<Address>, inputs: flume::Sender<Input>) -> Host {
+        Host {
+            random: mix(rules.seed ^ u64::from(std::process::id())),
+            rules,
+            seeds,
+            nodes: vec![],
+            inputs,
+            timers: BinaryHeap::new(),
+            number: 0,
+            replaced: 0,
+            is_loaded: false,
+            placed: 0,
+            refused: 0,
+        }
+    }
+
     fn draw(&mut self) -> u64 {
         self.random = mix(self.random);
         self.random
