--- a/crates/simulator/src/world/streams.rs
+++ b/crates/simulator/src/world/streams.rs
@@ -38,6 +38,32 @@
             resumed_as: None,
         }
     }
+
+    /// Puts a server's line through the router's reader. The mutant passes on whatever comes.
+    fn relay_line(&mut self, line: &RunPiece, is_lax: bool) -> RelayedLine {
+        let text = serde_json::to_string(line).expect("a piece is JSON") + "\n";
+        self.read += 1;
+        match self.reader.take(text.as_bytes()) {
+            RelayedLine::Abort(..) if is_lax => match line {
+                RunPiece::End { .. } => RelayedLine::End(text),
+                RunPiece::Piece { .. } => RelayedLine::Chunk(text),
+            },
+            passed => passed,
+        }
+    }
+
+    /// What is wrong with a line that reached the client, as the next of its stream; `pieces` is what the client asked for.
+    fn fault_of(&self, given: &str, is_end: bool, print: u64, pieces: u64) -> Option<&'static str> {
+        let value: serde_json::Value = serde_json::from_str(given).unwrap_or_default();
+        if is_end {
+            // It is complete if the client has as many as it asked for, whatever the record says.
+            return (value["pieces"] != self.next || self.next != pieces)
+                .then_some("an end before the end");
+        }
+        let wanted = format!("{}|{}|{print:x}", self.run, self.next);
+        let is_next = value["n"] == self.next && value["text"] == wanted.as_str();
+        (!is_next).then_some("a piece skipped, repeated, spliced or of another client")
+    }
 }
 
 /// How often a client tries to read on.
@@ -140,31 +166,13 @@
         let Some(stream) = &mut request.stream else {
             return false;
         };
-        let text = serde_json::to_string(line).expect("a piece is JSON") + "\n";
-        stream.read += 1;
-        let passed = match stream.reader.take(text.as_bytes()) {
-            // The mutant passes on whatever comes.
-            RelayedLine::Abort(..) if is_lax => match line {
-                RunPiece::End { .. } => RelayedLine::End(text),
-                RunPiece::Piece { .. } => RelayedLine::Chunk(text),
-            },
-            passed => passed,
-        };
+        let passed = stream.relay_line(line, is_lax);
         let (RelayedLine::Chunk(given) | RelayedLine::End(given)) = &passed else {
             self.cut(id);
             return false;
         };
-        let value: serde_json::Value = serde_json::from_str(given).unwrap_or_default();
         let is_end = matches!(passed, RelayedLine::End(_));
-        let fault = if is_end {
-            // It's whole if the client has as many as it asked for, whatever the record says.
-            (value["pieces"] != stream.next || stream.next != request.pieces)
-                .then_some("an end before the end")
-        } else {
-            let wanted = format!("{}|{}|{print:x}", stream.run, stream.next);
-            let is_next = value["n"] == stream.next && value["text"] == wanted.as_str();
-            (!is_next).then_some("a piece skipped, repeated, spliced or of another client")
-        };
+        let fault = stream.fault_of(given, is_end, print, request.pieces);
         let at = stream.next;
         stream.next += 1;
         if let Some(fault) = fault {
@@ -174,9 +182,14 @@
             );
         }
         self.first_piece(id);
-        if !is_end {
-            return true;
+        if is_end {
+            self.on_stream_end(id);
         }
+        !is_end
+    }
+
+    /// The client has the end of its stream: a resumed request leaves its router, another one is finished there.
+    fn on_stream_end(&mut self, id: &RequestId) {
         match self
             .requests
             .get(id)
@@ -191,7 +204,6 @@
                 self.on_stream_input(id, RequestInput::Finish);
             }
         }
-        false
     }
 
     fn first_piece(&mut self, id: &RequestId) {
