--- a/crates/controller/src/admin/http.rs
+++ b/crates/controller/src/admin/http.rs
@@ -72,7 +72,7 @@
             ["v1", "believes"] => self.beliefs(),
             ["v1", "latest"] => self.read(Query::Latest),
             ["v1", "tenants"] => self.read(Query::Tenants),
-            ["v1", "plan"] => self.read(Query::ConfigEpoch {
+            ["v1", "plan"] => self.read(Query::AcceptedCommand {
                 epoch: ConfigEpoch(0),
             }),
             ["v1", "plans", epoch] => self.read_plan(epoch),
@@ -120,7 +120,7 @@
     /// The plan as it was sent as this epoch.
     fn read_plan(&self, epoch: &str) -> Response {
         match epoch.parse() {
-            Ok(epoch) if epoch > 0 => self.read(Query::ConfigEpoch {
+            Ok(epoch) if epoch > 0 => self.read(Query::AcceptedCommand {
                 epoch: ConfigEpoch(epoch),
             }),
             _ => Response::result(
--- a/crates/controller/src/admin/pending_requests.rs
+++ b/crates/controller/src/admin/pending_requests.rs
@@ -161,7 +161,7 @@
         });
     }
 
-    pub(crate) fn query_tail(&mut self, number: u64, reading: Query) {
+    pub(crate) fn query_tail(&mut self, number: u64, query: Query) {
         let Some(tail) = self.replica.view().tail() else {
             return;
         };
@@ -174,7 +174,7 @@
             tail.address,
             Message::QueryRequest {
                 number,
-                reading: Box::new(reading),
+                query: Box::new(query),
             },
         );
     }
@@ -275,7 +275,7 @@
 /// The query that the tail must answer before this is proposed.
 fn precheck_query(proposal: &Proposal) -> Option<Query> {
     match &proposal.command {
-        Command::ForceRemove { members } => Some(Query::Heard {
+        Command::ForceRemove { members } => Some(Query::Reachability {
             id: proposal.id.clone(),
             members: members.clone(),
         }),
--- a/crates/controller/src/admin/queries.rs
+++ b/crates/controller/src/admin/queries.rs
@@ -22,8 +22,8 @@
             Query::Tenants => success(&self.tenants()),
             Query::Newest => (200, config_state.epoch.0.to_be_bytes().to_vec()),
             Query::Base { .. } => read_base(config_state),
-            Query::ConfigEpoch { epoch } => read_epoch(config_state, *epoch),
-            Query::Heard { id, members } => self.read_reachable(id, members),
+            Query::AcceptedCommand { epoch } => read_epoch(config_state, *epoch),
+            Query::Reachability { id, members } => self.read_reachable(id, members),
             Query::CommandStatus { id } => self.read_command_status(id),
         }
     }
--- a/crates/controller/src/admin/task.rs
+++ b/crates/controller/src/admin/task.rs
@@ -198,7 +198,7 @@
 
     fn request_plan(&mut self) -> AdminStep {
         self.stage = Stage::Query;
-        AdminStep::Request(OperatorRequest::Read(Query::ConfigEpoch {
+        AdminStep::Request(OperatorRequest::Read(Query::AcceptedCommand {
             epoch: ConfigEpoch(0),
         }))
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -186,13 +186,13 @@
                 from,
                 message: *message,
             }),
-            Message::LeaseRequest { poll } => self.on_poll(from, *poll),
+            Message::LeaseRequest { request } => self.on_poll(from, *request),
             Message::PlanRequest {
                 epoch,
                 offset,
                 have,
             } => self.on_plan_request(from, epoch, offset, have),
-            Message::QueryRequest { number, reading } => self.on_query(from, number, &reading),
+            Message::QueryRequest { number, query } => self.on_query(from, number, &query),
             Message::QueryResponse {
                 number,
                 status,
@@ -200,9 +200,9 @@
             } => self.on_query_response(from, number, status, body),
             Message::CoreLocation {
                 location,
-                is_answer,
-            } => self.on_location(from, &location, is_answer),
-            Message::CreditAsk { ask: request } => self.on_credit_request(from, &request),
+                is_response,
+            } => self.on_location(from, &location, is_response),
+            Message::CreditRequest { request } => self.on_credit_request(from, &request),
             Message::CreditGrant { .. }
             | Message::LeaseResponse { .. }
             | Message::PlanChunk { .. }
@@ -213,8 +213,8 @@
             | Message::PeerCheckResponse { .. }
             | Message::Digest { .. }
             | Message::DigestAck { .. }
-            | Message::ListFresh { .. }
-            | Message::ListChange { .. }
+            | Message::ServerListUnchanged { .. }
+            | Message::ServerListChange { .. }
             | Message::ServerListRequest { .. }
             | Message::ServerListChunk { .. } => {}
         }
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -424,7 +424,7 @@
             reachable_peers: vec![],
         };
         let message = Message::LeaseRequest {
-            poll: Box::new(poll),
+            request: Box::new(poll),
         };
         self.step(
             5,
@@ -516,29 +516,29 @@
 }
 
 fn credit_request(number: u64) -> Message {
-    use quota::{Amount, CreditAsk, CreditRequest, QuotaLimit};
+    use quota::{Amount, CreditRequest, QuotaLimit, TenantCreditRequest};
     let limit = QuotaLimit {
         rate: Amount::units(10),
         burst: Amount::units(10),
     };
     let (held, need) = (Amount::NONE, Amount::units(2));
-    let entry = CreditRequest {
+    let entry = TenantCreditRequest {
         tenant: "one".into(),
         limit,
-        held,
-        need,
-        want: need,
+        available: held,
+        required: need,
+        requested: need,
     };
-    let request = CreditAsk {
+    let request = CreditRequest {
         incarnation: 7,
         number,
         plan_epoch: ConfigEpoch(1),
-        fresh_for: None,
-        is_whole: true,
+        since_start: None,
+        is_complete: true,
         entries: vec![entry],
     };
-    Message::CreditAsk {
-        ask: Box::new(request),
+    Message::CreditRequest {
+        request: Box::new(request),
     }
 }
 
--- a/crates/controller/src/discovery/diskless_controller.rs
+++ b/crates/controller/src/discovery/diskless_controller.rs
@@ -62,12 +62,12 @@
         let answer = match message {
             Message::CoreLocation {
                 location,
-                is_answer,
-            } => self.contacts.on_location(now, from, &location, is_answer),
-            Message::LeaseRequest { poll } => {
+                is_response,
+            } => self.contacts.on_location(now, from, &location, is_response),
+            Message::LeaseRequest { request } => {
                 let response = self.contacts.elsewhere();
                 response.map(|it| Message::LeaseResponse {
-                    round: poll.round,
+                    round: request.round,
                     response: Box::new(it),
                 })
             }
--- a/crates/controller/src/discovery/diskless_controller/tests.rs
+++ b/crates/controller/src/discovery/diskless_controller/tests.rs
@@ -22,7 +22,7 @@
     DisklessControllerInput::Message {
         from: at(from),
         message: Message::LeaseRequest {
-            poll: Box::new(poll),
+            request: Box::new(poll),
         },
     }
 }
@@ -42,7 +42,7 @@
         from: at(1),
         message: Message::CoreLocation {
             location,
-            is_answer: true,
+            is_response: true,
         },
     }
 }
--- a/crates/controller/src/discovery/exchange.rs
+++ b/crates/controller/src/discovery/exchange.rs
@@ -12,12 +12,17 @@
 
 impl Controller {
     /// Learns the core's location from another controller, and responds if the message is a request.
-    pub(crate) fn on_location(&mut self, from: Address, location: &CoreLocation, is_answer: bool) {
+    pub(crate) fn on_location(
+        &mut self,
+        from: Address,
+        location: &CoreLocation,
+        is_response: bool,
+    ) {
         self.contacts
             .learn(self.replica.view().epoch, self.voters());
         let answer = self
             .contacts
-            .on_location(self.now, from, location, is_answer);
+            .on_location(self.now, from, location, is_response);
         let (view, voters) = self.contacts.core();
         self.replica.learn_contacts(view, voters);
         answer
@@ -57,7 +62,7 @@
             self.last_notified = Some(member);
             let message = Message::CoreLocation {
                 location: Box::new(location.clone()),
-                is_answer: true,
+                is_response: true,
             };
             self.send(member, message);
         }
--- a/crates/controller/src/discovery/peer_discovery.rs
+++ b/crates/controller/src/discovery/peer_discovery.rs
@@ -123,7 +123,7 @@
         let others = self.seeds.iter().filter(|seed| **seed != self.own);
         let message = Message::CoreLocation {
             location: Box::new(self.own_location(now)),
-            is_answer: false,
+            is_response: false,
         };
         others.map(|seed| (*seed, message.clone())).collect()
     }
@@ -139,9 +139,9 @@
         now: MonotonicInstant,
         from: Address,
         location: &CoreLocation,
-        is_answer: bool,
+        is_response: bool,
     ) -> Option<Message> {
-        self.is_answered |= is_answer;
+        self.is_answered |= is_response;
         self.learn(location.view, location.voters.iter().copied());
         let own = self.own;
         let others = location
@@ -151,9 +151,9 @@
         others.for_each(|contact| self.take_contact(now, contact));
         let response_to = || Message::CoreLocation {
             location: Box::new(self.response_to(now, from, location)),
-            is_answer: true,
+            is_response: true,
         };
-        (!is_answer).then(response_to)
+        (!is_response).then(response_to)
     }
 
     fn take_contact(&mut self, now: MonotonicInstant, contact: &ControllerContact) {
--- a/crates/controller/src/membership/plan_transfer.rs
+++ b/crates/controller/src/membership/plan_transfer.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Controller;
 use types::{Address, ConfigEpoch};
-use wire::{Message, SPLICE_MOST};
+use wire::{MAX_DELTA_BYTES, Message};
 
 impl Controller {
     pub(crate) fn on_plan_request(
@@ -15,7 +15,7 @@
         let config_state = self.replica.state_machine();
         if let Some((base, delta)) = &config_state.newest
             && (epoch, have, offset) == (config_state.plan_epoch, *base, 0)
-            && delta.inserted.len() <= SPLICE_MOST
+            && delta.inserted.len() <= MAX_DELTA_BYTES
         {
             let (base, delta) = (*base, delta.clone());
             return self.send(from, Message::PlanDelta { epoch, base, delta });
--- a/crates/controller/src/quotas.rs
+++ b/crates/controller/src/quotas.rs
@@ -1,7 +1,7 @@
 //! Tenants' quotas: the tail of the chain grants credit to the routers.
 
 use crate::controller::Controller;
-use quota::{CreditAsk, QuotaAuthority};
+use quota::{CreditRequest, QuotaAuthority};
 use replication::View;
 use types::Address;
 use wire::Message;
@@ -28,7 +28,7 @@
     }
 
     /// Answers a router's request for credit, if this replica is the tail.
-    pub(crate) fn on_credit_request(&mut self, from: Address, request: &CreditAsk) {
+    pub(crate) fn on_credit_request(&mut self, from: Address, request: &CreditRequest) {
         if !self.may_respond() {
             return;
         }
@@ -37,7 +37,7 @@
         let Some((_, authority)) = &mut self.quotas else {
             return;
         };
-        let grant = authority.on_ask(self.now, from, request, members);
+        let grant = authority.on_request(self.now, from, request, members);
         grant.into_iter().for_each(|grant| {
             self.send(
                 from,
@@ -53,7 +53,7 @@
         let tenants = self
             .quotas
             .as_ref()
-            .map(|(_, authority)| authority.tenants(self.now));
+            .map(|(_, authority)| authority.usage(self.now));
         serde_json::json!({"window_ms": self.timing.quota.window, "tenants": tenants.unwrap_or_default()})
     }
 }
--- a/crates/controller/tests/golden.rs
+++ b/crates/controller/tests/golden.rs
@@ -14,7 +14,7 @@
     Controller, ControllerInput, ControllerOutput, ControllerTiming, DiscoveryTiming, DiskEvent,
     DiskThread, OperatorRequest, PeerDiscovery, Quorum, Settings,
 };
-use quota::{Amount, TenantUse};
+use quota::{Amount, QuotaUsage};
 use replication::{
     ChainPosition, Change, ChangeRequestId, ProposalNumber, Record, RecoveredRecords, Replica,
     StateMachine, View, ViewProposal, Voter,
@@ -399,12 +399,12 @@
 #[test]
 fn operators_get_their_golden_answers_to_what_they_read() {
     let lost = vec![Address::loopback(7202)];
-    let unreachable = |id: &str| Query::Heard {
+    let unreachable = |id: &str| Query::Reachability {
         id: id.into(),
         members: lost.clone(),
     };
     let fate = |id: &str| Query::CommandStatus { id: id.into() };
-    let epoch = |number: u64| Query::ConfigEpoch {
+    let epoch = |number: u64| Query::AcceptedCommand {
         epoch: ConfigEpoch(number),
     };
     let readings = [
@@ -468,7 +468,7 @@
 #[test]
 fn tenants_have_their_golden_json() {
     let amount = |thousandths: u64| Amount { thousandths };
-    let tenant = TenantUse {
+    let tenant = QuotaUsage {
         tenant: TenantName::from("acme"),
         rate: amount(1),
         burst: amount(2),
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,30 +1,23 @@
-//! Quotas of tenants, kept over the whole fleet: an authority grants credit from one token bucket per tenant,
-//! nodes spend it. Pure state machines: inputs and the time in; what to send and whom to admit out.
+//! Quotas of tenants over the whole fleet.
 //!
-//! docs/quotas.md has the bound and its proof.
+//! One [`QuotaAuthority`], at the tail of the controllers' chain, grants credit from a token bucket for each
+//! tenant. A [`QuotaClient`] at each data-plane node spends the credit on requests. Both are pure state machines:
+//! inputs and the time in, messages to send and requests to admit out. docs/quotas.md has the bound on what may be
+//! admitted, and its proof.
 
+#![warn(missing_docs)]
+
+mod amount;
 mod authority;
-mod holder;
+mod client;
+mod fault_injection;
 mod limit;
 mod messages;
 #[cfg(test)]
 mod tests;
 
-pub use authority::{QuotaAuthority, TenantUse};
-pub use holder::{Admission, QuotaClient, QuotaRejection, ReservedCredit, Settlement};
-pub use limit::{Amount, QuotaBounds, QuotaLimit};
-pub use messages::{CreditAsk, CreditGrant, CreditRequest, TenantGrant};
-
-/// A deliberate fault, by which the tests show that they see it.
-#[cfg(test)]
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Mutant {
-    /// A new authority begins with full buckets, as if nothing were out.
-    ForgetOutstanding,
-    /// A node spends credit that has expired.
-    SpendExpired,
-    /// A node takes a grant that comes late or twice.
-    TakeTwice,
-    /// Credit that is out is not counted against the bucket's ceiling.
-    IgnoreOutstanding,
-}
+pub use amount::Amount;
+pub use authority::{QuotaAuthority, QuotaUsage};
+pub use client::{Admission, AdmissionDecision, QuotaClient, QuotaClientStatus, QuotaRejection};
+pub use limit::{QuotaBounds, QuotaLimit};
+pub use messages::{CreditGrant, CreditRequest, TenantCreditGrant, TenantCreditRequest};
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,61 +1,63 @@
-use crate::limit::{Amount, QuotaLimit};
+use crate::amount::Amount;
+use crate::limit::QuotaLimit;
 use types::{ConfigEpoch, Milliseconds, TenantName, messages};
 
 messages! {
-    /// What a node tells and wants of one tenant.
+    /// What a node reports and requests of one tenant's quota.
     #[derive(Eq)]
-    pub struct CreditRequest {
-        /// The tenant.
+    pub struct TenantCreditRequest {
+        /// The name of the tenant.
         pub tenant: TenantName,
-        /// Its limit, by the plan that the node holds.
+        /// The tenant's limit by the plan that the node has.
         pub limit: QuotaLimit,
-        /// Credit that the node has and has not spent.
-        pub held: Amount,
-        /// What a request that waits at the node needs besides: granted whole or not at all.
-        pub need: Amount,
-        /// What the node would like in all, for requests to come.
-        pub want: Amount,
+        /// The credit that the node has and has not spent.
+        pub available: Amount,
+        /// What the first request that waits at the node needs beyond that. It is granted in full or not at all.
+        pub required: Amount,
+        /// What the node requests in all, `required` included, for waiting and future requests.
+        pub requested: Amount,
     }
 
-    /// From a node to the authority.
+    /// A request for credit, from a node to the authority.
     #[derive(Eq)]
-    pub struct CreditAsk {
-        /// The node's life.
+    pub struct CreditRequest {
+        /// The incarnation of the node: a number that no other run of its process has.
         pub incarnation: u64,
-        /// Grows by one with each of the node's asks: only the answer to the newest is taken.
+        /// The number of the request, which grows by one. Only the grant for the newest request is accepted.
         pub number: u64,
         /// The epoch of the plan that the limits are from.
         pub plan_epoch: ConfigEpoch,
-        /// How long ago the node's life began, if it was never granted anything: what its former lives may have spent
-        /// was spent by then.
-        pub fresh_for: Option<Milliseconds>,
-        /// Whether it lists all tenants of whom the node holds credit.
-        pub is_whole: bool,
-        /// By tenant.
-        pub entries: Vec<CreditRequest>,
+        /// The time since the node started, if it was never granted anything. Whatever its former incarnations
+        /// spent was spent before it started.
+        pub since_start: Option<Milliseconds>,
+        /// Whether all tenants of whom the node has credit are listed.
+        pub is_complete: bool,
+        /// The requests by tenant.
+        pub entries: Vec<TenantCreditRequest>,
     }
 
     /// What is granted of one tenant's quota.
     #[derive(Eq)]
-    pub struct TenantGrant {
-        /// The tenant.
+    pub struct TenantCreditGrant {
+        /// The name of the tenant.
         pub tenant: TenantName,
-        /// So much more.
+        /// The additional credit.
         pub granted: Amount,
-        /// Where what was needed is not granted: when it's worth asking again.
-        pub wait: Milliseconds,
+        /// When to request again, if what was required is not granted; 0 otherwise.
+        pub retry_after: Milliseconds,
     }
 
-    /// The authority's answer.
+    /// The authority's response to a request for credit.
     #[derive(Eq)]
     pub struct CreditGrant {
-        /// Of the ask.
+        /// The number of the request.
         pub number: u64,
-        /// All credit that the ask listed, and this, is spent within so long after the ask was sent, or never.
-        pub incarnation: Milliseconds,
-        /// Whether the authority needs a whole list of what the node holds.
-        pub wants_whole: bool,
-        /// By tenant.
-        pub entries: Vec<TenantGrant>,
+        /// How long after the request was sent the credit may be spent: the credit that the request listed, and the
+        /// credit granted.
+        pub lifetime: Milliseconds,
+        /// Whether the authority needs a complete list of the node's credit.
+        pub wants_complete: bool,
+        /// The grants by tenant.
+        pub entries: Vec<TenantCreditGrant>,
     }
 }
--- a/crates/router/src/control/node.rs
+++ b/crates/router/src/control/node.rs
@@ -8,7 +8,7 @@
 use placement::{
     Decision, Digest, Event, FLEET, Scheduler, SchedulerRules, ServerEntry, Timestamped,
 };
-use quota::{QuotaClient, ReservedCredit};
+use quota::{QuotaClient, QuotaClientStatus};
 use replication::{LeaseState, LeaseStatus};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -284,8 +284,8 @@
         &self.tenants
     }
     /// Tenants with a quota, with the credit that this node has reserved and spent of it.
-    pub fn reserved_credit(&self) -> Vec<ReservedCredit> {
-        self.credit.tenants()
+    pub fn reserved_credit(&self) -> Vec<QuotaClientStatus> {
+        self.credit.status()
     }
     /// The number of members that share the servers, as far as this node knows.
     pub fn member_count(&self) -> usize {
--- a/crates/router/src/control/node/dispatch.rs
+++ b/crates/router/src/control/node/dispatch.rs
@@ -27,13 +27,13 @@
             Message::Digest { .. } | Message::DigestAck { .. } => {
                 self.on_digest_message(from, message);
             }
-            Message::ListFresh { .. }
-            | Message::ListChange { .. }
+            Message::ServerListUnchanged { .. }
+            | Message::ServerListChange { .. }
             | Message::ServerListRequest { .. }
             | Message::ServerListChunk { .. } => {
                 self.step_endpoint_list(|list, now, _| list.on_message(now, from, &message));
             }
-            Message::CreditAsk { .. }
+            Message::CreditRequest { .. }
             | Message::Replication { .. }
             | Message::LeaseRequest { .. }
             | Message::QueryRequest { .. }
@@ -87,7 +87,7 @@
                 leg,
                 incarnation,
                 number,
-                is_whole,
+                is_snapshot,
                 change,
             } => self.dissemination.on_digest(
                 self.now,
@@ -95,7 +95,7 @@
                 leg,
                 incarnation,
                 number,
-                is_whole,
+                is_snapshot,
                 &change,
             ),
             Message::DigestAck { leg, number } => {
--- a/crates/router/src/control/node/lease.rs
+++ b/crates/router/src/control/node/lease.rs
@@ -74,7 +74,7 @@
         self.send(
             to,
             Message::LeaseRequest {
-                poll: Box::new(lease_request),
+                request: Box::new(lease_request),
             },
         );
     }
--- a/crates/router/src/control/node/quota_credit.rs
+++ b/crates/router/src/control/node/quota_credit.rs
@@ -4,7 +4,7 @@
 use crate::dialect::Access;
 use crate::downstream::authentication::{quota_amount, quota_limit, unauthorized};
 use config::{KeyDigest, Plan, TenantPlan, TenantTable};
-use quota::{Admission, CreditGrant, QuotaRejection, Settlement};
+use quota::{Admission, AdmissionDecision, CreditGrant, QuotaRejection};
 use quota::{Amount, QuotaLimit};
 use std::sync::Arc;
 use types::{Address, Milliseconds, ResultCode, TenantName};
@@ -58,8 +58,8 @@
         let number = request.number;
         match self.admit(&request) {
             Admission::Admitted => self.place_admitted(request),
-            Admission::Waits => drop(self.waiting_for_credit.insert(number, request)),
-            Admission::Denied(rejection) => {
+            Admission::Waiting => drop(self.waiting_for_credit.insert(number, request)),
+            Admission::Rejected(rejection) => {
                 let outcome = Err(rejection_of(rejection));
                 self.outputs.push(NodeOutput::Place { number, outcome });
             }
@@ -75,7 +75,7 @@
         }
         // It has been let in. If the server before may have run it, it counts once more.
         if request.may_have_run {
-            self.credit.spend_again(self.now, &tenant, amount);
+            self.credit.charge_again(self.now, &tenant, amount);
         }
         Admission::Admitted
     }
@@ -96,13 +96,13 @@
         let (number, round, taken) = (request.number, request.round, self.quota_of(&request));
         let outcome = self.place(request);
         if let (Err(_), 0, Some((tenant, amount))) = (&outcome, round, taken) {
-            self.credit.give_back(self.now, &tenant, amount);
+            self.credit.refund(self.now, &tenant, amount);
         }
         self.outputs.push(NodeOutput::Place { number, outcome });
     }
 
     /// What waited is placed or turned away.
-    fn resolve_waiting(&mut self, settlements: Vec<Settlement>) {
+    fn resolve_waiting(&mut self, settlements: Vec<AdmissionDecision>) {
         for settlement in settlements {
             let number = settlement.number;
             let Some(request) = self.waiting_for_credit.remove(&number) else {
@@ -131,14 +131,19 @@
     /// Nobody waits for this request any more.
     pub(super) fn abandon_credit(&mut self, number: u64) {
         if self.waiting_for_credit.remove(&number).is_some() {
-            self.credit.abandon(number);
+            self.credit.cancel(number);
         }
     }
 
     /// Asks the tail for credit, where some is wanted.
     pub(super) fn request_credit(&mut self) {
-        if let Some((tail, ask)) = self.credit.ask(self.now, self.tail) {
-            self.send(tail, Message::CreditAsk { ask: Box::new(ask) });
+        if let Some((tail, ask)) = self.credit.next_request(self.now, self.tail) {
+            self.send(
+                tail,
+                Message::CreditRequest {
+                    request: Box::new(ask),
+                },
+            );
         }
     }
 }
--- a/crates/router/src/control/node/tests.rs
+++ b/crates/router/src/control/node/tests.rs
@@ -53,11 +53,11 @@
         let outputs = self.node.step(MonotonicInstant(self.at), input);
         for output in &outputs {
             if let NodeOutput::Send {
-                message: Message::CreditAsk { ask },
+                message: Message::CreditRequest { request },
                 ..
             } = output
             {
-                self.newest_ask = ask.number;
+                self.newest_ask = request.number;
             }
         }
         outputs
@@ -906,7 +906,7 @@
         });
         Message::CoreLocation {
             location,
-            is_answer: true,
+            is_response: true,
         }
     };
     let mut played = Played::new();
@@ -941,7 +941,7 @@
 
 // ---- Tenants.
 
-use quota::{CreditGrant, TenantGrant};
+use quota::{CreditGrant, TenantCreditGrant};
 
 const TENANTS: &str = r#"{"services":{"drafts":{"slots":8}},"tenants":[
     {"name":"limited","api_keys":["k1"],"rate_per_s":10.0,"burst":10.0},
@@ -1001,15 +1001,15 @@
     }
     /// Answers the node's newest ask: so much of the limited tenant's quota, or nothing for a while.
     fn grant(&mut self, number: u64, granted: u64, wait: u64) -> Vec<NodeOutput> {
-        let entry = TenantGrant {
+        let entry = TenantCreditGrant {
             tenant: "limited".into(),
             granted: Amount::units(granted),
-            wait: Milliseconds(wait),
+            retry_after: Milliseconds(wait),
         };
         let grant = CreditGrant {
             number,
-            incarnation: Milliseconds(4000),
-            wants_whole: false,
+            lifetime: Milliseconds(4000),
+            wants_complete: false,
             entries: vec![entry],
         };
         self.tell(
--- a/crates/router/src/discovery/endpoint_list.rs
+++ b/crates/router/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 use placement::ServerEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Address, Milliseconds, MonotonicInstant, ServerName};
-use wire::{ListChange, ListState, ListVersion, Message, ServerListChunk};
+use wire::{Message, ServerListChange, ServerListChunk, ServerListState, ServerListVersion};
 
 /// The spans and bounds that the list of servers is read and told by.
 #[derive(Debug, Clone, Copy)]
@@ -103,7 +103,7 @@
     timing: EndpointListTiming,
     now: MonotonicInstant,
     entries: BTreeMap<ServerName, Entry>,
-    version: ListVersion,
+    version: ServerListVersion,
     check: u64,
     /// When the reading began that the list is from, or was last confirmed by, as far as this node's clock tells.
     read_at: Option<MonotonicInstant>,
@@ -143,7 +143,7 @@
 #[derive(Debug, Clone)]
 struct PendingTransfer {
     from: Address,
-    version: ListVersion,
+    version: ServerListVersion,
     entries: Vec<Entry>,
     requested_at: MonotonicInstant,
 }
@@ -227,7 +227,7 @@
             now,
             check: checksum(&entries),
             entries,
-            version: ListVersion {
+            version: ServerListVersion {
                 incarnation,
                 number: 0,
             },
@@ -257,7 +257,7 @@
             .is_some_and(|at| self.woke_at.is_none_or(|woke_at| at >= woke_at))
     }
     /// The version held.
-    pub fn version(&self) -> ListVersion {
+    pub fn version(&self) -> ServerListVersion {
         self.version
     }
     /// When the newest reading began that the list is from or was confirmed by.
@@ -376,12 +376,12 @@
             .is_some_and(|woke_at| self.now < woke_at + self.timing.ignore_span_after_sleep);
         if !is_deaf && from != self.own_address && self.zone.contains(&from) {
             match message {
-                Message::ListFresh { state } => self.on_fresh(from, state),
-                Message::ListChange { change } => self.on_change(from, change),
+                Message::ServerListUnchanged { state } => self.on_fresh(from, state),
+                Message::ServerListChange { change } => self.on_change(from, change),
                 Message::ServerListRequest { version, offset } => {
                     self.on_ask(from, *version, *offset)
                 }
-                Message::ServerListChunk { piece } => self.on_piece(from, piece),
+                Message::ServerListChunk { chunk } => self.on_piece(from, chunk),
                 _ => {}
             }
         }
@@ -460,12 +460,12 @@
         Milliseconds(span.0 - span.0 / 8 + self.random_below(Milliseconds(span.0 / 4)).0)
     }
 
-    fn state(&self) -> ListState {
+    fn state(&self) -> ServerListState {
         let age = self.now.since(self.read_at.unwrap_or(self.now));
-        ListState {
+        ServerListState {
             version: self.version,
             check: self.check,
-            cold: self.total_warm_up_left(),
+            warming_up: self.total_warm_up_left(),
             age,
         }
     }
@@ -529,7 +529,7 @@
         if !is_first && set.is_empty() && gone.is_empty() {
             if self.is_collecting {
                 let state = self.state();
-                self.send_to_zone(&Message::ListFresh { state });
+                self.send_to_zone(&Message::ServerListUnchanged { state });
             }
             return;
         }
@@ -543,7 +543,7 @@
         self.number += 1;
         let base = std::mem::replace(
             &mut self.version,
-            ListVersion {
+            ServerListVersion {
                 incarnation: self.incarnation,
                 number: self.number,
             },
@@ -557,13 +557,13 @@
                 changed_entries.iter().map(estimated_bytes).sum::<usize>() > MAX_CHUNK_BYTES;
             self.send_to_zone(&match is_first || is_long {
                 // Whoever holds something else asks for the whole.
-                true => Message::ListFresh { state },
-                false => Message::ListChange {
-                    change: Box::new(ListChange {
+                true => Message::ServerListUnchanged { state },
+                false => Message::ServerListChange {
+                    change: Box::new(ServerListChange {
                         state,
                         base,
                         set: changed_entries,
-                        gone,
+                        removed: gone,
                     }),
                 },
             });
@@ -586,22 +586,23 @@
     /// When the reading began that another tells of, if no list that is held here was read later.
     fn reading_time(
         &self,
-        state: &ListState,
+        state: &ServerListState,
         received_at: MonotonicInstant,
     ) -> Option<MonotonicInstant> {
         let at = received_at - state.age;
         self.read_at.is_none_or(|held| at >= held).then_some(at)
     }
     /// Whether what is held here is what the other holds: the same version, or the same entries, as cold.
-    fn has_same_content(&self, state: &ListState) -> bool {
+    fn has_same_content(&self, state: &ServerListState) -> bool {
         let has_same_warm_up = || {
-            self.total_warm_up_left().0.abs_diff(state.cold.0) <= self.timing.warm_up_tolerance.0
+            self.total_warm_up_left().0.abs_diff(state.warming_up.0)
+                <= self.timing.warm_up_tolerance.0
         };
         self.read_at.is_some()
             && (self.version == state.version || (self.check == state.check && has_same_warm_up()))
     }
     /// A collector has told that what is held here now is what the list shows.
-    fn confirm_version(&mut self, from: Address, state: &ListState, at: MonotonicInstant) {
+    fn confirm_version(&mut self, from: Address, state: &ServerListState, at: MonotonicInstant) {
         self.read_at = Some(at);
         self.version = state.version;
         self.last_confirmed = Some((from, self.now));
@@ -609,7 +610,7 @@
         self.pending_transfer = None;
     }
 
-    fn on_fresh(&mut self, from: Address, state: &ListState) {
+    fn on_fresh(&mut self, from: Address, state: &ServerListState) {
         let Some(at) = self.reading_time(state, self.now) else {
             return;
         };
@@ -619,7 +620,7 @@
         }
     }
 
-    fn on_change(&mut self, from: Address, change: &ListChange) {
+    fn on_change(&mut self, from: Address, change: &ServerListChange) {
         let Some(at) = self.reading_time(&change.state, self.now) else {
             return;
         };
@@ -629,7 +630,7 @@
         if self.read_at.is_some() && self.version == change.base {
             let mut entries = self.entries.clone();
             change
-                .gone
+                .removed
                 .iter()
                 .for_each(|name| drop(entries.remove(name)));
             let set = change
@@ -647,7 +648,7 @@
     fn replace_entries(
         &mut self,
         from: Address,
-        state: &ListState,
+        state: &ServerListState,
         at: MonotonicInstant,
         entries: BTreeMap<ServerName, Entry>,
     ) {
@@ -659,7 +660,7 @@
     }
 
     /// Asks for the whole.
-    fn request_full_list(&mut self, from: Address, state: &ListState) {
+    fn request_full_list(&mut self, from: Address, state: &ServerListState) {
         if self
             .pending_transfer
             .as_ref()
@@ -679,7 +680,7 @@
         self.send(from, Message::ServerListRequest { version, offset: 0 });
     }
 
-    fn on_ask(&mut self, from: Address, version: ListVersion, offset: u32) {
+    fn on_ask(&mut self, from: Address, version: ServerListVersion, offset: u32) {
         if !self.is_collecting || !self.is_fresh() {
             return;
         }
@@ -705,7 +706,7 @@
         self.send(
             from,
             Message::ServerListChunk {
-                piece: Box::new(piece),
+                chunk: Box::new(piece),
             },
         );
     }
--- a/crates/router/src/discovery/endpoint_list/tests.rs
+++ b/crates/router/src/discovery/endpoint_list/tests.rs
@@ -6,7 +6,7 @@
 use placement::ServerEntry;
 use std::collections::VecDeque;
 use types::{Address, Milliseconds, MonotonicInstant};
-use wire::{ListChange, ListState, Message, ServerListChunk, seal};
+use wire::{Message, ServerListChange, ServerListChunk, ServerListState, seal};
 use yare::parameterized;
 
 mod restart;
@@ -111,8 +111,8 @@
                 }
                 EndpointListOutput::Send { to, message } => {
                     match message {
-                        Message::ListFresh { .. } => self.sent[0] += 1,
-                        Message::ListChange { .. } => self.sent[1] += 1,
+                        Message::ServerListUnchanged { .. } => self.sent[0] += 1,
+                        Message::ServerListChange { .. } => self.sent[1] += 1,
                         Message::ServerListRequest { .. } => self.sent[2] += 1,
                         _ => self.sent[3] += 1,
                     }
@@ -247,7 +247,7 @@
         (60 * 29, &sent[1..])
     );
     assert_eq!(zone.changes, changes);
-    let message = Message::ListFresh {
+    let message = Message::ServerListUnchanged {
         state: zone.nodes[&node(1)].state(),
     };
     assert!(message.is_datagram() && seal(node(1), &message).expect("sealed").len() < 120);
@@ -392,11 +392,11 @@
     let (version, read_at) = (member.version(), member.read_at());
     let mut old = stale.clone();
     old.now = MonotonicInstant(zone.now);
-    let change = ListChange {
+    let change = ServerListChange {
         state: old.state(),
         base: version,
         set: old.servers(),
-        gone: vec![],
+        removed: vec![],
     };
     let piece = ServerListChunk {
         state: old.state(),
@@ -405,12 +405,12 @@
         entries: old.servers(),
     };
     let messages = [
-        Message::ListFresh { state: old.state() },
-        Message::ListChange {
+        Message::ServerListUnchanged { state: old.state() },
+        Message::ServerListChange {
             change: Box::new(change),
         },
         Message::ServerListChunk {
-            piece: Box::new(piece),
+            chunk: Box::new(piece),
         },
     ];
     for message in messages {
@@ -503,7 +503,7 @@
 fn after_a_sleep_only_what_was_read_since_counts() {
     let mut zone = Zone::new(3);
     zone.run(5000);
-    let told = Message::ListFresh {
+    let told = Message::ServerListUnchanged {
         state: zone.nodes[&node(1)].state(),
     };
     let mut member = zone.nodes[&node(3)].clone();
@@ -573,7 +573,7 @@
     let asks = member.on_message(
         MonotonicInstant(zone.now),
         node(1),
-        &Message::ListFresh { state: other },
+        &Message::ServerListUnchanged { state: other },
     );
     assert!(
         matches!(
@@ -596,13 +596,13 @@
         },
     );
     let entries = BTreeMap::new();
-    let state = ListState {
+    let state = ServerListState {
         check: checksum(&entries),
-        cold: Milliseconds(0),
+        warming_up: Milliseconds(0),
         ..other
     };
     let late = Message::ServerListChunk {
-        piece: Box::new(ServerListChunk {
+        chunk: Box::new(ServerListChunk {
             state,
             offset: 0,
             length: 0,
--- a/crates/router/src/dissemination.rs
+++ b/crates/router/src/dissemination.rs
@@ -245,7 +245,7 @@
         leg: DigestLeg,
         incarnation: u64,
         number: u64,
-        is_whole: bool,
+        is_snapshot: bool,
         change: &DigestChange,
     ) -> Vec<(Address, Message)> {
         self.now = self.now.max(now);
@@ -268,12 +268,12 @@
             // An older one, late.
             return vec![];
         }
-        if !is_whole && !follows {
+        if !is_snapshot && !follows {
             self.messages
                 .push((from, Message::DigestAck { leg, number: 0 }));
             return std::mem::take(&mut self.messages);
         }
-        if is_whole {
+        if is_snapshot {
             known.digest = Digest::default();
         }
         known.digest.apply(change);
@@ -538,8 +538,8 @@
             is_full_digest_requested: true,
         };
         let out = self.outgoing.entry((leg, to)).or_insert_with(fresh);
-        let is_whole = std::mem::replace(&mut out.is_full_digest_requested, false);
-        if is_whole {
+        let is_snapshot = std::mem::replace(&mut out.is_full_digest_requested, false);
+        if is_snapshot {
             out.last_sent = self.nothing.clone();
         }
         let known = delta_from(&out.last_sent, digest, deltas);
@@ -561,7 +561,7 @@
             leg,
             incarnation: self.incarnation,
             number: out.number,
-            is_whole,
+            is_snapshot,
             change: Box::new(change),
         };
         self.messages.push((to, message));
--- a/crates/router/src/dissemination/tests.rs
+++ b/crates/router/src/dissemination/tests.rs
@@ -104,7 +104,7 @@
                         leg,
                         incarnation,
                         number,
-                        is_whole,
+                        is_snapshot,
                         change,
                     } => one.on_digest(
                         MonotonicInstant(now),
@@ -112,7 +112,7 @@
                         leg,
                         incarnation,
                         number,
-                        is_whole,
+                        is_snapshot,
                         &change,
                     ),
                     Message::DigestAck { leg, number } => {
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -6,7 +6,7 @@
 
 use config::read_settings;
 use placement::ServerEntry;
-use quota::{Amount, ReservedCredit};
+use quota::{Amount, QuotaClientStatus};
 use router::{
     ChunkReader, ClientRequest, EndpointListTiming, LIFE_HEADER, Metrics, NodeTiming, RelayedLine,
     ResumeRequest, RunPiece, RunRequest, ServerListReport, ServerReport, Settings, Token, run_id,
@@ -149,11 +149,11 @@
 #[test]
 fn held_credit_has_its_golden_json() {
     let amount = |thousandths: u64| Amount { thousandths };
-    let credit = ReservedCredit {
+    let credit = QuotaClientStatus {
         tenant: TenantName::from("acme"),
         rate: amount(1),
         burst: amount(2),
-        held: amount(3),
+        available: amount(3),
         demand: amount(4),
         admitted: 5,
         over_quota: 6,
--- a/crates/simulator/src/world/admin_api.rs
+++ b/crates/simulator/src/world/admin_api.rs
@@ -43,7 +43,7 @@
                 machine,
                 call,
                 pending,
-                Query::ConfigEpoch {
+                Query::AcceptedCommand {
                     epoch: ConfigEpoch(0),
                 },
             ),
@@ -89,10 +89,10 @@
         }
     }
 
-    fn read(&mut self, machine: usize, call: u64, pending: PendingCall, reading: Query) {
+    fn read(&mut self, machine: usize, call: u64, pending: PendingCall, query: Query) {
         self.operators.pending.insert(call, pending);
         if self.rules.mutant == Some(Mutant::StaleReads)
-            && matches!(reading, Query::ConfigEpoch { .. })
+            && matches!(query, Query::AcceptedCommand { .. })
         {
             return self.read_here(machine, call);
         }
@@ -100,7 +100,7 @@
             machine,
             ControllerInput::Operator {
                 number: call,
-                request: OperatorRequest::Read(reading),
+                request: OperatorRequest::Read(query),
             },
         );
     }
--- a/crates/simulator/src/world/connections.rs
+++ b/crates/simulator/src/world/connections.rs
@@ -248,8 +248,8 @@
     /// For the mutant that answers twice: which operator is behind a controller's question.
     fn note_question(&mut self, message: &Message) {
         if self.rules.mutant == Some(Mutant::AnswerTwice)
-            && let Message::QueryRequest { number, reading } = message
-            && let Query::Heard { id, .. } = reading.as_ref()
+            && let Message::QueryRequest { number, query } = message
+            && let Query::Reachability { id, .. } = query.as_ref()
             && let Some(operator) = id
                 .strip_prefix("op-")
                 .and_then(|operator| operator.parse().ok())
--- a/crates/simulator/src/world/router_contact.rs
+++ b/crates/simulator/src/world/router_contact.rs
@@ -24,9 +24,9 @@
 impl RouterContact {
     /// Notes a message that the router sends.
     pub fn on_sent(&mut self, now: u64, message: &Message) {
-        if let Message::LeaseRequest { poll } = message {
+        if let Message::LeaseRequest { request } = message {
             self.polls.retain(|_, at| *at + 10_000 > now);
-            self.polls.insert(poll.round, now);
+            self.polls.insert(request.round, now);
         }
     }
     /// Notes a message that reaches the router while it is awake.
--- a/crates/simulator/src/world/tenants.rs
+++ b/crates/simulator/src/world/tenants.rs
@@ -110,7 +110,7 @@
                     .iter_mut()
                     .for_each(|entry| entry.granted = entry.granted.plus(entry.granted));
             }
-            Some(Mutant::ForgetCredit) => grant.incarnation = QUOTA_BOUNDS.credit_life(),
+            Some(Mutant::ForgetCredit) => grant.lifetime = QUOTA_BOUNDS.credit_lifetime(),
             _ => {}
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,25 @@
-//! What our processes say to each other, and how a letter is framed. No I/O of its own.
+//! The inner protocol: the messages between processes of the fleet, and their encoding.
+//!
+//! A [`Message`] is archived by rkyv and framed by [`seal`]; [`open`] reads it back from any byte stream. The order
+//! of variants and fields is that of the bytes: to change it, [`PROTOCOL`] must grow. The package does no I/O of its
+//! own.
 
+#![warn(missing_docs)]
+
+mod config_update;
+mod core_location;
+mod dissemination;
+mod lease;
 mod message;
-mod seal;
+mod query;
+mod sealing;
+mod server_list;
 
-pub use message::{
-    ConfigUpdate, ControllerContact, CoreLocation, DigestLeg, LeaseRequest, LeaseResponse,
-    ListChange, ListState, ListVersion, Member, Message, Query, SPLICE_MOST, ServerListChunk,
-};
-pub use seal::{PROTOCOL, SealError, open, seal};
+pub use config_update::{ConfigUpdate, MAX_DELTA_BYTES};
+pub use core_location::{ControllerContact, CoreLocation};
+pub use dissemination::DigestLeg;
+pub use lease::{LeaseRequest, LeaseResponse, Member};
+pub use message::Message;
+pub use query::Query;
+pub use sealing::{PROTOCOL, SealError, open, seal};
+pub use server_list::{ServerListChange, ServerListChunk, ServerListState, ServerListVersion};
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -5,7 +5,9 @@
 mod golden_file;
 
 use placement::{DigestChange, ServerEntry};
-use quota::{Amount, CreditAsk, CreditGrant, CreditRequest, QuotaLimit, TenantGrant};
+use quota::{
+    Amount, CreditGrant, CreditRequest, QuotaLimit, TenantCreditGrant, TenantCreditRequest,
+};
 use replication::{
     ChainPosition, Change, ChangeRequestId, ProposalNumber, ReplicationMessage, View, ViewProposal,
     Voter,
@@ -15,8 +17,9 @@
     TokenKey, ViewNumber, ZoneName,
 };
 use wire::{
-    ConfigUpdate, ControllerContact, CoreLocation, DigestLeg, LeaseRequest, LeaseResponse,
-    ListChange, ListState, ListVersion, Member, Message, Query, ServerListChunk, open, seal,
+    ConfigUpdate, ControllerContact, CoreLocation, DigestLeg, LeaseRequest, LeaseResponse, Member,
+    Message, Query, ServerListChange, ServerListChunk, ServerListState, ServerListVersion, open,
+    seal,
 };
 
 variant_names!(ALL_LETTERS, letter_name(Message) {
@@ -32,13 +35,13 @@
     Message::PeerCheckResponse { .. } => "PeerCheckResponse",
     Message::Digest { .. } => "Digest",
     Message::DigestAck { .. } => "DigestAck",
-    Message::ListFresh { .. } => "ListFresh",
-    Message::ListChange { .. } => "ListChange",
+    Message::ServerListUnchanged { .. } => "ListFresh",
+    Message::ServerListChange { .. } => "ListChange",
     Message::ServerListRequest { .. } => "ListAsk",
     Message::ServerListChunk { .. } => "ListPiece",
     Message::QueryRequest { .. } => "Ask",
     Message::QueryResponse { .. } => "Told",
-    Message::CreditAsk { .. } => "CreditAsk",
+    Message::CreditRequest { .. } => "CreditAsk",
     Message::CreditGrant { .. } => "CreditGrant",
     Message::CoreLocation { .. } => "CoreLocation",
 });
@@ -69,8 +72,8 @@
 variant_names!(ALL_READINGS, reading_name(Query) {
     Query::Latest => "Latest",
     Query::Base { .. } => "Base",
-    Query::ConfigEpoch { .. } => "Epoch",
-    Query::Heard { .. } => "Heard",
+    Query::AcceptedCommand { .. } => "Epoch",
+    Query::Reachability { .. } => "Heard",
     Query::CommandStatus { .. } => "Fate",
     Query::Newest => "Newest",
     Query::Tenants => "Tenants",
@@ -309,10 +312,10 @@
         Query::Base {
             at_least: ConfigEpoch(30),
         },
-        Query::ConfigEpoch {
+        Query::AcceptedCommand {
             epoch: ConfigEpoch(12),
         },
-        Query::Heard {
+        Query::Reachability {
             id: "forget-the-lost-1".into(),
             members: vec![Address::loopback(7201), Address::loopback(7202)],
         },
@@ -347,14 +350,14 @@
     ]
 }
 
-fn list_state() -> ListState {
-    ListState {
-        version: ListVersion {
+fn list_state() -> ServerListState {
+    ServerListState {
+        version: ServerListVersion {
             incarnation: 0x0011_2233_4455_6677,
             number: 5,
         },
         check: 0x8899_aabb_ccdd_eeff,
-        cold: Milliseconds(1200),
+        warming_up: Milliseconds(1200),
         age: Milliseconds(345),
     }
 }
@@ -382,22 +385,22 @@
     Amount { thousandths }
 }
 
-fn credit_ask(fresh_for: Option<Milliseconds>) -> CreditAsk {
-    CreditAsk {
+fn credit_ask(since_start: Option<Milliseconds>) -> CreditRequest {
+    CreditRequest {
         incarnation: 77,
         number: 8,
         plan_epoch: ConfigEpoch(29),
-        fresh_for,
-        is_whole: fresh_for.is_some(),
-        entries: vec![CreditRequest {
+        since_start,
+        is_complete: since_start.is_some(),
+        entries: vec![TenantCreditRequest {
             tenant: TenantName::from("acme"),
             limit: QuotaLimit {
                 rate: amount(20_000),
                 burst: amount(40_500),
             },
-            held: amount(1000),
-            need: amount(2000),
-            want: amount(3000),
+            available: amount(1000),
+            required: amount(2000),
+            requested: amount(3000),
         }],
     }
 }
@@ -410,7 +413,7 @@
         })
         .collect();
     messages.push(Message::LeaseRequest {
-        poll: Box::new(LeaseRequest {
+        request: Box::new(LeaseRequest {
             member: member(7201, "north"),
             round: 6,
             epoch: ConfigEpoch(30),
@@ -435,7 +438,7 @@
     messages.extend(letters_of_lists());
     messages.extend(readings().into_iter().map(|reading| Message::QueryRequest {
         number: 51,
-        reading: Box::new(reading),
+        query: Box::new(reading),
     }));
     messages.push(Message::QueryResponse {
         number: 51,
@@ -443,19 +446,19 @@
         body: br#"{"code":305}"#.to_vec(),
     });
     messages.extend(
-        [None, Some(Milliseconds(1234))].map(|fresh_for| Message::CreditAsk {
-            ask: Box::new(credit_ask(fresh_for)),
+        [None, Some(Milliseconds(1234))].map(|since_start| Message::CreditRequest {
+            request: Box::new(credit_ask(since_start)),
         }),
     );
     messages.push(Message::CreditGrant {
         grant: Box::new(CreditGrant {
             number: 8,
-            incarnation: Milliseconds(4000),
-            wants_whole: true,
-            entries: vec![TenantGrant {
+            lifetime: Milliseconds(4000),
+            wants_complete: true,
+            entries: vec![TenantCreditGrant {
                 tenant: TenantName::from("acme"),
                 granted: amount(2500),
-                wait: Milliseconds(750),
+                retry_after: Milliseconds(750),
             }],
         }),
     });
@@ -469,7 +472,7 @@
                 age: Milliseconds(88),
             }],
         }),
-        is_answer: true,
+        is_response: true,
     });
     messages
 }
@@ -523,7 +526,7 @@
             leg,
             incarnation: 1001,
             number: 4,
-            is_whole: leg == DigestLeg::Zone,
+            is_snapshot: leg == DigestLeg::Zone,
             change: Box::new(digest_change()),
         });
         messages.push(Message::DigestAck { leg, number: 4 });
@@ -533,18 +536,18 @@
 
 fn letters_of_lists() -> Vec<Message> {
     vec![
-        Message::ListFresh {
+        Message::ServerListUnchanged {
             state: list_state(),
         },
-        Message::ListChange {
-            change: Box::new(ListChange {
+        Message::ServerListChange {
+            change: Box::new(ServerListChange {
                 state: list_state(),
-                base: ListVersion {
+                base: ServerListVersion {
                     incarnation: 0x0011_2233_4455_6677,
                     number: 4,
                 },
                 set: server_entries(),
-                gone: vec![ServerName::from("127.0.0.1:8103")],
+                removed: vec![ServerName::from("127.0.0.1:8103")],
             }),
         },
         Message::ServerListRequest {
@@ -552,7 +555,7 @@
             offset: 300,
         },
         Message::ServerListChunk {
-            piece: Box::new(ServerListChunk {
+            chunk: Box::new(ServerListChunk {
                 state: list_state(),
                 offset: 300,
                 length: 302,
