--- a/crates/simulator/src/world/traffic.rs
+++ b/crates/simulator/src/world/traffic.rs
@@ -209,6 +209,7 @@
         }
     }
 
+    /// Asks the request's router for a placement, and goes on with its answer unless the request waits for credit.
     fn ask_scheduler(
         &mut self,
         id: &RequestId,
@@ -216,60 +217,39 @@
         tried: Vec<ServerName>,
         may_have_run: bool,
     ) {
-        let Some(request) = self.requests.get(id) else {
+        if !self.requests.contains_key(id) {
             return;
-        };
-        let (machine, number) = (request.router, request.number);
-        let (service, is_fetch) = (request.service.clone(), request.service.as_str() == "pages");
-        let key = request.owner.as_ref().map(|owner| owner.key);
-        let hashes = if is_fetch {
-            vec![]
-        } else {
-            block_hashes(request.prompt.as_bytes(), 64, 256)
-        };
-        let kind = if is_fetch {
-            ServiceKind::Fetch
-        } else {
-            ServiceKind::Stream
-        };
+        }
         let run = run_id((u128::from(self.draw()) << 64 | u128::from(self.draw())).to_be_bytes());
-        let request = id.clone();
-        let (route, request_cost) = (None, RequestCost::default());
-        let place = NodeInput::Place(PlacementRequest {
-            number,
-            request,
-            service,
-            kind,
-            route,
-            key,
-            hashes,
-            request_cost,
+        let request = &self.requests[id];
+        let (machine, number) = (request.router, request.number);
+        let place = PlacementRequest {
             round,
             tried,
             may_have_run,
-            run,
+            ..request.placement_request(id, run)
+        };
+        let outputs = self.step_node(machine, NodeInput::Place(place));
+        let outcome = outputs.into_iter().find_map(|output| match output {
+            NodeOutput::Place {
+                number: placed,
+                outcome,
+            } if placed == number => Some(outcome),
+            _ => None,
         });
-        let outcome = self
-            .step_node(machine, place)
-            .into_iter()
-            .find_map(|output| match output {
-                NodeOutput::Place {
-                    number: placed,
-                    outcome,
-                } if placed == number => Some(outcome),
-                _ => None,
-            });
         if outcome.is_none() && self.rules.tenants > 0 {
             // It waits for credit.
             return;
         }
-        let why = "the node gave no answer".to_owned();
-        let silence = Rejection {
+        let no_answer = Rejection {
             code: ResultCode::Busy,
-            why,
+            why: "the node gave no answer".to_owned(),
             retry_after: Milliseconds(1000),
         };
-        self.attempts(id, AttemptInput::Scheduler(outcome.unwrap_or(Err(silence))));
+        self.attempts(
+            id,
+            AttemptInput::Scheduler(outcome.unwrap_or(Err(no_answer))),
+        );
     }
 
     /// The node tells what became of a request that waited.
@@ -610,6 +590,30 @@
 }
 
 impl SimRequest {
+    /// The first placement that is asked for the request.
+    fn placement_request(&self, id: &RequestId, run: RunId) -> PlacementRequest {
+        let (kind, hashes) = if self.service.as_str() == "pages" {
+            (ServiceKind::Fetch, vec![])
+        } else {
+            let hashes = block_hashes(self.prompt.as_bytes(), 64, 256);
+            (ServiceKind::Stream, hashes)
+        };
+        PlacementRequest {
+            number: self.number,
+            request: id.clone(),
+            service: self.service.clone(),
+            kind,
+            route: None,
+            key: self.owner.as_ref().map(|owner| owner.key),
+            hashes,
+            request_cost: RequestCost::default(),
+            round: 0,
+            tried: vec![],
+            may_have_run: false,
+            run,
+        }
+    }
+
     /// The request as a router sends it to a server.
     fn run_request(&self, run: RunId, incarnation: Option<u64>) -> RunRequest {
         RunRequest {
