--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,8 +5,6 @@
 //! the configuration in force, the membership, and a bounded [`History`]. Data-plane nodes use the same plans
 //! through a [`RouteTable`] and a [`TenantTable`]. The package does no I/O other than reading settings files.
 
-#![warn(missing_docs)]
-
 mod archive;
 mod command;
 mod dialect;
--- a/crates/config/tests/revisions.rs
+++ b/crates/config/tests/revisions.rs
@@ -1,3 +1,5 @@
+//! Operators who count by their own revisions: which change is taken, which repeat is recognised.
+
 use config::{Command, ConfigStateMachine, OriginalCommand, OwnPlans, Proposal};
 use replication::{Preview, StateMachine};
 use types::ConfigEpoch;
--- a/crates/config/tests/routing.rs
+++ b/crates/config/tests/routing.rs
@@ -1,3 +1,5 @@
+//! The route table: which route a request takes, and how a route splits over services.
+
 use config::{OwnPlans, Plan, PlanDialect, PlanError};
 use std::collections::HashMap;
 use yare::parameterized;
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -1,3 +1,5 @@
+//! Tenants of a plan: validation, and API keys by their digest.
+
 use config::{KeyHasher, OwnPlans, Plan, PlanDialect, PlanError, TenantTable};
 use types::ApiKey;
 use yare::parameterized;
--- a/crates/controller/src/consensus/disk_thread/tests.rs
+++ b/crates/controller/src/consensus/disk_thread/tests.rs
@@ -26,7 +26,7 @@
     };
     let (notify, events) = flume::unbounded();
     let disk_thread = DiskThread::open_by(open, Duration::ZERO, move |incarnation, event| {
-        notify.send((incarnation, event)).unwrap()
+        notify.send((incarnation, event)).unwrap();
     });
     let _disk_thread = disk_thread.expect("it starts");
     let next = || {
--- a/crates/controller/src/controller/tests.rs
+++ b/crates/controller/src/controller/tests.rs
@@ -385,7 +385,7 @@
             for output in self.controller.step(MonotonicInstant(self.at), input) {
                 match output {
                     ControllerOutput::Write { id, .. } => {
-                        inputs.push_back(ControllerInput::Written { id })
+                        inputs.push_back(ControllerInput::Written { id });
                     }
                     ControllerOutput::Response { number, body, .. } => {
                         let body: serde_json::Value = serde_json::from_slice(&body).unwrap();
--- a/crates/controller/src/discovery/peer_discovery/tests.rs
+++ b/crates/controller/src/discovery/peer_discovery/tests.rs
@@ -260,7 +260,7 @@
     (1..=7).for_each(|port| {
         all.get_mut(&at(port))
             .expect("there")
-            .learn(ViewNumber(3), (1..=5).map(at))
+            .learn(ViewNumber(3), (1..=5).map(at));
     });
     let mut bytes = 0;
     let mut count = |from: Address, to: Address, message: &Message| {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -6,8 +6,6 @@
 //! - `startup`, `event_loop` and `node` run it in a process with a disk, until `shutdown` is complete.
 //! - [`DisklessController`] is run on machines without a disk: it replicates nothing and redirects operators.
 
-#![warn(missing_docs)]
-
 mod admin;
 mod consensus;
 mod controller;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,3 +1,5 @@
+//! The command line of the control plane: `controller serve` and the operators' `controller admin`.
+
 use clap::{Parser, Subcommand};
 use config::read_settings;
 use controller::{AdminCommand, Dialects, Settings, run};
--- a/crates/controller/src/quotas.rs
+++ b/crates/controller/src/quotas.rs
@@ -44,7 +44,7 @@
                 Message::CreditGrant {
                     grant: Box::new(grant),
                 },
-            )
+            );
         });
     }
 
--- a/crates/controller/tests/concurrent_operators.rs
+++ b/crates/controller/tests/concurrent_operators.rs
@@ -305,7 +305,7 @@
             if let Some(running) = &operator.running {
                 match running.waits {
                     Some((number, since)) if now >= since + SILENCE => {
-                        self.turn_away(place, number)
+                        self.turn_away(place, number);
                     }
                     None if now >= running.next_try => self.try_again(place),
                     _ => {}
--- a/crates/controller/tests/control/mod.rs
+++ b/crates/controller/tests/control/mod.rs
@@ -20,7 +20,7 @@
 
 /// How a connection between two machines carries messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Carriage {
+pub(crate) enum Carriage {
     /// Messages arrive at once, in order.
     Open,
     /// Messages are queued in order until the connection is open again, as TCP does over a short loss.
@@ -31,7 +31,7 @@
 
 /// A deliberate fault in the system, put in from outside, to show that a test sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mutant {
+pub(crate) enum Mutant {
     /// Evacuations enter whatever was acknowledged since they came.
     BlindEvacuations,
     /// The head refuses out of its own state.
@@ -49,7 +49,7 @@
 }
 
 /// The control machines and what is between them.
-pub struct Core {
+pub(crate) struct Core {
     /// The virtual time in milliseconds.
     pub now: u64,
     /// Responses to operators' requests, by the requests' numbers.
@@ -74,7 +74,7 @@
 
 impl Core {
     /// Three machines that form a chain from the first to the last and serve already.
-    pub fn new(seed: u64, mutant: Option<Mutant>) -> Core {
+    pub(crate) fn new(seed: u64, mutant: Option<Mutant>) -> Core {
         let voter = |n: usize| Voter {
             address: address(n),
             disk: DiskId(n as u128 + 1),
@@ -116,21 +116,21 @@
     }
 
     /// A number below the bound.
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.random) % bound.max(1)
     }
     /// So many times in a hundred.
-    pub fn chance(&mut self, percent: u64) -> bool {
+    pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
     /// Whether it runs.
-    pub fn is_up(&self, machine: usize) -> bool {
+    pub(crate) fn is_up(&self, machine: usize) -> bool {
         self.machines[machine].controller.is_some()
     }
     /// The machine that may answer for the core now.
-    pub fn tail(&self) -> Option<usize> {
+    pub(crate) fn tail(&self) -> Option<usize> {
         let may_respond =
             |controller: &Controller| controller.replica().may_respond(MonotonicInstant(self.now));
         (0..3).find(|n| {
@@ -141,7 +141,7 @@
         })
     }
     /// The first of the chain, as the tail knows it.
-    pub fn head(&self) -> Option<usize> {
+    pub(crate) fn head(&self) -> Option<usize> {
         let controller = self.machines[self.tail()?].controller.as_ref()?;
         controller
             .replica()
@@ -150,19 +150,19 @@
             .map(|head| usize::from(head.address.0.port()) - 1)
     }
     /// What a machine's disk came to.
-    pub fn config_state(&self, machine: usize) -> Option<&ConfigStateMachine> {
+    pub(crate) fn config_state(&self, machine: usize) -> Option<&ConfigStateMachine> {
         self.machines[machine]
             .controller
             .as_ref()
             .map(|controller| controller.replica().state_machine())
     }
     /// What was accepted, as the tail has it.
-    pub fn accepted(&self) -> Option<&ConfigStateMachine> {
+    pub(crate) fn accepted(&self) -> Option<&ConfigStateMachine> {
         self.config_state(self.tail()?)
     }
 
     /// Starts a machine from what its disk holds.
-    pub fn start(&mut self, machine: usize) {
+    pub(crate) fn start(&mut self, machine: usize) {
         let now = MonotonicInstant(self.now);
         let timing = ControllerTiming::default();
         let founders = (0..3).map(address).collect();
@@ -199,7 +199,7 @@
         ));
     }
     /// Ends it; what was not synced is lost, and so is what is on its way to it.
-    pub fn kill(&mut self, machine: usize) {
+    pub(crate) fn kill(&mut self, machine: usize) {
         let m = &mut self.machines[machine];
         m.controller = None;
         m.unsynced.clear();
@@ -209,14 +209,14 @@
             .for_each(|(_, (_, messages))| messages.clear());
     }
     /// Ends it and gives it an empty disk.
-    pub fn wipe(&mut self, machine: usize) {
+    pub(crate) fn wipe(&mut self, machine: usize) {
         self.kill(machine);
         let m = &mut self.machines[machine];
         m.disk = DiskId(m.disk.0 + 1000);
         m.durable.clear();
     }
     /// Sets how the line from one to another carries.
-    pub fn set_line(&mut self, from: usize, to: usize, carriage: Carriage) {
+    pub(crate) fn set_line(&mut self, from: usize, to: usize, carriage: Carriage) {
         let line = self
             .lines
             .entry((from, to))
@@ -227,7 +227,7 @@
         }
     }
     /// The same for all lines from and to a machine.
-    pub fn set_lines_of(&mut self, machine: usize, carriage: Carriage) {
+    pub(crate) fn set_lines_of(&mut self, machine: usize, carriage: Carriage) {
         for other in (0..3).filter(|other| *other != machine) {
             self.set_line(machine, other, carriage);
             self.set_line(other, machine, carriage);
@@ -235,7 +235,7 @@
     }
 
     /// Gives a machine an input; its effects happen in [`Core::advance`] and [`Core::run`].
-    pub fn step(&mut self, machine: usize, input: ControllerInput) {
+    pub(crate) fn step(&mut self, machine: usize, input: ControllerInput) {
         let now = MonotonicInstant(self.now);
         let Some(controller) = &mut self.machines[machine].controller else {
             return;
@@ -243,7 +243,7 @@
         for output in controller.step(now, input) {
             match output {
                 ControllerOutput::Send { to, message, .. } => {
-                    self.send(machine, usize::from(to.0.port()) - 1, message)
+                    self.send(machine, usize::from(to.0.port()) - 1, message);
                 }
                 ControllerOutput::Write {
                     id,
@@ -332,7 +332,7 @@
     }
 
     /// Does one thing that can happen now, drawn at random: a message arrives or a disk syncs.
-    pub fn advance(&mut self) -> bool {
+    pub(crate) fn advance(&mut self) -> bool {
         let is_moving =
             |line: &(Carriage, VecDeque<Message>)| line.0 == Carriage::Open && !line.1.is_empty();
         let lines = self
@@ -382,7 +382,7 @@
     }
 
     /// Lets so much time pass; all that can happen meanwhile does.
-    pub fn run(&mut self, span: u64) {
+    pub(crate) fn run(&mut self, span: u64) {
         let until = self.now + span;
         while self.now < until {
             self.tick();
@@ -395,12 +395,12 @@
         }
     }
     /// One clock event at each.
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         self.now += TICK;
         (0..3).for_each(|machine| self.step(machine, ControllerInput::ClockEvent));
     }
     /// Runs until there is an answer, for so long at most.
-    pub fn await_answer(&mut self, number: u64, span: u64) -> Option<(u16, Vec<u8>)> {
+    pub(crate) fn await_answer(&mut self, number: u64, span: u64) -> Option<(u16, Vec<u8>)> {
         let until = self.now + span;
         while !self.answers.contains_key(&number) && self.now < until {
             self.run(TICK);
--- a/crates/loadgen/src/lib.rs
+++ b/crates/loadgen/src/lib.rs
@@ -1,8 +1,6 @@
 //! A load generator that plays the clients of a fleet: open-loop arrivals, and each token of every stream
 //! checked.
 
-#![warn(missing_docs)]
-
 mod client;
 mod load_test;
 mod report;
--- a/crates/model_checker/src/cluster.rs
+++ b/crates/model_checker/src/cluster.rs
@@ -12,7 +12,7 @@
 use types::{Address, DiskId, Milliseconds, MonotonicInstant, SequenceNumber};
 
 /// Between ticks, in ms.
-pub const TICK: u64 = 100;
+pub(crate) const TICK: u64 = 100;
 /// A machine counts as lost for so long after it is back, in ms.
 const SETTLE: u64 = 4000;
 /// After more were lost at once than the budget, of which the pages bound nothing, all is made up for within
@@ -106,7 +106,7 @@
 
 /// A step that a deviation may befall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OpenStep {
+pub(crate) enum OpenStep {
     /// A message.
     Message(usize),
     /// A write.
@@ -126,7 +126,7 @@
 
 /// The whole state between two ticks.
 #[derive(Clone)]
-pub struct Cluster {
+pub(crate) struct Cluster {
     rules: ClusterRules,
     now: u64,
     machines: Vec<Machine>,
@@ -141,7 +141,7 @@
 
 impl Cluster {
     /// A core that was founded, confirmed one command and rests.
-    pub fn founded(rules: &ClusterRules) -> Cluster {
+    pub(crate) fn founded(rules: &ClusterRules) -> Cluster {
         let operator = |id| Operator {
             id,
             base: None,
@@ -184,11 +184,11 @@
     }
 
     /// What must never be and was seen.
-    pub fn violation(&self) -> Option<&str> {
+    pub(crate) fn violation(&self) -> Option<&str> {
         self.history.violation.as_deref()
     }
     /// Whether a replica may answer.
-    pub fn may_respond(&self) -> bool {
+    pub(crate) fn may_respond(&self) -> bool {
         self.replying() > 0
     }
     fn add_machine(&mut self, address: Address) {
@@ -282,7 +282,7 @@
     }
 
     /// Whether the rules allow this now: no more disks are lost at once than the budget.
-    pub fn allows(&self, deviation: &Deviation) -> bool {
+    pub(crate) fn allows(&self, deviation: &Deviation) -> bool {
         let budget = self.rules.copies - 1;
         let lost = self.lost();
         match *deviation {
@@ -328,12 +328,12 @@
     }
 
     /// How many machines there are, also those gone.
-    pub fn machine_count(&self) -> usize {
+    pub(crate) fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
     /// Lets one tick pass with these deviations; gives the steps that more could befall.
-    pub fn tick(&mut self, plan: &TickPlan) -> Vec<OpenStep> {
+    pub(crate) fn tick(&mut self, plan: &TickPlan) -> Vec<OpenStep> {
         self.now += TICK;
         self.take_deadline();
         for deviation in plan {
@@ -852,7 +852,7 @@
     }
 
     /// The same for states that behave alike from here on.
-    pub fn fingerprint(&self, faults_left: usize, proposals_left: usize) -> u64 {
+    pub(crate) fn fingerprint(&self, faults_left: usize, proposals_left: usize) -> u64 {
         let mut hasher = DefaultHasher::new();
         (faults_left, proposals_left).hash(&mut hasher);
         for machine in &self.machines {
--- a/crates/model_checker/src/deviation.rs
+++ b/crates/model_checker/src/deviation.rs
@@ -112,4 +112,4 @@
 }
 
 /// The deviations of one tick: those at its start first, then those at its steps, in order.
-pub type TickPlan = Vec<Deviation>;
+pub(crate) type TickPlan = Vec<Deviation>;
--- a/crates/model_checker/src/properties.rs
+++ b/crates/model_checker/src/properties.rs
@@ -7,7 +7,7 @@
 
 /// What operators were told and which views were decided.
 #[derive(Debug, Clone, Default, Hash)]
-pub struct History {
+pub(crate) struct History {
     /// By number.
     pub views: BTreeMap<ViewNumber, View>,
     /// Commands confirmed.
@@ -20,12 +20,12 @@
 
 impl History {
     /// Notes what must never be.
-    pub fn violate(&mut self, what: String) {
+    pub(crate) fn violate(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 
     /// One view for each number.
-    pub fn on_view(&mut self, view: View) {
+    pub(crate) fn on_view(&mut self, view: View) {
         let known = self.views.entry(view.epoch).or_insert_with(|| view.clone());
         if *known != view {
             let what = format!("two views {}: {known:?} and {view:?}", view.epoch);
@@ -34,7 +34,7 @@
     }
 
     /// An operator got a firm answer.
-    pub fn on_answer(&mut self, command: Command, answer: &[u8]) {
+    pub(crate) fn on_answer(&mut self, command: Command, answer: &[u8]) {
         match answer.first() {
             Some(&CONFIRMED) => self.on_confirmed(command),
             Some(&REFUSED) => self.on_refused(command),
@@ -69,7 +69,7 @@
     }
 
     /// A replica may answer with these commands taken.
-    pub fn on_readable(&mut self, taken: &[u8], checks_refusals: bool) {
+    pub(crate) fn on_readable(&mut self, taken: &[u8], checks_refusals: bool) {
         if let Some(lost) = self
             .confirmed
             .iter()
--- a/crates/model_checker/src/register.rs
+++ b/crates/model_checker/src/register.rs
@@ -3,13 +3,13 @@
 use replication::{Preview, StateMachine};
 
 /// First byte of an answer: the command was taken.
-pub const CONFIRMED: u8 = 1;
+pub(crate) const CONFIRMED: u8 = 1;
 /// First byte of an answer: another command was taken on that base.
-pub const REFUSED: u8 = 2;
+pub(crate) const REFUSED: u8 = 2;
 
 /// Which command, and how many it builds on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Command {
+pub(crate) struct Command {
     /// How many commands came before it.
     pub base: u8,
     /// Its identity.
@@ -18,11 +18,11 @@
 
 impl Command {
     /// As bytes for the chain.
-    pub fn encode(self) -> Vec<u8> {
+    pub(crate) fn encode(self) -> Vec<u8> {
         vec![self.base, self.id]
     }
     /// Of such bytes.
-    pub fn decode(bytes: &[u8]) -> Option<Command> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Command> {
         let [base, id] = bytes.try_into().ok()?;
         Some(Command { base, id })
     }
@@ -30,7 +30,7 @@
 
 /// The commands taken, by identity, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Register {
+pub(crate) struct Register {
     /// Their identities.
     pub taken: Vec<u8>,
 }
--- a/crates/model_checker/src/search.rs
+++ b/crates/model_checker/src/search.rs
@@ -226,7 +226,11 @@
 }
 
 /// What may still be added to a tick's plan, so that each set of deviations comes up once.
-pub fn later_deviations(cluster: &Cluster, plan: &TickPlan, open: &[OpenStep]) -> Vec<Deviation> {
+pub(crate) fn later_deviations(
+    cluster: &Cluster,
+    plan: &TickPlan,
+    open: &[OpenStep],
+) -> Vec<Deviation> {
     let last = plan.last();
     let mut found = vec![];
     if !matches!(last, Some(Deviation::AtStep { .. })) {
--- a/crates/model_checker/src/stored_disk.rs
+++ b/crates/model_checker/src/stored_disk.rs
@@ -5,7 +5,7 @@
 
 /// Records as a restart would find them, without those that later ones made void.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct StoredDisk {
+pub(crate) struct StoredDisk {
     view: Option<Record>,
     accepted: Option<Record>,
     promised: Option<Record>,
@@ -14,7 +14,7 @@
 
 impl StoredDisk {
     /// Takes synced records in.
-    pub fn store(&mut self, records: Vec<Record>, is_whole: bool) {
+    pub(crate) fn store(&mut self, records: Vec<Record>, is_whole: bool) {
         if is_whole {
             *self = StoredDisk::default();
         }
@@ -38,7 +38,7 @@
     }
 
     /// The records in an order that gives the same state again.
-    pub fn records(&self) -> Vec<Record> {
+    pub(crate) fn records(&self) -> Vec<Record> {
         let fixed = [&self.accepted, &self.view, &self.promised];
         fixed
             .into_iter()
@@ -49,7 +49,7 @@
     }
 
     /// Whether it holds this command.
-    pub fn holds(&self, id: u8) -> bool {
+    pub(crate) fn holds(&self, id: u8) -> bool {
         self.changes.iter().any(|record| match record {
             Record::Change { change } => {
                 Command::decode(&change.body).is_some_and(|command| command.id == id)
--- a/crates/placement/src/digest.rs
+++ b/crates/placement/src/digest.rs
@@ -79,9 +79,9 @@
 const MAX_DRAINING: usize = 256;
 
 /// Tokens of a unit in which unread prompts are told.
-pub const PREFILL_UNIT: u64 = 128;
+pub(crate) const PREFILL_UNIT: u64 = 128;
 /// Tokens of a unit in which memory is told.
-pub const MEMORY_UNIT: u64 = 1024;
+pub(crate) const MEMORY_UNIT: u64 = 1024;
 
 /// A server's name as a number. Two that meet, one pair in some millions, are counted together.
 pub fn server_key(server: &ServerName) -> u32 {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -5,8 +5,6 @@
 //! least-loaded warm server; everything else is placed by plain cache awareness. Pure: [`Scheduler`] takes
 //! timestamped events and returns decisions, the same ones for the same events.
 
-#![warn(missing_docs)]
-
 mod arrival_window;
 mod block_hash;
 mod budget_claim;
--- a/crates/placement/tests/urgency.rs
+++ b/crates/placement/tests/urgency.rs
@@ -1,3 +1,5 @@
+//! Urgency: more urgent requests are placed before less urgent ones.
+
 use placement::RequestCost;
 use types::Milliseconds;
 use yare::parameterized;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -5,8 +5,6 @@
 //! inputs and the time in, messages to send and requests to admit out. docs/quotas.md has the bound on what may be
 //! admitted, and its proof.
 
-#![warn(missing_docs)]
-
 mod amount;
 mod authority;
 mod client;
--- a/crates/replication/examples/register.rs
+++ b/crates/replication/examples/register.rs
@@ -107,7 +107,7 @@
     fn act(&mut self, place: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
-                self.messages.push_back((voter(place).address, to, message))
+                self.messages.push_back((voter(place).address, to, message));
             }
             Output::Write {
                 id,
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -51,8 +51,6 @@
 //! # Ok::<(), RecoveryError>(())
 //! ```
 
-#![warn(missing_docs)]
-
 mod lease_state;
 mod leases;
 mod messages;
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -288,7 +288,7 @@
                 disk,
             } => self.on_accepted(from, instance, proposal_number, disk),
             ReplicationMessage::ProposalRejected { instance, promised } => {
-                self.on_proposal_rejected(instance, promised)
+                self.on_proposal_rejected(instance, promised);
             }
             ReplicationMessage::Decided { view } => self.install_view(view),
             other => unreachable!("not about a view: {other:?}"),
@@ -314,7 +314,7 @@
         match message {
             ReplicationMessage::Forward { view, change } => self.on_forward(from, view, change),
             ReplicationMessage::CatchUpTarget { view, last } => {
-                self.on_catch_up_target(from, view, last)
+                self.on_catch_up_target(from, view, last);
             }
             ReplicationMessage::Propose { request_id, body } => self.on_propose(request_id, body),
             ReplicationMessage::ConfirmRejection {
@@ -350,7 +350,7 @@
                 length,
             } => self.on_snapshot_offer(from, last, origin_view, length),
             ReplicationMessage::SnapshotRequest { last, offset } => {
-                self.on_snapshot_request(from, last, offset)
+                self.on_snapshot_request(from, last, offset);
             }
             ReplicationMessage::SnapshotChunk {
                 last,
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -101,7 +101,7 @@
             Preview::Reject(_) => self.confirm_rejection_at_tail(request_id, body),
             // Not taken, so that it's tried again.
             Preview::Admit if !self.forwarding.rate_limiter.take(&self.timing, self.now) => {
-                self.reject_unchanged(request_id)
+                self.reject_unchanged(request_id);
             }
             Preview::Admit => {
                 let change = Change {
--- a/crates/replication/src/replica/durability.rs
+++ b/crates/replication/src/replica/durability.rs
@@ -84,7 +84,7 @@
                 Some((_, AfterSync::Apply(incarnation, change)))
                     if incarnation == self.writes.incarnation =>
                 {
-                    self.on_change_synced(change)
+                    self.on_change_synced(change);
                 }
                 _ => {}
             }
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -80,7 +80,7 @@
             match then {
                 AfterSync::Send(to, message) => (to, message).hash(hasher),
                 AfterSync::Apply(incarnation, change) => {
-                    (self.writes.incarnation - incarnation, change).hash(hasher)
+                    (self.writes.incarnation - incarnation, change).hash(hasher);
                 }
             }
         }
--- a/crates/replication/src/replica/tests.rs
+++ b/crates/replication/src/replica/tests.rs
@@ -121,7 +121,7 @@
         for output in outputs {
             match output {
                 Output::Write { id, .. } => {
-                    more.extend(replica.step(MonotonicInstant(at), Input::Written { id }))
+                    more.extend(replica.step(MonotonicInstant(at), Input::Written { id }));
                 }
                 Output::Send { to, message } => sent.push((to.0.port(), message)),
                 _ => {}
@@ -656,7 +656,7 @@
                         }
                         Output::Committed { request_id, body }
                         | Output::ChangeRejected { request_id, body } => {
-                            outputs.extend(replica.respond(at, request_id, body))
+                            outputs.extend(replica.respond(at, request_id, body));
                         }
                         Output::Response { is_final, .. } => last_response = Some(is_final),
                         Output::ViewChanged(_) => {}
--- a/crates/replication/src/replica/tests/member_majority.rs
+++ b/crates/replication/src/replica/tests/member_majority.rs
@@ -60,7 +60,7 @@
             match output {
                 Output::Write { id, .. } => next.extend(replica.step(now, Input::Written { id })),
                 Output::Committed { request_id, body } => {
-                    next.extend(replica.respond(now, request_id, body))
+                    next.extend(replica.respond(now, request_id, body));
                 }
                 Output::Response { is_final, .. } => answer = Some(is_final),
                 _ => {}
--- a/crates/router/src/control/node.rs
+++ b/crates/router/src/control/node.rs
@@ -202,7 +202,7 @@
             }
             NodeInput::Event(event) => self.notify_scheduler(event),
             NodeInput::List(reading) => {
-                self.step_endpoint_list(|list, now, _| list.on_reading(now, reading))
+                self.step_endpoint_list(|list, now, _| list.on_reading(now, reading));
             }
             NodeInput::Seeds(seeds) => self.seeds = seeds,
             NodeInput::Place(placement_request) => self.on_place(placement_request),
--- a/crates/router/src/control/node/dispatch.rs
+++ b/crates/router/src/control/node/dispatch.rs
@@ -55,12 +55,11 @@
             Message::PlanDelta { epoch, base, delta } => {
                 self.on_plan_delta(from, epoch, base, &delta);
             }
-            Message::ConfigUpdate { update } => {
+            Message::ConfigUpdate { update }
                 // Before its first lease a node doesn't rely on what its peers know.
-                if self.lease_state.lease_deadline().is_some() {
+                if self.lease_state.lease_deadline().is_some() => {
                     self.on_config_update(from, *update, None);
                 }
-            }
             Message::ConfigUpdateRequest => self.on_config_update_request(from),
             _ => {}
         }
--- a/crates/router/src/discovery/endpoint_list.rs
+++ b/crates/router/src/discovery/endpoint_list.rs
@@ -379,7 +379,7 @@
                 Message::ServerListUnchanged { state } => self.on_fresh(from, state),
                 Message::ServerListChange { change } => self.on_change(from, change),
                 Message::ServerListRequest { version, offset } => {
-                    self.on_ask(from, *version, *offset)
+                    self.on_ask(from, *version, *offset);
                 }
                 Message::ServerListChunk { chunk } => self.on_piece(from, chunk),
                 _ => {}
--- a/crates/router/src/discovery/list_reader/tests.rs
+++ b/crates/router/src/discovery/list_reader/tests.rs
@@ -28,7 +28,7 @@
 fn read(address: Address, effort: ReadRetryPolicy) -> EndpointListReading {
     let (tell, told) = flume::bounded(1);
     let reader = start(address, Arc::new(Plain), move |reading| {
-        drop(tell.send(reading))
+        drop(tell.send(reading));
     })
     .expect("it starts");
     reader.send(effort).expect("it reads");
--- a/crates/router/src/dissemination.rs
+++ b/crates/router/src/dissemination.rs
@@ -14,7 +14,7 @@
     /// What is not empty is told again after this though nothing changed.
     pub refresh_interval: Milliseconds,
     /// What is not empty and was not told again for this long counts no more.
-    pub incarnation: Milliseconds,
+    pub report_expiry: Milliseconds,
     /// A collector that has not answered for this long is passed over,
     pub acknowledgement_timeout: Milliseconds,
     /// for so long.
@@ -27,7 +27,7 @@
             min_interval: Milliseconds(250),
             bytes_per_ms: 4,
             refresh_interval: Milliseconds(1000),
-            incarnation: Milliseconds(3000),
+            report_expiry: Milliseconds(3000),
             acknowledgement_timeout: Milliseconds(800),
             suspicion: Milliseconds(15_000),
         }
@@ -335,7 +335,7 @@
     }
 
     fn expire(&mut self) {
-        let (now, incarnation) = (self.now, self.timing.incarnation);
+        let (now, expiry) = (self.now, self.timing.report_expiry);
         // One that is empty lasts: it says that its teller has nothing, until the teller says otherwise, or
         // another tells the same zone's sum.
         let zone_of = &self.zone_of;
@@ -357,9 +357,9 @@
                 }
                 DigestLeg::Fleet => false,
             };
-            is_idle || now.since(incoming.last_seen) < incarnation
+            is_idle || now.since(incoming.last_seen) < expiry
         });
-        let is_over = |at: MonotonicInstant| now.since(at) >= Milliseconds(incarnation.0 * 4);
+        let is_over = |at: MonotonicInstant| now.since(at) >= Milliseconds(expiry.0 * 4);
         if self.last_collected_at.is_some_and(is_over) {
             self.last_collected_at = None;
         }
--- a/crates/router/src/downstream/ingress.rs
+++ b/crates/router/src/downstream/ingress.rs
@@ -33,7 +33,7 @@
 
 impl Ingress {
     /// Opens the doors.
-    pub fn open(
+    pub(crate) fn open(
         settings: &Settings,
         shared: Arc<Shared>,
         dialect: Arc<dyn CallDialect>,
@@ -114,15 +114,15 @@
         })
     }
     /// Clients are to go elsewhere: each answer says so.
-    pub fn leave(&self) {
+    pub(crate) fn leave(&self) {
         self.closers[0].drain();
     }
     /// No more connections are taken.
-    pub fn close(&self) {
+    pub(crate) fn close(&self) {
         self.closers.iter().for_each(HttpServerCloser::close);
     }
     /// How many connections of clients are open.
-    pub fn open_count(&self) -> usize {
+    pub(crate) fn open_count(&self) -> usize {
         self.open_count.load(Ordering::SeqCst)
     }
 }
--- a/crates/router/src/downstream/limits.rs
+++ b/crates/router/src/downstream/limits.rs
@@ -60,7 +60,7 @@
 
 impl ConnectionLimits {
     /// For a gate of clients and the connections to servers.
-    pub fn new(limiter: HttpServerLimiter, pool: ConnectionPool) -> Self {
+    pub(crate) fn new(limiter: HttpServerLimiter, pool: ConnectionPool) -> Self {
         ConnectionLimits {
             limiter,
             pool,
@@ -76,7 +76,7 @@
     }
 
     /// Another plan is in force.
-    pub fn apply_plan(&self, plan: &Plan) {
+    pub(crate) fn apply_plan(&self, plan: &Plan) {
         let bounds = &plan.bounds;
         self.limiter.set(HttpServerLimits {
             request: RequestLimits {
@@ -95,14 +95,14 @@
     }
 
     /// So many nodes share the servers, as far as known here.
-    pub fn set_member_count(&self, count: usize) {
+    pub(crate) fn set_member_count(&self, count: usize) {
         if self.members.swap(count, Ordering::SeqCst) != count {
             self.enforce_shares(&mut self.state());
         }
     }
 
     /// A connection to this address is wanted for a service: it's held to the share of that.
-    pub fn limit_connections(&self, address: SocketAddr, service: &ServiceName) {
+    pub(crate) fn limit_connections(&self, address: SocketAddr, service: &ServiceName) {
         let mut state = self.state();
         self.pool
             .set_max_per_address(address, self.share(&state, service));
--- a/crates/router/src/downstream/limits/tests.rs
+++ b/crates/router/src/downstream/limits/tests.rs
@@ -67,7 +67,7 @@
                 let _ = work.send(release);
                 let _ = released.recv_timeout(GUARD.duration());
                 Response::forwarded(200, http::HeaderMap::new(), "")
-            })
+            });
         });
         Server { address, at_work }
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,3 +1,5 @@
+//! The command line of the data plane: `router serve`, and tools that read a running router.
+
 use clap::{Parser, Subcommand};
 use config::read_settings;
 use router::{Dialects, Settings, replay, run};
--- a/crates/router/src/request/in_flight.rs
+++ b/crates/router/src/request/in_flight.rs
@@ -20,7 +20,7 @@
     /// Admits a request.
     ///
     /// Errors: [`ResultCode::Busy`] with this `retry_after` when the node is at its bound of requests.
-    pub fn admit(
+    pub(crate) fn admit(
         shared: &Arc<Shared>,
         request: RequestId,
         number: u64,
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -49,7 +49,7 @@
 
 impl Shared {
     /// Of a node that may act without end, and takes this many requests at once.
-    pub fn detached(control: flume::Sender<ControlEvent>, bound: u64) -> Self {
+    pub(crate) fn detached(control: flume::Sender<ControlEvent>, bound: u64) -> Self {
         Shared {
             control,
             may_act_until: AtomicU64::new(u64::MAX),
@@ -67,34 +67,34 @@
         }
     }
     /// Sends an input to the control thread without waiting.
-    pub fn notify_control(&self, input: NodeInput) {
+    pub(crate) fn notify_control(&self, input: NodeInput) {
         let _ = self.control.send(ControlEvent::Input(input));
     }
     /// Reports the outcome of an attempt to the scheduler.
-    pub fn report_outcome(&self, request: &RequestId, outcome: Outcome) {
+    pub(crate) fn report_outcome(&self, request: &RequestId, outcome: Outcome) {
         self.notify_control(NodeInput::Event(Event::Ended {
             request: request.clone(),
             outcome,
         }));
     }
     /// Whether this node holds a lease at this moment.
-    pub fn may_act(&self) -> bool {
+    pub(crate) fn may_act(&self) -> bool {
         Clock::now() < MonotonicInstant(self.may_act_until.load(Ordering::SeqCst))
     }
     /// Whether a request that may last until then will have ended before this process does.
-    pub fn ends_in_time(&self, deadline: MonotonicInstant) -> bool {
+    pub(crate) fn ends_in_time(&self, deadline: MonotonicInstant) -> bool {
         deadline.0 <= self.exits_at.load(Ordering::SeqCst)
     }
     /// The epoch fence: whether what was placed under this epoch may be sent now. A newer epoch may no longer allow it.
-    pub fn may_send(&self, epoch: ConfigEpoch) -> bool {
+    pub(crate) fn may_send(&self, epoch: ConfigEpoch) -> bool {
         self.may_act() && !self.is_superseded(epoch)
     }
     /// Whether this node holds a newer epoch.
-    pub fn is_superseded(&self, epoch: ConfigEpoch) -> bool {
+    pub(crate) fn is_superseded(&self, epoch: ConfigEpoch) -> bool {
         ConfigEpoch(self.epoch.load(Ordering::SeqCst)) > epoch
     }
     /// Sends an input to the control thread and waits for its answer; `None` when none comes within 2 s.
-    pub fn call_control<T>(
+    pub(crate) fn call_control<T>(
         &self,
         input: NodeInput,
         wrap: impl FnOnce(NodeInput, flume::Sender<Result<T, Rejection>>) -> ControlEvent,
@@ -106,7 +106,7 @@
     /// Has the scheduler place a request.
     ///
     /// Errors: the scheduler's rejection, or [`ResultCode::Busy`] when the control thread gives no answer in time.
-    pub fn place(&self, request: PlacementRequest) -> Result<Placement, Rejection> {
+    pub(crate) fn place(&self, request: PlacementRequest) -> Result<Placement, Rejection> {
         let (id, service) = (request.request.clone(), request.service.clone());
         let outcome = self
             .call_control(NodeInput::Place(request), ControlEvent::Place)
@@ -125,7 +125,7 @@
         outcome
     }
     /// Installs the plan that the control thread has now.
-    pub fn install_plan(&self, plan: Option<&Arc<Plan>>, tenants: &Arc<TenantTable>) {
+    pub(crate) fn install_plan(&self, plan: Option<&Arc<Plan>>, tenants: &Arc<TenantTable>) {
         let Some(plan) = plan else { return };
         let is_same = |in_force: &PlanInForce| Arc::ptr_eq(&in_force.plan, plan);
         if !self
@@ -150,28 +150,31 @@
         }
     }
     /// Installs a plan where there is no control thread.
-    pub fn install_detached_plan(&self, plan: &Arc<Plan>) {
+    pub(crate) fn install_detached_plan(&self, plan: &Arc<Plan>) {
         let tenants = TenantTable::new(&plan.tenants, KeyHasher::draw());
         self.install_plan(Some(plan), &Arc::new(tenants));
     }
     /// Sets how many nodes share the servers.
-    pub fn set_member_count(&self, count: usize) {
+    pub(crate) fn set_member_count(&self, count: usize) {
         self.limits
             .get()
             .into_iter()
             .for_each(|limits| limits.set_member_count(count));
     }
     /// Whether no request has come for a while.
-    pub fn is_quiet(&self, now: MonotonicInstant) -> bool {
+    pub(crate) fn is_quiet(&self, now: MonotonicInstant) -> bool {
         now.since(MonotonicInstant(self.last_arrival.load(Ordering::Relaxed))) >= Milliseconds(1200)
     }
     /// The plan in force here.
-    pub fn plan_in_force(&self) -> Option<PlanInForce> {
+    pub(crate) fn plan_in_force(&self) -> Option<PlanInForce> {
         self.plan.read().expect("no thread panics with it").clone()
     }
     /// What stands for the key of a request of the own interface, none of which is public; `None`: the plan has no
     /// tenants, or there is no plan yet, which the control thread tells.
-    pub fn authenticate(&self, api_key: Option<&ApiKey>) -> Result<Option<KeyDigest>, Rejection> {
+    pub(crate) fn authenticate(
+        &self,
+        api_key: Option<&ApiKey>,
+    ) -> Result<Option<KeyDigest>, Rejection> {
         let Some(plan) = self.plan_in_force() else {
             return Ok(None);
         };
@@ -179,11 +182,11 @@
             .map(|credentials| credentials.map(|tenant| tenant.key))
     }
     /// A number for a request, that no other has in this incarnation.
-    pub fn next_number(&self) -> u64 {
+    pub(crate) fn next_number(&self) -> u64 {
         self.number.fetch_add(1, Ordering::Relaxed)
     }
     /// Rejects a request of the router's own interface.
-    pub fn reject(&self, rejection: Rejection) -> Response {
+    pub(crate) fn reject(&self, rejection: Rejection) -> Response {
         self.metrics.refuse(rejection.code);
         Response::result_after(rejection.code, rejection.why, rejection.retry_after)
     }
--- a/crates/router/src/upstream/dispatch.rs
+++ b/crates/router/src/upstream/dispatch.rs
@@ -37,7 +37,7 @@
 impl<T> DispatchOutcome<T> {
     /// The accepted request, or the final rejection. Only a stream that was relayed is ever aborted: before that,
     /// nothing is known of a request that ends so.
-    pub fn accepted(self) -> Result<(Placement, T), Rejection> {
+    pub(crate) fn accepted(self) -> Result<(Placement, T), Rejection> {
         match self {
             DispatchOutcome::Accepted(placement, response) => Ok((placement, response)),
             DispatchOutcome::Rejected(rejection) => Err(rejection),
@@ -85,7 +85,7 @@
 
 impl Dispatcher {
     /// For an admitted request that at most `max_servers` servers may get; also what is to be done first.
-    pub fn new(
+    pub(crate) fn new(
         guard: InFlightGuard,
         placement_request: PlacementRequest,
         max_servers: Option<u32>,
@@ -104,7 +104,7 @@
     }
 
     /// Finds a server that accepts the request. `send` performs one attempt.
-    pub fn dispatch<T>(
+    pub(crate) fn dispatch<T>(
         &mut self,
         first: AttemptOutput,
         mut send: impl FnMut(&Placement, &RequestStateMachine) -> Result<T, AttemptError>,
--- a/crates/router/src/upstream/forwarding.rs
+++ b/crates/router/src/upstream/forwarding.rs
@@ -55,7 +55,7 @@
 
 impl Forwarder {
     /// Serves a client's request through all of its phases.
-    pub fn respond(self: &Arc<Self>, request: Request) -> Response {
+    pub(crate) fn respond(self: &Arc<Self>, request: Request) -> Response {
         let arrival = Clock::now();
         let client = request.client.clone();
         let call = match self.accept(request, arrival) {
--- a/crates/router/src/upstream/forwarding/attempt.rs
+++ b/crates/router/src/upstream/forwarding/attempt.rs
@@ -69,7 +69,7 @@
 
 impl Attempt<'_> {
     /// Sends the call to one server; returns with the first event of its response, or with the whole of it.
-    pub fn send(
+    pub(super) fn send(
         &self,
         placement: &Placement,
         request_state: &RequestStateMachine,
--- a/crates/router/src/upstream/forwarding/forwarded_request.rs
+++ b/crates/router/src/upstream/forwarding/forwarded_request.rs
@@ -39,7 +39,7 @@
 
 impl ForwardedRequest {
     /// Dispatches the call and makes the client's response of what came of it.
-    pub fn respond(mut self, first: AttemptOutput) -> Response {
+    pub(super) fn respond(mut self, first: AttemptOutput) -> Response {
         match self.dispatch(first) {
             DispatchOutcome::Accepted(_, start) => self.relay(start),
             DispatchOutcome::Rejected(rejection) => self.finish_rejected(&rejection),
@@ -82,12 +82,12 @@
     }
 
     /// Reports the outcome of the current attempt to the scheduler.
-    pub fn report_outcome(&self, outcome: Outcome) {
+    pub(super) fn report_outcome(&self, outcome: Outcome) {
         self.forwarder.shared.report_outcome(&self.call.id, outcome);
     }
 
     /// Finds a server that accepts the call.
-    pub fn dispatch(&mut self, first: AttemptOutput) -> DispatchOutcome<ResponseStart> {
+    pub(super) fn dispatch(&mut self, first: AttemptOutput) -> DispatchOutcome<ResponseStart> {
         let forwarder = &self.forwarder;
         let attempt = Attempt {
             forwarder,
--- a/crates/router/src/upstream/forwarding/relay.rs
+++ b/crates/router/src/upstream/forwarding/relay.rs
@@ -38,7 +38,7 @@
 }
 
 impl RelayedStream {
-    pub fn new(request: ForwardedRequest, start: ResponseStart) -> RelayedStream {
+    pub(super) fn new(request: ForwardedRequest, start: ResponseStart) -> RelayedStream {
         RelayedStream {
             request,
             start: Some(start),
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -30,7 +30,7 @@
 
 pub use checks::Witness;
 pub use fault_kinds::FaultKind;
-pub use faults::Fault;
+pub(crate) use faults::Fault;
 pub use mutants::Mutant;
 pub use rules::WorldRules;
 
--- a/crates/simulator/src/world/admin_api.rs
+++ b/crates/simulator/src/world/admin_api.rs
@@ -48,7 +48,7 @@
                 },
             ),
             Intent::Command(command) => {
-                self.propose(machine, call, pending, Ok(command), None, &[])
+                self.propose(machine, call, pending, Ok(command), None, &[]);
             }
             Intent::Plan { bytes, basis } => {
                 let command = Command::plan_in(&OwnPlans, bytes, base_revision(basis));
--- a/crates/simulator/src/world/checks.rs
+++ b/crates/simulator/src/world/checks.rs
@@ -481,7 +481,7 @@
                 }
                 304 => {}
                 code if entry.is_some() => {
-                    self.violate(now, format!("{id} was told {code} and took effect"))
+                    self.violate(now, format!("{id} was told {code} and took effect"));
                 }
                 _ => {}
             }
--- a/crates/simulator/src/world/connections.rs
+++ b/crates/simulator/src/world/connections.rs
@@ -48,7 +48,7 @@
 
 impl Connections {
     /// A process ends, and with it what it opened.
-    pub fn close_from(&mut self, address: Address) {
+    pub(super) fn close_from(&mut self, address: Address) {
         self.lines.retain(|(from, _, _), _| *from != address);
     }
 }
--- a/crates/simulator/src/world/event.rs
+++ b/crates/simulator/src/world/event.rs
@@ -195,7 +195,7 @@
             } => self.on_run_reaches(request, server, run),
             Event::RunOutcome { request, failure } => self.on_run_outcome(request, failure),
             Event::OtherIncarnation { request, server } => {
-                self.on_other_incarnation(request, server)
+                self.on_other_incarnation(request, server);
             }
             Event::Watch { request } => self.on_watch(request),
             Event::Resume { request } => self.on_resume(request),
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -17,7 +17,7 @@
 
 /// One fault of a run: its kind, when it begins, how long it lasts, and whom it hits.
 #[derive(Debug, Clone)]
-pub struct Fault {
+pub(crate) struct Fault {
     /// The kind of the fault. A fault that waits for an acknowledgement takes its final kind when it is injected.
     pub kind: FaultKind,
     /// The virtual time at which it is injected, in milliseconds; shown in the printed trace only.
--- a/crates/simulator/src/world/faults/aimed.rs
+++ b/crates/simulator/src/world/faults/aimed.rs
@@ -178,7 +178,7 @@
         pending
             .into_iter()
             .for_each(|(_, _, _, records, is_whole)| {
-                self.controllers[machine].disk.keep(records, is_whole)
+                self.controllers[machine].disk.keep(records, is_whole);
             });
         self.kill_controller(machine, false);
         self.controllers[machine].is_gone = true;
--- a/crates/simulator/src/world/history.rs
+++ b/crates/simulator/src/world/history.rs
@@ -62,7 +62,7 @@
 
 impl History {
     /// A call leaves its operator.
-    pub fn sent(&mut self, now: u64, number: u64, action: CallAction) {
+    pub(super) fn sent(&mut self, now: u64, number: u64, action: CallAction) {
         self.calls.insert(
             number,
             RecordedCall {
@@ -74,20 +74,20 @@
         );
     }
     /// A certain answer reaches the operator.
-    pub fn answered(&mut self, now: u64, number: u64, answer: CallAnswer) {
+    pub(super) fn answered(&mut self, now: u64, number: u64, answer: CallAnswer) {
         self.calls
             .entry(number)
             .and_modify(|call| call.answer = Some((now, answer)));
     }
     /// An operator waits for an answer no longer, or got one that leaves the call's fate open.
-    pub fn given_up(&mut self, now: u64, number: u64) {
+    pub(super) fn given_up(&mut self, now: u64, number: u64) {
         self.calls
             .entry(number)
             .and_modify(|call| call.given_up = call.given_up.or(Some(now)));
     }
 
     /// The calls, a line each, in the order in which they were sent.
-    pub fn lines(&self) -> Vec<String> {
+    pub(super) fn lines(&self) -> Vec<String> {
         let line = |(number, call): (&u64, &RecordedCall)| {
             let RecordedCall {
                 sent,
@@ -105,7 +105,7 @@
     }
 
     /// What is wrong with the history, register by register.
-    pub fn judge(&self) -> Vec<String> {
+    pub(super) fn judge(&self) -> Vec<String> {
         let mut faults = vec![];
         let mut judge = |what: String, outcome: Result<(), linearizability::Mismatch>| {
             faults.extend(
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -329,7 +329,7 @@
                     (node.epoch(), node.plan_epoch(), node.withdrawn().to_vec());
             }
             Message::PeerCheckRequest { epoch, .. } | Message::PeerCheckResponse { epoch, .. } => {
-                *epoch = (*epoch).min(node.epoch())
+                *epoch = (*epoch).min(node.epoch());
             }
             _ => {}
         }
--- a/crates/simulator/src/world/router_contact.rs
+++ b/crates/simulator/src/world/router_contact.rs
@@ -23,14 +23,14 @@
 
 impl RouterContact {
     /// Notes a message that the router sends.
-    pub fn on_sent(&mut self, now: u64, message: &Message) {
+    pub(super) fn on_sent(&mut self, now: u64, message: &Message) {
         if let Message::LeaseRequest { request } = message {
             self.polls.retain(|_, at| *at + 10_000 > now);
             self.polls.insert(request.round, now);
         }
     }
     /// Notes a message that reaches the router while it is awake.
-    pub fn on_received(&mut self, now: u64, message: &Message) {
+    pub(super) fn on_received(&mut self, now: u64, message: &Message) {
         let epoch = match message {
             Message::ConfigUpdate { update } => update.epoch,
             Message::PeerCheckRequest { epoch, .. } | Message::PeerCheckResponse { epoch, .. } => {
@@ -58,15 +58,15 @@
         *last = now;
     }
     /// Says whether a lease runs.
-    pub fn is_leased(&self, now: u64) -> bool {
+    pub(super) fn is_leased(&self, now: u64) -> bool {
         now < self.lease_deadline
     }
     /// Gives since when leases have run without a break, if one runs.
-    pub fn leased_since(&self, now: u64) -> Option<u64> {
+    pub(super) fn leased_since(&self, now: u64) -> Option<u64> {
         self.is_leased(now).then_some(self.leased_since)
     }
     /// Gives since when messages have named this epoch or a newer one, if one did lately.
-    pub fn epoch_seen_since(&self, now: u64, epoch: u64) -> Option<u64> {
+    pub(super) fn epoch_seen_since(&self, now: u64, epoch: u64) -> Option<u64> {
         let lately = self
             .epochs_seen
             .range(epoch..)
--- a/crates/simulator/src/world/traffic.rs
+++ b/crates/simulator/src/world/traffic.rs
@@ -33,9 +33,8 @@
         if router.node.is_none() || self.now < router.frozen_until || router.is_cut_off {
             return self.witness.record_outcome(&id, "unreached");
         }
-        let owner = match self.draw_ownership(machine) {
-            Ok(owner) => owner,
-            Err(()) => return self.witness.record_outcome(&id, "unauthorized"),
+        let Ok(owner) = self.draw_ownership(machine) else {
+            return self.witness.record_outcome(&id, "unauthorized");
         };
         let (attempts, first) = AttemptSequence::begin();
         let request = self.new_request(number, service, machine, attempts, prompt, owner);
--- a/crates/storage/src/data_folder.rs
+++ b/crates/storage/src/data_folder.rs
@@ -162,9 +162,11 @@
     }
 }
 
-/// The disk id, generation and snapshot's records of a folder; `None` if it's new
-/// or was wiped in part.
-fn read_disk(folder: &Path) -> Result<Option<(DiskId, u64, Vec<Vec<u8>>)>, StorageError> {
+/// A folder's disk id, the generation of its log, and the records of its snapshot.
+type DiskContent = (DiskId, u64, Vec<Vec<u8>>);
+
+/// What a folder holds; `None` if it's new or was wiped in part.
+fn read_disk(folder: &Path) -> Result<Option<DiskContent>, StorageError> {
     let id = read_file(folder, ID).map_err(StorageError::io("read the disk id"))?;
     let snapshot = read_file(folder, SNAPSHOT)
         .map_err(StorageError::io("read the snapshot"))?
--- a/crates/storage/src/data_folder/tests.rs
+++ b/crates/storage/src/data_folder/tests.rs
@@ -117,9 +117,9 @@
         opened.storage.write(&records(&["a"])).unwrap();
         let path = folder.path().join(removed_name);
         if path.is_dir() {
-            fs::remove_dir_all(path).unwrap()
+            fs::remove_dir_all(path).unwrap();
         } else {
-            fs::remove_file(path).unwrap()
+            fs::remove_file(path).unwrap();
         }
         if removed_name == ID {
             assert!(matches!(
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -22,8 +22,6 @@
 //! - A folder without its disk id is another disk: its replica may have forgotten promises, so it
 //!   must not vote as the old one.
 
-#![warn(missing_docs)]
-
 mod checked_file;
 mod data_folder;
 mod error;
--- a/crates/storage/tests/fuzz.rs
+++ b/crates/storage/tests/fuzz.rs
@@ -65,7 +65,7 @@
             bytes[at(place)..end].fill(*byte);
         }
         Bend::Insert { place, bytes: new } => {
-            drop(bytes.splice(at(place)..at(place), new.iter().copied()))
+            drop(bytes.splice(at(place)..at(place), new.iter().copied()));
         }
         Bend::Copy { from, to, length } => {
             let length = (*length).min(bytes.len() - at(from).max(at(to)));
@@ -81,9 +81,9 @@
     let mut found = vec![];
     for file in fs::read_dir(folder).expect("a folder").flatten() {
         if file.path().is_dir() {
-            found.extend(files(&file.path()))
+            found.extend(files(&file.path()));
         } else {
-            found.push(file.path())
+            found.push(file.path());
         }
     }
     found.sort();
--- a/crates/testbed/src/answers/config_state.rs
+++ b/crates/testbed/src/answers/config_state.rs
@@ -6,7 +6,7 @@
 
 /// What calls of a route allow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallKind {
+pub(super) enum CallKind {
     /// They may run more than once.
     Idempotent,
     /// They run once at most.
@@ -19,7 +19,7 @@
 
 impl CallKind {
     /// All of them.
-    pub const ALL: [CallKind; 4] = [
+    pub(super) const ALL: [CallKind; 4] = [
         CallKind::Idempotent,
         CallKind::Mutating,
         CallKind::Resumable,
@@ -27,7 +27,7 @@
     ];
 
     /// The prefix of its route, and the route's name.
-    pub fn prefix(self) -> &'static str {
+    pub(super) fn prefix(self) -> &'static str {
         match self {
             CallKind::Idempotent => "/idempotent/",
             CallKind::Mutating => "/mutating/",
@@ -36,20 +36,20 @@
         }
     }
     /// Whether it may run more than once.
-    pub fn may_repeat(self) -> bool {
+    pub(super) fn may_repeat(self) -> bool {
         matches!(self, CallKind::Idempotent | CallKind::Resumable)
     }
     /// Whether it's a stream.
-    pub fn is_stream(self) -> bool {
+    pub(super) fn is_stream(self) -> bool {
         matches!(self, CallKind::Resumable | CallKind::OnceStream)
     }
 }
 
 /// Events of each stream.
-pub const EVENTS: u64 = 8;
+pub(super) const EVENTS: u64 = 8;
 
 /// The body that a server gives to a call, behind this event of a stream.
-pub fn body_of(kind: CallKind, id: &str, after: u64) -> String {
+pub(super) fn body_of(kind: CallKind, id: &str, after: u64) -> String {
     if kind.is_stream() {
         (after + 1..=EVENTS)
             .map(|number| format!("id: {number}\ndata: {id} {number}\n\n"))
@@ -64,7 +64,7 @@
 
 /// One run of a call.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub(super) struct Run {
     /// The mark on its answer.
     pub mark: String,
     /// What the server did with it.
@@ -75,7 +75,7 @@
 
 /// One call, as the servers saw it.
 #[derive(Debug, Clone)]
-pub struct CallRecord {
+pub(super) struct CallRecord {
     /// What its route allows.
     pub kind: CallKind,
     /// Its runs.
@@ -88,7 +88,7 @@
 
 /// What the servers of a lane saw.
 #[derive(Debug, Default)]
-pub struct ConfigStateMachine {
+pub(super) struct ConfigStateMachine {
     calls: BTreeMap<String, CallRecord>,
     /// A call was placed at this server under an epoch that is in force no more.
     pub outdated: Option<(String, String)>,
@@ -100,7 +100,7 @@
 
 impl ConfigStateMachine {
     /// A client sends a call.
-    pub fn sent(&mut self, id: &str, kind: CallKind) {
+    pub(super) fn sent(&mut self, id: &str, kind: CallKind) {
         let record = CallRecord {
             kind,
             runs: vec![],
@@ -110,15 +110,15 @@
         self.calls.insert(id.to_owned(), record);
     }
     /// A call, if a client sent it.
-    pub fn call(&self, id: &str) -> Option<&CallRecord> {
+    pub(super) fn call(&self, id: &str) -> Option<&CallRecord> {
         self.calls.get(id)
     }
     /// Notes what must never be.
-    pub fn violate(&mut self, what: String) {
+    pub(super) fn violate(&mut self, what: String) {
         self.violations.push(what);
     }
     /// A call came to a server; tells how often it had come before.
-    pub fn arrived(&mut self, id: &str, server: &str) -> u64 {
+    pub(super) fn arrived(&mut self, id: &str, server: &str) -> u64 {
         if self
             .outdated
             .as_ref()
@@ -136,7 +136,7 @@
         record.arrivals - 1
     }
     /// A server treats a call like this; gives the run's mark if it runs it.
-    pub fn treated(
+    pub(super) fn treated(
         &mut self,
         id: &str,
         server: &str,
@@ -168,7 +168,7 @@
         Some(mark)
     }
     /// A client was told that its call never ran and never will.
-    pub fn refused(&mut self, id: &str, status: u16) {
+    pub(super) fn refused(&mut self, id: &str, status: u16) {
         let Some(record) = self.calls.get_mut(id) else {
             return;
         };
--- a/crates/testbed/src/answers/dialect.rs
+++ b/crates/testbed/src/answers/dialect.rs
@@ -7,20 +7,20 @@
 use types::{Milliseconds, RequestId, ResultCode};
 
 /// The header that names a call.
-pub const ID: &str = "x-call";
+pub(super) const ID: &str = "x-call";
 /// The header that only servers set, on the answers that they ran a call for.
-pub const MARK: &str = "x-mark";
+pub(super) const MARK: &str = "x-mark";
 /// The header that says that a call did not run.
-pub const NOT_RUN: &str = "x-not-run";
+pub(super) const NOT_RUN: &str = "x-not-run";
 /// The header that tells how long the client waits.
-pub const WAIT: &str = "x-wait";
+pub(super) const WAIT: &str = "x-wait";
 /// The header that names the server that is meant.
-pub const SERVER: &str = "x-server";
+pub(super) const SERVER: &str = "x-server";
 /// The header behind whose piece a stream goes on.
-pub const AFTER: &str = "x-after";
+pub(super) const AFTER: &str = "x-after";
 
 /// The dialect.
-pub struct Dialect {
+pub(super) struct Dialect {
     /// The deliberate fault of believing refusals without an id.
     pub believes_unnamed: bool,
 }
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -33,7 +33,7 @@
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
 /// What a lane saw.
-pub struct LaneReport {
+pub(super) struct LaneReport {
     /// How the calls ended.
     pub fates: BTreeMap<Fate, u64>,
     /// How often the servers did what.
@@ -59,7 +59,11 @@
 }
 
 /// Plays this many calls of a lane.
-pub fn play_lane(rules: AnswersRules, number: u64, calls: u64) -> Result<LaneReport, String> {
+pub(super) fn play_lane(
+    rules: AnswersRules,
+    number: u64,
+    calls: u64,
+) -> Result<LaneReport, String> {
     let tell = |fault: std::io::Error| fault.to_string();
     let config_state: Arc<Mutex<ConfigStateMachine>> = Arc::default();
     let start = |place: usize| Server::start(server_name(place), rules.seed, &config_state);
--- a/crates/testbed/src/answers/message.rs
+++ b/crates/testbed/src/answers/message.rs
@@ -5,7 +5,7 @@
 
 /// A message's head and body.
 #[derive(Debug)]
-pub struct Message {
+pub(super) struct Message {
     /// Its first line.
     pub first_line: String,
     headers: Vec<(String, String)>,
@@ -17,31 +17,31 @@
 
 impl Message {
     /// The values of a header.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+    pub(super) fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.headers
             .iter()
             .filter(move |(key, _)| key == name)
             .map(|(_, value)| value.as_str())
     }
     /// The first value of a header.
-    pub fn header<'a>(&'a self, name: &'a str) -> Option<&'a str> {
+    pub(super) fn header<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.all(name).next()
     }
     /// The status of an answer.
-    pub fn status(&self) -> u16 {
+    pub(super) fn status(&self) -> u16 {
         self.first_line
             .get(9..12)
             .and_then(|text| text.parse().ok())
             .unwrap_or(0)
     }
     /// The target of a request.
-    pub fn target(&self) -> &str {
+    pub(super) fn target(&self) -> &str {
         self.first_line.split(' ').nth(1).unwrap_or_default()
     }
 }
 
 /// Reads a head; nothing at the end of the connection.
-pub fn read_head(reader: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
+pub(super) fn read_head(reader: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -72,7 +72,7 @@
 }
 
 /// Reads the body that a head announces, as far as it comes.
-pub fn read_body(reader: &mut BufReader<TcpStream>, message: &mut Message) {
+pub(super) fn read_body(reader: &mut BufReader<TcpStream>, message: &mut Message) {
     let outcome = match message
         .header("content-length")
         .and_then(|length| length.parse().ok())
--- a/crates/testbed/src/answers/server.rs
+++ b/crates/testbed/src/answers/server.rs
@@ -17,7 +17,7 @@
 
 /// A server.
 #[derive(Debug, Clone)]
-pub struct Server {
+pub(super) struct Server {
     /// Its name.
     pub name: String,
     /// Where it listens.
@@ -34,7 +34,7 @@
 
 impl Server {
     /// Starts one at a free port.
-    pub fn start(
+    pub(super) fn start(
         name: String,
         seed: u64,
         config_state: &Arc<Mutex<ConfigStateMachine>>,
@@ -70,7 +70,7 @@
         Ok(server)
     }
     /// Stops listening.
-    pub fn stop(&self) {
+    pub(super) fn stop(&self) {
         self.is_stopped.store(true, Ordering::SeqCst);
         drop(TcpStream::connect(self.address));
     }
@@ -188,7 +188,7 @@
 const REFUSED_BY_ALL: u64 = 32;
 
 /// What this server does with a call that came so often to any before.
-pub fn play_of(seed: u64, server: &str, id: &str, arrivals: u64) -> Play {
+pub(super) fn play_of(seed: u64, server: &str, id: &str, arrivals: u64) -> Play {
     let hash = |number: u64, text: &str| {
         text.bytes()
             .fold(number, |number, byte| mix(number ^ u64::from(byte)))
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -8,10 +8,10 @@
 mod measure;
 mod simulate;
 
-pub use answers::AnswersCommand;
-pub use compare::CompareCommand;
-pub use explore::ExploreCommand;
-pub use fleet::FleetCommand;
-pub use hollow::{HollowCommand, HollowPlotCommand, run_host};
-pub use measure::MeasureCommand;
-pub use simulate::SimulateCommand;
+pub(crate) use answers::AnswersCommand;
+pub(crate) use compare::CompareCommand;
+pub(crate) use explore::ExploreCommand;
+pub(crate) use fleet::FleetCommand;
+pub(crate) use hollow::{HollowCommand, HollowPlotCommand, run_host};
+pub(crate) use measure::MeasureCommand;
+pub(crate) use simulate::SimulateCommand;
--- a/crates/testbed/src/commands/answers.rs
+++ b/crates/testbed/src/commands/answers.rs
@@ -6,7 +6,7 @@
 /// is and servers that do at random whatever a server may do. Exit codes: 0 nothing that must never
 /// be was seen, 1 something was.
 #[derive(Debug, clap::Args)]
-pub struct AnswersCommand {
+pub(crate) struct AnswersCommand {
     /// What each server does with each call follows from it.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -26,7 +26,7 @@
 
 impl AnswersCommand {
     /// Plays the calls and prints the report; whether there was no violation.
-    pub fn run(self) -> Result<bool, String> {
+    pub(crate) fn run(self) -> Result<bool, String> {
         let report = play_answers(AnswersRules {
             seed: self.seed,
             calls: self.calls,
--- a/crates/testbed/src/commands/compare.rs
+++ b/crates/testbed/src/commands/compare.rs
@@ -5,7 +5,7 @@
 
 /// Set one way of working against another: pairs of fleets under the same traffic, in turn.
 #[derive(Debug, clap::Args)]
-pub struct CompareCommand {
+pub(crate) struct CompareCommand {
     /// What is set against what.
     question: Question,
     /// Whose.
@@ -33,7 +33,7 @@
 
 impl CompareCommand {
     /// Plays the pairs and prints the figures. Fails if a fleet can't be started or shows a violation.
-    pub fn run(self) -> Result<bool, String> {
+    pub(crate) fn run(self) -> Result<bool, String> {
         compare(&CompareRules {
             deployment: self.deployment,
             question: self.question,
--- a/crates/testbed/src/commands/explore.rs
+++ b/crates/testbed/src/commands/explore.rs
@@ -5,7 +5,7 @@
 /// Visit every state of a small core that so many faults and commands lead to, or walk at random.
 /// Exit codes: 0 nothing that must never be was seen, 1 something was.
 #[derive(Debug, clap::Args)]
-pub struct ExploreCommand {
+pub(crate) struct ExploreCommand {
     /// Founders and voters.
     #[arg(long, default_value_t = 3)]
     voters: usize,
@@ -40,7 +40,7 @@
 
 impl ExploreCommand {
     /// Visits the states or walks, and prints what was found; whether there was no violation.
-    pub fn run(self) -> bool {
+    pub(crate) fn run(self) -> bool {
         let rules = ClusterRules {
             voters: self.voters,
             copies: self.copies,
--- a/crates/testbed/src/commands/fleet.rs
+++ b/crates/testbed/src/commands/fleet.rs
@@ -23,7 +23,7 @@
 /// Bring a deployment up at its true shape, load it for a while, check every answer, stop it.
 /// Exit codes: 0 all well, 1 something that must never be was seen or a daemon ended badly.
 #[derive(Debug, clap::Args)]
-pub struct FleetCommand {
+pub(crate) struct FleetCommand {
     /// Whose.
     #[arg(long, default_value = "pahana")]
     deployment: Deployment,
@@ -53,7 +53,7 @@
 impl FleetCommand {
     /// Starts the fleet, loads it, stops it and prints the report; whether there was no violation and each daemon
     /// ended well.
-    pub fn run(self) -> Result<bool, String> {
+    pub(crate) fn run(self) -> Result<bool, String> {
         let shape = self.deployment.shape();
         let servers = ProcessGroup::start(&shape, &ScheduleRules::default())
             .map_err(|fault| fault.to_string())?;
--- a/crates/testbed/src/commands/hollow.rs
+++ b/crates/testbed/src/commands/hollow.rs
@@ -8,7 +8,7 @@
 /// Run the control plane alone: real controllers, and many nodes' control state and inner protocol
 /// over loopback. A size that can't fit the machine is refused before anything starts.
 #[derive(Debug, clap::Args)]
-pub struct HollowCommand {
+pub(crate) struct HollowCommand {
     #[command(flatten)]
     rules: HollowRules,
     /// Where settings, logs and data go; a temporary folder by default.
@@ -21,7 +21,7 @@
 
 impl HollowCommand {
     /// Runs the fleet and prints the report; whether all changes came into force everywhere.
-    pub fn run(self) -> Result<bool, String> {
+    pub(crate) fn run(self) -> Result<bool, String> {
         let report = hollow(&self.rules, self.folder)?;
         print!("{report}");
         let line = serde_json::to_string(&report).map_err(|error| error.to_string())?;
@@ -40,7 +40,7 @@
 
 /// Fit lines through hollow runs of several sizes and draw them.
 #[derive(Debug, clap::Args)]
-pub struct HollowPlotCommand {
+pub(crate) struct HollowPlotCommand {
     /// Lines of JSON, as written by `hollow --json`.
     runs: PathBuf,
     /// The picture, SVG.
@@ -49,7 +49,7 @@
 
 impl HollowPlotCommand {
     /// Draws the picture and prints the fitted lines.
-    pub fn run(self) -> Result<bool, String> {
+    pub(crate) fn run(self) -> Result<bool, String> {
         let text = std::fs::read_to_string(&self.runs).map_err(|error| error.to_string())?;
         let runs: Result<Vec<HollowReport>, _> = text.lines().map(serde_json::from_str).collect();
         let runs = runs.map_err(|error| error.to_string())?;
@@ -59,7 +59,7 @@
 }
 
 /// Serves as a host process of a hollow fleet until standard input ends.
-pub fn run_host() -> Result<bool, String> {
+pub(crate) fn run_host() -> Result<bool, String> {
     serve_hollow()?;
     Ok(true)
 }
--- a/crates/testbed/src/commands/measure.rs
+++ b/crates/testbed/src/commands/measure.rs
@@ -5,7 +5,7 @@
 
 /// Set ways of working against each other in simulated fleets without faults, seed by seed.
 #[derive(Debug, clap::Args)]
-pub struct MeasureCommand {
+pub(crate) struct MeasureCommand {
     /// What is swept.
     sweep: Sweep,
     /// Whose.
@@ -27,7 +27,7 @@
 
 impl MeasureCommand {
     /// Plays every side with every seed and prints the figures. Fails if a run shows a violation.
-    pub fn run(self) -> Result<bool, String> {
+    pub(crate) fn run(self) -> Result<bool, String> {
         measure(&MeasureRules {
             sweep: self.sweep,
             deployment: self.deployment,
--- a/crates/testbed/src/commands/simulate.rs
+++ b/crates/testbed/src/commands/simulate.rs
@@ -11,7 +11,7 @@
 /// clients, servers and operators see. Exit codes: 0 nothing that must never be was seen, 1
 /// something was.
 #[derive(Debug, clap::Args)]
-pub struct SimulateCommand {
+pub(crate) struct SimulateCommand {
     /// Whose.
     #[arg(long, default_value = "pahana")]
     deployment: Deployment,
@@ -61,7 +61,7 @@
 
 impl SimulateCommand {
     /// Plays the seeds, some at a time, and prints what was found; whether there was no violation.
-    pub fn run(self) -> bool {
+    pub(crate) fn run(self) -> bool {
         // A size that is named holds for all seeds.
         let is_swept = self.controllers.is_none() && self.relays.is_none() && self.copies.is_none();
         let seeds = self.seeds;
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -2,7 +2,7 @@
 
 mod costs;
 mod events;
-pub mod host;
+pub(crate) mod host;
 mod host_process;
 mod measurement;
 mod observations;
@@ -13,7 +13,7 @@
 mod rules;
 mod run;
 mod start;
-pub mod threads;
+pub(crate) mod threads;
 
 pub use pages::plot;
 pub use report::HollowReport;
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -207,7 +207,7 @@
     fn take(&mut self, input: Input) -> Result<(), String> {
         match input {
             Input::Message(place, from, message) => {
-                self.step(place, NodeInput::Message { from, message })
+                self.step(place, NodeInput::Message { from, message });
             }
             Input::Command(HostCommand::Begin { .. }) => {}
             Input::Command(HostCommand::Load) => {
--- a/crates/testbed/src/hollow/protocol.rs
+++ b/crates/testbed/src/hollow/protocol.rs
@@ -7,7 +7,7 @@
 /// A command to a host process, a line of JSON on its standard input.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HostCommand {
+pub(super) enum HostCommand {
     /// Starts the process's nodes; the first command.
     Begin {
         /// The size and load of the fleet.
@@ -33,7 +33,7 @@
 /// A report of a host process, a line of JSON on its standard output.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HostReport {
+pub(super) enum HostReport {
     /// A configuration epoch is in force at a node since this time, a [`types::MonotonicInstant`].
     ConfigEpoch(Address, u64, u64),
     /// The traffic so far: each node's messages, bytes and bytes to other zones; requests placed and rejected.
--- a/crates/testbed/src/hollow/threads.rs
+++ b/crates/testbed/src/hollow/threads.rs
@@ -6,7 +6,7 @@
 
 /// A bound on threads, and how many of those that it counts run now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ThreadBound {
+pub(crate) struct ThreadBound {
     /// At most so many.
     pub most: u64,
     /// So many count towards it now.
@@ -15,7 +15,7 @@
 
 impl ThreadBound {
     /// How many more it lets start.
-    pub fn free(self) -> u64 {
+    pub(crate) fn free(self) -> u64 {
         self.most.saturating_sub(self.in_use)
     }
 }
@@ -23,7 +23,7 @@
 /// All bounds that the kernel sets. Each is set against the threads that it counts itself: a machine may run
 /// many that are seen from here by their number alone, and that take none of the ids here.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ThreadBounds {
+pub(crate) struct ThreadBounds {
     /// Of the whole kernel.
     pub kernel: ThreadBound,
     /// Ids: each thread that is seen from here has one.
@@ -36,7 +36,7 @@
 
 impl ThreadBounds {
     /// Reads them, `proc` and `cgroup` being where the kernel shows those file systems.
-    pub fn read(proc: &Path, cgroup: &Path) -> io::Result<ThreadBounds> {
+    pub(crate) fn read(proc: &Path, cgroup: &Path) -> io::Result<ThreadBounds> {
         let (all, own) = count_threads(proc)?;
         Ok(ThreadBounds {
             kernel: ThreadBound {
@@ -54,7 +54,7 @@
     }
 
     /// How many more threads all of them let start.
-    pub fn free(&self) -> u64 {
+    pub(crate) fn free(&self) -> u64 {
         let others = self
             .user
             .iter()
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -75,7 +75,7 @@
         self.change(|list| {
             list.iter_mut()
                 .filter(|e| e.server == *server)
-                .for_each(|e| e.is_draining = true)
+                .for_each(|e| e.is_draining = true);
         });
     }
 }
--- a/crates/testbed/tests/failures.rs
+++ b/crates/testbed/tests/failures.rs
@@ -593,7 +593,7 @@
     (0..3).for_each(|_| {
         fleet
             .add_relay()
-            .expect("a controller without a disk starts")
+            .expect("a controller without a disk starts");
     });
     let seeds: Vec<Address> = fleet.relays.iter().map(|relay| relay.inner).collect();
     fleet.name_seeds(&seeds).expect("settings are written");
--- a/crates/transport/src/connection_pool/connection.rs
+++ b/crates/transport/src/connection_pool/connection.rs
@@ -55,7 +55,10 @@
 
 impl PooledConnection {
     /// Connects within the permitted time.
-    pub fn open(permit: OpenPermit, options: &SendOptions<'_>) -> Result<Self, ConnectionError> {
+    pub(super) fn open(
+        permit: OpenPermit,
+        options: &SendOptions<'_>,
+    ) -> Result<Self, ConnectionError> {
         let left = Clock::now().until(options.head_deadline);
         let timeout = options.connect_timeout.min(left);
         if timeout.0 == 0 {
@@ -89,13 +92,13 @@
         }
     }
 
-    pub fn safety(&self) -> &dyn ReuseSafety {
+    pub(super) fn safety(&self) -> &dyn ReuseSafety {
         &*self.permit.pool.safety
     }
 
     /// Checks whether a request may be sent and whether the connection is clean, and bounds the time
     /// until the first byte.
-    pub fn check_before_send(&self, options: &SendOptions<'_>) -> SendCheck {
+    pub(super) fn check_before_send(&self, options: &SendOptions<'_>) -> SendCheck {
         let checked_at = Clock::now();
         if !(options.may_send)() {
             return SendCheck::Withheld;
@@ -109,7 +112,7 @@
     }
 
     /// Lets the library do what it can without waiting.
-    pub fn drive(&mut self) {
+    pub(super) fn drive(&mut self) {
         if !self.is_finished {
             let mut context = Context::from_waker(&self.waker);
             self.is_finished = Pin::new(&mut self.driver).poll(&mut context).is_ready();
@@ -118,7 +121,7 @@
 
     /// Drives the connection and polls an operation on it until the operation is ready or the wait for it
     /// ends. With `options`, a check that has expired before the request's first byte is repeated.
-    pub fn wait<T>(
+    pub(super) fn wait<T>(
         &mut self,
         deadline: MonotonicInstant,
         client: Option<&ClientConnection>,
@@ -182,7 +185,7 @@
     }
 
     /// Sends a request and waits for the response's head. The connection is closed if none comes.
-    pub fn send(
+    pub(super) fn send(
         mut self: Box<Self>,
         request: http::Request<Bytes>,
         options: &SendOptions<'_>,
--- a/crates/transport/src/http_server/closing.rs
+++ b/crates/transport/src/http_server/closing.rs
@@ -37,7 +37,7 @@
 
 impl Ending {
     /// Does what is left to be done before the connection is closed.
-    pub fn close(self, socket: &Socket, exchange: &Exchange) {
+    pub(super) fn close(self, socket: &Socket, exchange: &Exchange) {
         match self {
             Ending::Finished(Ok(())) => {
                 // A client that has ended its side sends nothing more: the connection can close at once.
--- a/crates/transport/src/http_server/framing.rs
+++ b/crates/transport/src/http_server/framing.rs
@@ -90,7 +90,7 @@
 }
 
 impl RequestFramer {
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         RequestFramer {
             buffer: Vec::new(),
             released: 0,
@@ -103,7 +103,7 @@
         }
     }
 
-    pub fn progress(&self) -> RequestProgress {
+    pub(super) fn progress(&self) -> RequestProgress {
         match self.state {
             FramingState::Head if self.buffer.len() == self.checked => RequestProgress::Idle,
             FramingState::Head => RequestProgress::Head,
@@ -118,13 +118,13 @@
     }
 
     /// Takes in bytes that came on the connection.
-    pub fn push(&mut self, bytes: &[u8], limits: &RequestLimits) {
+    pub(super) fn push(&mut self, bytes: &[u8], limits: &RequestLimits) {
         self.buffer.extend_from_slice(bytes);
         self.advance(limits);
     }
 
     /// Begins the request behind the one that is complete.
-    pub fn next_request(&mut self, limits: &RequestLimits) {
+    pub(super) fn next_request(&mut self, limits: &RequestLimits) {
         if self.state != FramingState::Complete {
             return;
         }
@@ -140,12 +140,12 @@
     }
 
     /// Whether there are bytes to release.
-    pub fn has_releasable(&self) -> bool {
+    pub(super) fn has_releasable(&self) -> bool {
         self.released < self.checked && !matches!(self.state, FramingState::Rejected(_))
     }
 
     /// Releases bytes of the current request, at most `max_bytes`.
-    pub fn release(&mut self, max_bytes: usize) -> &[u8] {
+    pub(super) fn release(&mut self, max_bytes: usize) -> &[u8] {
         if !self.has_releasable() {
             return &[];
         }
--- a/crates/transport/src/http_server/request_reader.rs
+++ b/crates/transport/src/http_server/request_reader.rs
@@ -24,7 +24,7 @@
 }
 
 impl Exchange {
-    pub fn new(limits: RequestLimits) -> Self {
+    pub(super) fn new(limits: RequestLimits) -> Self {
         Exchange {
             framer: RefCell::new(RequestFramer::new()),
             limits: Cell::new(limits),
@@ -34,12 +34,12 @@
         }
     }
 
-    pub fn progress(&self) -> RequestProgress {
+    pub(super) fn progress(&self) -> RequestProgress {
         self.framer.borrow().progress()
     }
 
     /// Lets the next request be read, once the response to the current one was written.
-    pub fn next_request(&self) {
+    pub(super) fn next_request(&self) {
         self.framer.borrow_mut().next_request(&self.limits.get());
         self.is_dispatched.set(false);
     }
--- a/crates/transport/src/http_server/response/body.rs
+++ b/crates/transport/src/http_server/response/body.rs
@@ -47,11 +47,11 @@
 }
 
 impl ResponseBody {
-    pub fn complete(bytes: Bytes) -> Self {
+    pub(crate) fn complete(bytes: Bytes) -> Self {
         ResponseBody::Complete(Some(bytes))
     }
 
-    pub fn stream(source: Box<dyn BodySource>) -> Self {
+    pub(crate) fn stream(source: Box<dyn BodySource>) -> Self {
         ResponseBody::Stream(StreamedBody {
             source,
             has_unflushed: false,
@@ -60,7 +60,7 @@
     }
 
     /// The bytes of a complete body; none of a stream.
-    pub fn into_complete(self) -> Bytes {
+    pub(crate) fn into_complete(self) -> Bytes {
         match self {
             ResponseBody::Complete(bytes) => bytes.unwrap_or_default(),
             ResponseBody::Stream(_) => Bytes::new(),
@@ -69,7 +69,7 @@
 }
 
 impl StreamedBody {
-    pub fn announce_length(&mut self, length: Option<u64>) {
+    pub(crate) fn announce_length(&mut self, length: Option<u64>) {
         self.remaining = length;
     }
 
--- a/crates/transport/src/http_server/state.rs
+++ b/crates/transport/src/http_server/state.rs
@@ -40,7 +40,7 @@
 }
 
 impl ServerState {
-    pub fn new(limits: HttpServerLimits) -> io::Result<Self> {
+    pub(super) fn new(limits: HttpServerLimits) -> io::Result<Self> {
         let (change_notifier, notifier_end) = new_notifier()?;
         let settings = ServerSettings {
             generation: 0,
@@ -64,20 +64,20 @@
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn settings(&self) -> ServerSettings {
+    pub(super) fn settings(&self) -> ServerSettings {
         self.current().settings.clone()
     }
 
     /// Whether these are no longer the current settings.
-    pub fn has_changed(&self, settings: &ServerSettings) -> bool {
+    pub(super) fn has_changed(&self, settings: &ServerSettings) -> bool {
         self.generation.load(Ordering::SeqCst) != settings.generation
     }
 
-    pub fn is_draining(&self) -> bool {
+    pub(super) fn is_draining(&self) -> bool {
         self.current().settings.draining_since.is_some()
     }
 
-    pub fn drain(&self) {
+    pub(super) fn drain(&self) {
         let mut current = self.current();
         current
             .settings
@@ -86,7 +86,7 @@
         self.publish(&mut current);
     }
 
-    pub fn set_limits(&self, limits: HttpServerLimits) {
+    pub(super) fn set_limits(&self, limits: HttpServerLimits) {
         let mut current = self.current();
         if current.settings.limits != limits {
             current.settings.limits = limits;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -4,8 +4,6 @@
 //! The HTTP server is built on `hyper` with one blocking thread for each connection: `rouille` and `astra`
 //! hold small chunks back (tests/library_traps.rs shows it).
 
-#![warn(missing_docs)]
-
 mod connection_pool;
 mod http_client;
 mod http_server;
--- a/crates/transport/src/message_transport/outbound.rs
+++ b/crates/transport/src/message_transport/outbound.rs
@@ -30,7 +30,7 @@
 
 impl Outbox {
     /// Starts a connection's thread.
-    pub fn spawn(
+    pub(super) fn spawn(
         sender_address: Address,
         peer: Address,
         class: MessageClass,
@@ -57,14 +57,14 @@
 
     /// Queues a message; returns it if the connection was idle and its thread has ended. If the queue is
     /// full the peer is slow or unreachable: the message is dropped, as by a lossy network.
-    pub fn try_send(&self, message: Message) -> Option<Message> {
+    pub(super) fn try_send(&self, message: Message) -> Option<Message> {
         match self.0.try_send(message) {
             Err(flume::TrySendError::Disconnected(message)) => Some(message),
             Ok(()) | Err(flume::TrySendError::Full(_)) => None,
         }
     }
 
-    pub fn is_closed(&self) -> bool {
+    pub(super) fn is_closed(&self) -> bool {
         self.0.is_disconnected()
     }
 }
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -50,7 +50,7 @@
 impl Socket {
     const NO_DEADLINE: u64 = u64::MAX;
 
-    pub fn new(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         // Without these options the connection works too, only slower or noticing a dead peer later.
         let _ = stream.set_nodelay(true);
         let _ = sockopt::set_tcp_user_timeout(&stream, USER_TIMEOUT_MS);
@@ -65,13 +65,13 @@
     }
 
     /// Bounds the moment of the next write; `None` for no bound.
-    pub fn set_write_deadline(&self, deadline: Option<MonotonicInstant>) {
+    pub(crate) fn set_write_deadline(&self, deadline: Option<MonotonicInstant>) {
         let deadline = deadline.map_or(Self::NO_DEADLINE, |deadline| deadline.0);
         self.write_deadline.store(deadline, Ordering::Relaxed);
     }
 
     /// Whether a write was refused as its deadline had passed, since last asked.
-    pub fn take_expired_check(&self) -> bool {
+    pub(crate) fn take_expired_check(&self) -> bool {
         self.is_check_expired.swap(false, Ordering::Relaxed)
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Looks without waiting and without taking bytes.
-    pub fn peek(&self) -> Peeked {
+    pub(crate) fn peek(&self) -> Peeked {
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         loop {
             match recv(&self.stream, &mut [0u8; 1], flags) {
@@ -100,7 +100,7 @@
     }
 
     /// Whether the peer has closed or reset the connection, also behind bytes that were not read.
-    pub fn is_disconnected(&self) -> bool {
+    pub(crate) fn is_disconnected(&self) -> bool {
         match self.peek() {
             Peeked::Disconnected => true,
             Peeked::Nothing => false,
--- a/crates/transport/src/socket/stream.rs
+++ b/crates/transport/src/socket/stream.rs
@@ -27,7 +27,7 @@
 
 impl SocketStream {
     /// A client that doesn't read for this long is disconnected.
-    pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+    pub(crate) const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
     /// What to do when the send buffer is full: nothing to report if space has come meanwhile.
     fn wait_for_space(&self) -> Poll<io::Result<()>> {
@@ -122,7 +122,7 @@
 
 impl WakeFlag {
     /// Whether the waker was called since last asked.
-    pub fn take(&self) -> bool {
+    pub(crate) fn take(&self) -> bool {
         self.0.swap(false, Ordering::Relaxed)
     }
 }
--- a/crates/transport/tests/connection_pool.rs
+++ b/crates/transport/tests/connection_pool.rs
@@ -575,7 +575,7 @@
                         fault,
                         ConnectionError::ClientDisconnected,
                         "{pipelined:?} {said:?}"
-                    )
+                    );
                 }
             }
             drop(end);
--- a/crates/transport/tests/library_traps.rs
+++ b/crates/transport/tests/library_traps.rs
@@ -80,7 +80,7 @@
     let (address, feed, _dropped) = open_fed_server();
     (0..5000).for_each(|_| {
         feed.send(Some("a piece of thirty-two bytes....\n"))
-            .unwrap()
+            .unwrap();
     });
     feed.send(None).unwrap();
     let response = http_get(&format!("http://{address}/"), PATIENCE, PATIENCE).unwrap();
@@ -218,7 +218,7 @@
     let http_server = HttpServer::open(Address::loopback(0).0, bounds).unwrap();
     let (address, open_count) = (http_server.address(), http_server.open_count());
     std::thread::spawn(move || {
-        http_server.serve(|request| Response::complete(200, "text/plain", request.body))
+        http_server.serve(|request| Response::complete(200, "text/plain", request.body));
     });
     let say = |text: &str| {
         let mut stream = TcpStream::connect(address.0).unwrap();
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -3,8 +3,6 @@
 //! Many of them are archived with `rkyv` and stored or sent: the order of
 //! fields and variants must never change.
 
-#![warn(missing_docs)]
-
 mod address;
 mod api_key;
 mod delta;
--- a/crates/types/tests/api_key.rs
+++ b/crates/types/tests/api_key.rs
@@ -1,3 +1,5 @@
+//! API keys: what they show when printed or compared.
+
 use types::{ApiKey, ApiKeys};
 
 #[test]
--- a/crates/types/tests/golden_file/mod.rs
+++ b/crates/types/tests/golden_file/mod.rs
@@ -10,23 +10,23 @@
 use std::path::{Path, PathBuf};
 
 /// Whether golden files are to be written anew.
-pub fn is_writing() -> bool {
+pub(crate) fn is_writing() -> bool {
     std::env::var_os("COBALTFALL_WRITE_GOLDEN").is_some_and(|value| value == "1")
 }
 
 /// The folder of this package's golden files.
-pub fn folder() -> PathBuf {
+pub(crate) fn folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
 /// The bytes of a golden file.
-pub fn read(name: &str) -> Vec<u8> {
+pub(crate) fn read(name: &str) -> Vec<u8> {
     let path = folder().join(name);
     fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
 /// Compares a text with a golden file, line by line for the message and then as a whole.
-pub fn compare_text(name: &str, text: &str) {
+pub(crate) fn compare_text(name: &str, text: &str) {
     if is_writing() {
         write(name, text.as_bytes());
     }
@@ -38,13 +38,13 @@
 }
 
 /// Compares named bytes with a golden file that has a line for each: its name, and its bytes in hexadecimal digits.
-pub fn compare_entries(name: &str, entries: &[(&str, Vec<u8>)]) {
+pub(crate) fn compare_entries(name: &str, entries: &[(&str, Vec<u8>)]) {
     let line = |(key, bytes): &(&str, Vec<u8>)| format!("{key} {}\n", to_hex(bytes));
     compare_text(name, &entries.iter().map(line).collect::<String>());
 }
 
 /// The entries of such a file.
-pub fn read_entries(name: &str) -> Vec<(String, Vec<u8>)> {
+pub(crate) fn read_entries(name: &str) -> Vec<(String, Vec<u8>)> {
     let text = String::from_utf8(read(name)).expect("golden text is UTF-8");
     let entry = |line: &str| {
         let (key, digits) = line.split_once(' ').expect("a name and digits");
@@ -54,7 +54,7 @@
 }
 
 /// Each variant of an enum must have an example: the names of all variants against those of the examples.
-pub fn check_all_named<'a>(all: &[&str], examples: impl Iterator<Item = &'a str>) {
+pub(crate) fn check_all_named<'a>(all: &[&str], examples: impl Iterator<Item = &'a str>) {
     let found: std::collections::BTreeSet<&str> = examples.collect();
     let wanted: std::collections::BTreeSet<&str> = all.iter().copied().collect();
     assert_eq!(found, wanted, "each variant needs a golden example");
@@ -92,7 +92,7 @@
 }
 
 /// Compares values as JSON, a line each, with a golden file, and gives that file's lines to be read back.
-pub fn compare_json_lines(name: &str, lines: &[String]) -> Vec<String> {
+pub(crate) fn compare_json_lines(name: &str, lines: &[String]) -> Vec<String> {
     let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
     compare_text(name, &text);
     let golden = String::from_utf8(read(name)).expect("golden text is UTF-8");
@@ -101,7 +101,7 @@
 
 /// What a program's help says of its command line: subcommands, options with their defaults and values, and how many
 /// positional arguments there are. Names of values and descriptions aren't part of the interface and left out.
-pub fn command_line(binary: &str, path: &[&str]) -> String {
+pub(crate) fn command_line(binary: &str, path: &[&str]) -> String {
     let help = std::process::Command::new(binary)
         .args(path)
         .arg("-h")
@@ -164,7 +164,7 @@
 }
 
 /// The exit code of a program that is called so, with nothing on its standard input.
-pub fn exit_code(binary: &str, arguments: &[&str]) -> Option<i32> {
+pub(crate) fn exit_code(binary: &str, arguments: &[&str]) -> Option<i32> {
     let output = std::process::Command::new(binary)
         .args(arguments)
         .env_remove("COBALTFALL_BOOT")
@@ -175,7 +175,7 @@
 }
 
 /// The values of a structure in the order of its fields, without the names of fields and structures.
-pub fn values_of(value: &impl std::fmt::Debug) -> String {
+pub(crate) fn values_of(value: &impl std::fmt::Debug) -> String {
     let without_names = |line: &str| {
         let indent = line.len() - line.trim_start().len();
         let entry = line.trim_start();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,8 +4,6 @@
 //! of variants and fields is that of the bytes: to change it, [`PROTOCOL`] must grow. The package does no I/O of its
 //! own.
 
-#![warn(missing_docs)]
-
 mod config_update;
 mod core_location;
 mod dissemination;
