--- a/crates/placement/src/scheduler/warming.rs
+++ b/crates/placement/src/scheduler/warming.rs
@@ -79,7 +79,7 @@
         self.record_overdue(now);
         self.assume_copies(now);
         if self.scheduler_rules.orders_kv_copies {
-            self.order_copies(now);
+            self.request_copies(now);
         }
         self.update_overdue(now);
         self.deactivate_idle(now);
@@ -108,18 +108,18 @@
     /// Orders the copies that active prefixes lack, where that is this node's duty: the node that ranks
     /// first for the prefix among those heard. Should two nodes both think so for a moment, the servers
     /// take the same copy once.
-    fn order_copies(&mut self, now: MonotonicInstant) {
+    fn request_copies(&mut self, now: MonotonicInstant) {
         let reachable_peers: Vec<Address> = self.reachable_peers().into_iter().collect();
         let prefixes: Vec<PrefixHash> = self.active.keys().copied().collect();
         for prefix in prefixes {
             if rank(prefix.0, &self.own, &reachable_peers) == 0 {
-                self.order_copies_of(prefix, now);
+                self.request_copies_of(prefix, now);
             }
         }
     }
 
     /// Orders the copies that one active prefix lacks, from its least-loaded holder.
-    fn order_copies_of(&mut self, prefix: PrefixHash, now: MonotonicInstant) {
+    fn request_copies_of(&mut self, prefix: PrefixHash, now: MonotonicInstant) {
         let service = &self.active[&prefix].service;
         let Some(rules) = self.rules.services.get(service).cloned() else {
             return;
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -186,10 +186,10 @@
 
     /// Charges an admitted request once more: it is sent to another server, and the first one may have run it. What
     /// the credit does not cover becomes debt.
-    pub fn charge_again(&mut self, now: MonotonicInstant, tenant: &TenantName, amount: Amount) {
+    pub fn debit_again(&mut self, now: MonotonicInstant, tenant: &TenantName, amount: Amount) {
         if let Some(credit) = self.tenants.get_mut(tenant) {
             credit.expire(now, self.faults);
-            credit.charge(amount);
+            credit.debit(amount);
         }
     }
 
--- a/crates/quota/src/client/tenant_credit.rs
+++ b/crates/quota/src/client/tenant_credit.rs
@@ -74,7 +74,7 @@
     }
 
     /// Spends credit on a request that cannot be rejected any more. What is missing becomes debt.
-    pub(super) fn charge(&mut self, amount: Amount) {
+    pub(super) fn debit(&mut self, amount: Amount) {
         let missing = amount.less(self.available);
         self.available = self.available.less(amount);
         self.debt = self.debt.plus(missing);
--- a/crates/quota/src/tests/world.rs
+++ b/crates/quota/src/tests/world.rs
@@ -224,19 +224,19 @@
             .iter()
             .map(|node| now < node.frozen_until)
             .collect();
-        let is_due = |(at, packet): &(u64, Packet)| {
+        let is_reached = |(at, packet): &(u64, Packet)| {
             *at <= now
                 && match packet {
                     Packet::Request(..) => true,
                     Packet::Grant(node, ..) => !frozen[*node],
                 }
         };
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.packets)
+        let (deadline, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.packets)
             .into_iter()
-            .partition(is_due);
+            .partition(is_reached);
         self.packets = rest;
         let members: Vec<Address> = (0..NODES).map(address).collect();
-        for (_, packet) in due {
+        for (_, packet) in deadline {
             match packet {
                 Packet::Request(node, request) => {
                     if now < self.core.away_until {
--- a/crates/replication/src/replica/chain.rs
+++ b/crates/replication/src/replica/chain.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Forwarding {
     /// Changes from the predecessor that came before one that precedes them.
-    pub(super) out_of_order: BTreeMap<SequenceNumber, Change>,
+    pub(super) arrived_early: BTreeMap<SequenceNumber, Change>,
     /// At the head: bounds the rate of changes.
     pub(super) rate_limiter: ChangeRateLimiter,
     /// The last change forwarded to the successor, and when it is taken for lost.
@@ -54,7 +54,7 @@
     /// At the start of an incarnation: nothing is under way.
     pub(super) fn new(timing: &Timing, now: MonotonicInstant) -> Forwarding {
         Forwarding {
-            out_of_order: BTreeMap::new(),
+            arrived_early: BTreeMap::new(),
             rate_limiter: ChangeRateLimiter::full(timing, now),
             last_forwarded: (SequenceNumber(0), MonotonicInstant(0)),
             successor_progress: (SequenceNumber(0), now),
@@ -250,8 +250,8 @@
         if view != self.view.epoch || !is_from_predecessor || !is_in_window {
             return;
         }
-        self.forwarding.out_of_order.insert(change.seq, change);
-        while let Some(next) = self.forwarding.out_of_order.remove(&self.last.0.next()) {
+        self.forwarding.arrived_early.insert(change.seq, change);
+        while let Some(next) = self.forwarding.arrived_early.remove(&self.last.0.next()) {
             self.append(next);
         }
     }
--- a/crates/replication/src/replica/fingerprint.rs
+++ b/crates/replication/src/replica/fingerprint.rs
@@ -64,7 +64,7 @@
             self.has_member_majority,
         )
             .hash(hasher);
-        self.forwarding.out_of_order.hash(hasher);
+        self.forwarding.arrived_early.hash(hasher);
         self.forwarding
             .rate_limiter
             .level(&self.timing, now)
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -471,7 +471,7 @@
     }
 
     fn reset_forwarding(&mut self) {
-        self.forwarding.out_of_order.clear();
+        self.forwarding.arrived_early.clear();
         self.forwarding.last_forwarded = (SequenceNumber(0), MonotonicInstant(0));
         self.forwarding.successor_progress = (SequenceNumber(0), self.now);
     }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -106,21 +106,21 @@
     pub fn may_be_followed_by(&self, next: &View) -> bool {
         next.epoch == self.epoch.next()
             && !next.voters.is_empty()
-            && self.keeps_order_in(next)
+            && self.keeps_sequence_in(next)
             && self.keeps_caught_up_member_in(next)
             && next.has_each_member_once()
             && self.are_votes_and_positions_consistent_in(next)
     }
 
-    fn keeps_order_in(&self, next: &View) -> bool {
+    fn keeps_sequence_in(&self, next: &View) -> bool {
         let next_members = next.chain.iter().map(|p| p.voter);
         let retained: Vec<Voter> = next_members.filter(|v| self.contains(v)).collect();
         let own_members = self.chain.iter().map(|p| p.voter);
-        let in_old_order: Vec<Voter> = own_members.filter(|v| next.contains(v)).collect();
+        let retained_before: Vec<Voter> = own_members.filter(|v| next.contains(v)).collect();
         let mut after_retained = next.chain.iter().skip(retained.len());
         let are_newcomers_last =
             after_retained.all(|p| !self.contains(&p.voter) && !p.is_caught_up);
-        retained == in_old_order && are_newcomers_last
+        retained == retained_before && are_newcomers_last
     }
 
     fn keeps_caught_up_member_in(&self, next: &View) -> bool {
--- a/crates/replication/src/view/tests.rs
+++ b/crates/replication/src/view/tests.rs
@@ -27,7 +27,7 @@
     drops_the_head = { view(2, &[(2, true), (3, true)], &[1, 2, 3]), true },
     admits_a_newcomer = { view(2, &[(1, true), (2, true), (4, false)], &[1, 2, 4]), true },
     skips_an_epoch = { view(3, &[(1, true), (2, true)], &[1, 2, 3]), false },
-    turns_the_order = { view(2, &[(2, true), (1, true)], &[1, 2, 3]), false },
+    swaps_two_members = { view(2, &[(2, true), (1, true)], &[1, 2, 3]), false },
     puts_a_newcomer_first = { view(2, &[(4, false), (1, true)], &[1, 2, 4]), false },
     calls_a_newcomer_level = { view(2, &[(1, true), (4, true)], &[1, 2, 4]), false },
     has_only_newcomers = { view(2, &[(4, false)], &[1, 2, 4]), false },
--- a/crates/router/src/control/node/quota_credit.rs
+++ b/crates/router/src/control/node/quota_credit.rs
@@ -75,7 +75,7 @@
         }
         // It has been let in. If the server before may have run it, it counts once more.
         if request.may_have_run {
-            self.credit.charge_again(self.now, &tenant, amount);
+            self.credit.debit_again(self.now, &tenant, amount);
         }
         Admission::Admitted
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -38,7 +38,7 @@
 pub use startup::{Dialects, ReadSeeds, run};
 pub use upstream::chunk_reader::{ChunkReader, RelayedLine};
 pub use upstream::event_splitter::{EventSplitter, StreamEvent};
-pub use upstream::forwarding::detached::{DetachedForwarder, PlacementReply, PlacementSource};
+pub use upstream::forwarding::detached::{DetachedForwarder, PlacementResponse, PlacementSource};
 pub use upstream::response_validation::{
     AnswerIdentity, AnswerPlace, ClaimedIdentity, ResponseValidation,
 };
--- a/crates/router/src/upstream/forwarding/detached.rs
+++ b/crates/router/src/upstream/forwarding/detached.rs
@@ -16,7 +16,7 @@
 const BOUND: u64 = 64;
 
 /// The answer to the question where a request goes.
-pub struct PlacementReply {
+pub struct PlacementResponse {
     /// To there, or nowhere.
     pub outcome: Result<Placement, Rejection>,
     /// The epoch that has come into force by the time the request would be sent.
@@ -24,7 +24,7 @@
 }
 
 /// Chooses the servers.
-pub type PlacementSource = Box<dyn FnMut(&PlacementRequest) -> PlacementReply + Send>;
+pub type PlacementSource = Box<dyn FnMut(&PlacementRequest) -> PlacementResponse + Send>;
 
 /// A forwarder without a node.
 #[derive(Clone)]
@@ -51,11 +51,13 @@
                     let ControlEvent::Place(NodeInput::Place(ask), outcome) = event else {
                         continue;
                     };
-                    let reply = placement_source(&ask);
+                    let response = placement_source(&ask);
                     if let Some(shared) = placing_shared.upgrade() {
-                        shared.epoch.fetch_max(reply.in_force.0, Ordering::SeqCst);
+                        shared
+                            .epoch
+                            .fetch_max(response.in_force.0, Ordering::SeqCst);
                     }
-                    let _ = outcome.send(reply.outcome);
+                    let _ = outcome.send(response.outcome);
                 }
             })?;
         let forwarder = Forwarder {
--- a/crates/testbed/src/answers/lane.rs
+++ b/crates/testbed/src/answers/lane.rs
@@ -10,7 +10,7 @@
 use config::parse_plan;
 use placement::mix;
 use router::{
-    Access, DetachedForwarder, Placement, PlacementReply, PlacementRequest, Rejection, run_id,
+    Access, DetachedForwarder, Placement, PlacementRequest, PlacementResponse, Rejection, run_id,
 };
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
@@ -152,7 +152,7 @@
     ask: &PlacementRequest,
     drawn: u64,
     epoch: &mut ConfigEpoch,
-) -> PlacementReply {
+) -> PlacementResponse {
     let mut config_state = lock(config_state);
     config_state.outdated = None;
     let left: Vec<&Server> = servers
@@ -165,7 +165,7 @@
             why: "all were tried".into(),
             retry_after: Milliseconds(50),
         };
-        return PlacementReply {
+        return PlacementResponse {
             outcome: Err(rejection),
             in_force: *epoch,
         };
@@ -195,7 +195,7 @@
         *epoch = ConfigEpoch(epoch.0 + 1);
         config_state.outdated = Some((ask.request.as_str().to_owned(), server.name.clone()));
     }
-    PlacementReply {
+    PlacementResponse {
         outcome: Ok(placing),
         in_force: *epoch,
     }
@@ -287,7 +287,7 @@
     answer: Option<&Message>,
     may_be_silent: bool,
 ) -> Result<Fate, String> {
-    let is_due = record
+    let is_reached = record
         .runs
         .first()
         .is_some_and(|run| run.play.answers_whole() && !run.is_displaced);
@@ -315,7 +315,7 @@
         502 => Fate::Unknown,
         status => return Err(format!("nobody answers {status}: {answer:?}")),
     };
-    if is_due && fate != Fate::Served && !may_be_silent {
+    if is_reached && fate != Fate::Served && !may_be_silent {
         return Err(format!(
             "its server answered it whole, and the client has {fate:?}"
         ));
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -239,7 +239,7 @@
 const SEED_CONTROLLERS: usize = 3;
 
 /// Where the daemons of a new fleet are and what their settings say.
-struct FleetLayout<'a> {
+struct FleetAddresses<'a> {
     shape: &'a Shape,
     platform: Address,
     folder: &'a Path,
@@ -248,7 +248,7 @@
     ports: &'a [u16],
 }
 
-impl FleetLayout<'_> {
+impl FleetAddresses<'_> {
     /// Writes the settings of a controller, which is not started yet.
     fn controller(&self, number: usize) -> std::io::Result<Daemon> {
         let name = format!("controller-{number}");
@@ -355,7 +355,7 @@
     ) -> std::io::Result<Fleet> {
         let (folder, temporary) = open_folder(folder)?;
         let ports = free_ports((shape.controllers + shape.routers) * 2)?;
-        let layout = FleetLayout {
+        let addresses = FleetAddresses {
             shape,
             platform,
             folder: &folder,
@@ -363,10 +363,10 @@
             ports: &ports,
         };
         let mut controllers = (0..shape.controllers)
-            .map(|number| layout.controller(number))
+            .map(|number| addresses.controller(number))
             .collect::<std::io::Result<Vec<Daemon>>>()?;
         let mut routers = (0..shape.routers)
-            .map(|number| layout.router(number))
+            .map(|number| addresses.router(number))
             .collect::<std::io::Result<Vec<Daemon>>>()?;
         for daemon in controllers.iter_mut().chain(&mut routers) {
             daemon.start()?;
@@ -487,18 +487,18 @@
     /// freezes the majority itself. Nothing shows the previous members, so it waits until the tail knows that all
     /// members have its epoch, by which it may settle, and this epoch then stands for `SETTLED_AFTER`.
     pub fn await_settled_membership(&self, patience: Milliseconds) -> Result<Milliseconds, String> {
-        let mut standing: Option<(u64, MonotonicInstant)> = None;
+        let mut unchanged: Option<(u64, MonotonicInstant)> = None;
         Self::await_that(patience, "the membership is settled", || {
             let known = self.controllers.iter().find_map(|controller| {
                 epoch_known_to_all(&controller.believes(), self.routers.len())
             });
             let now = Clock::now();
-            standing = match (known, standing) {
+            unchanged = match (known, unchanged) {
                 (Some(epoch), Some((old, since))) if epoch == old => Some((old, since)),
                 (Some(epoch), _) => Some((epoch, now)),
                 (None, _) => None,
             };
-            standing.is_some_and(|(_, since)| now.since(since) >= SETTLED_AFTER)
+            unchanged.is_some_and(|(_, since)| now.since(since) >= SETTLED_AFTER)
         })
     }
     /// Waits until all routers take requests.
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -254,8 +254,8 @@
     /// Does all that is due; gives when something is again.
     fn on_time(&mut self, now: MonotonicInstant) -> MonotonicInstant {
         for place in 0..self.nodes.len() {
-            let is_due = |node: &Node| now >= node.next_timer();
-            if self.nodes[place].node.as_ref().is_some_and(is_due) {
+            let is_reached = |node: &Node| now >= node.next_timer();
+            if self.nodes[place].node.as_ref().is_some_and(is_reached) {
                 self.step(place, NodeInput::ClockEvent);
             }
         }
--- a/crates/testbed/src/hollow/run.rs
+++ b/crates/testbed/src/hollow/run.rs
@@ -159,8 +159,8 @@
 
     fn play_events(&mut self, measurement: &mut Measurement) {
         let mut next_progress = measurement.start;
-        for (due, event) in schedule(self.rules, measurement.start) {
-            self.await_event(due, measurement, &mut next_progress);
+        for (deadline, event) in schedule(self.rules, measurement.start) {
+            self.await_event(deadline, measurement, &mut next_progress);
             match event {
                 FleetEvent::PlanChange(n) => self.change_plan(n, measurement),
                 FleetEvent::NodeReplacement(n) => self.replace_node(n as u32, measurement),
@@ -173,11 +173,11 @@
 
     fn await_event(
         &mut self,
-        due: MonotonicInstant,
+        deadline: MonotonicInstant,
         measurement: &Measurement,
         next_progress: &mut MonotonicInstant,
     ) {
-        while Clock::now() < due {
+        while Clock::now() < deadline {
             self.take_reports();
             if Clock::now() >= *next_progress {
                 *next_progress = Clock::now() + MEASURE_PROGRESS_GAP;
