--- a/crates/router/src/upstream/dispatch.rs
+++ b/crates/router/src/upstream/dispatch.rs
@@ -10,7 +10,7 @@
 use config::ServiceKind;
 use placement::{Event, Outcome, RequestCost};
 use std::sync::Arc;
-use types::{Milliseconds, ResultCode, ServerName, ServiceName, random_bytes};
+use types::{Milliseconds, ResultCode, RunId, ServerName, ServiceName, random_bytes};
 
 /// Why a server has not accepted a request.
 pub(crate) enum AttemptError {
@@ -70,7 +70,8 @@
             round: 0,
             tried: vec![],
             may_have_run: false,
-            run: run_id(random_bytes()),
+            // Each placement draws a run id of its own (`Dispatcher::place`).
+            run: RunId(String::new()),
         }
     }
 }
