--- a/crates/placement/src/digest.rs
+++ b/crates/placement/src/digest.rs
@@ -18,7 +18,7 @@
     PendingPrefill(u32),
     /// Tokens that they take of its memory, in units of 1,024.
     Memory(u32),
-    /// Nodes that believe a server to hold a prefix, by [`life_key`].
+    /// Nodes that believe a server to hold a prefix, by [`incarnation_key`].
     Cached(PrefixHash, u32),
     /// Nodes that know a server to be draining, by [`server_key`].
     Draining(u32),
--- a/crates/testbed/src/hollow/host.rs
+++ b/crates/testbed/src/hollow/host.rs
@@ -55,7 +55,7 @@
 const INPUT_QUEUE: usize = 65_536;
 
 /// Serves as a host process: takes commands from standard input until it ends. Fails if the first is not
-/// [`HostCommand::Begin`] or a node can't be started.
+/// `HostCommand::Begin` or a node can't be started.
 pub fn serve() -> Result<(), String> {
     let (inputs, events) = flume::bounded::<Input>(INPUT_QUEUE);
     spawn_command_reader(inputs.clone())?;
